--- a/crates/core/src/asking.rs
+++ b/crates/core/src/asking.rs
@@ -34,7 +34,7 @@
 
 /// How a call or a watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
+pub enum CallEnd {
     /// The connection broke or fell silent, perhaps everywhere at once.
     Broke,
     /// The service answered that it could not serve the call.
@@ -45,21 +45,21 @@
 
 /// One host's asking.
 #[derive(Clone, Debug)]
-pub struct Asking {
+pub struct EndpointListPoll {
     seed: u64,
     drawn: u64,
     failures: u32,
 }
 
-impl Asking {
+impl EndpointListPoll {
     /// Nothing was asked yet.
     pub fn new(seed: u64) -> Self {
-        Asking { seed, drawn: 0, failures: 0 }
+        EndpointListPoll { seed, drawn: 0, failures: 0 }
     }
 
     /// How long after its start a host asks: all may start at once.
     pub fn first(&mut self, set: &Settings) -> Duration {
-        if set.list_on_request {
+        if set.endpoint_list_polled {
             self.within(together(set))
         } else {
             Duration::ZERO
@@ -68,7 +68,7 @@
 
     /// How long a call waits for its answer to begin.
     pub fn patience(set: &Settings) -> Duration {
-        if set.list_on_request {
+        if set.endpoint_list_polled {
             IN_TURN
         } else {
             AT_ONCE
@@ -77,7 +77,7 @@
 
     /// How long the first object or sign of life may take once an answer has begun.
     pub fn first_word(set: &Settings) -> Duration {
-        if set.list_on_request {
+        if set.endpoint_list_polled {
             FIRST_WORD
         } else {
             AT_ONCE
@@ -91,21 +91,21 @@
 
     /// How long after a call or a watch ended a host asks again. `brought`: it had brought news. `refused_for`: how
     /// long its calls have been answered with refusals, and with nothing else.
-    pub fn again(&mut self, set: &Settings, brought: bool, over: Over, refused_for: Duration) -> Duration {
+    pub fn again(&mut self, set: &Settings, brought: bool, over: CallEnd, refused_for: Duration) -> Duration {
         self.failures = if brought { 1 } else { self.failures.saturating_add(1) };
-        if !set.list_on_request {
+        if !set.endpoint_list_polled {
             return if brought { FREE.0 / 2 } else { backoff(FREE.0, FREE.1, self.failures) };
         }
         // Of the time that the rule leaves, the next call may take as long as one that waits its turn; a call that
         // was given up has had the other part.
         let left = TOLD - IN_TURN;
         let wait = match over {
-            Over::Broke => return self.within(together(set)),
-            Over::Refused if refused_for >= TOLD => {
-                backoff(DEAR, LONGEST.max(set.hosts * DEAR), self.failures)
+            CallEnd::Broke => return self.within(together(set)),
+            CallEnd::Refused if refused_for >= TOLD => {
+                backoff(DEAR, LONGEST.max(set.initiators * DEAR), self.failures)
             }
-            Over::Refused => backoff(DEAR, left, self.failures),
-            Over::GivenUp => backoff(DEAR, left - IN_TURN, self.failures),
+            CallEnd::Refused => backoff(DEAR, left, self.failures),
+            CallEnd::GivenUp => backoff(DEAR, left - IN_TURN, self.failures),
         };
         wait / 2 + self.within(wait / 2)
     }
@@ -120,6 +120,6 @@
 /// The span over which all hosts spread what they do at the same instant: a watch that fell silent is asked for again
 /// before what it missed counts as told, with time for its turn.
 fn together(set: &Settings) -> Duration {
-    let within = Some(set.rules.ask_within).filter(|within| !within.is_zero()).unwrap_or(TOLD);
-    (set.hosts * EACH).min(within / 4).min((TOLD - SILENT) / 2)
+    let within = Some(set.rules.notified_within).filter(|within| !within.is_zero()).unwrap_or(TOLD);
+    (set.initiators * EACH).min(within / 4).min((TOLD - SILENT) / 2)
 }
--- a/crates/core/src/broker.rs
+++ b/crates/core/src/broker.rs
@@ -2,13 +2,13 @@
 //! [`Input`]; reading, writing and waiting are [`Effect`]s that it asks for. Decisions are the scheduler's.
 
 use crate::choice::Scheduler;
-use crate::ending::End;
-use crate::hearsay::{Amounts, Listed, Peers, Totals};
-use crate::interface::{Effect as Repeat, *};
-use crate::members::{Member, Members};
-use crate::notice::Notice;
-use crate::starts::Starts;
-use crate::state::Learnt;
+use crate::ending::TransportOutcome;
+use crate::hearsay::{Contribution, KnownEndpoint, Peers, Totals};
+use crate::interface::{Idempotency, *};
+use crate::members::{EndpointList, EndpointRecord};
+use crate::notice::OperatorEvent;
+use crate::starts::StartTimes;
+use crate::state::SchedulerSnapshot;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use shaletack_knowledge::{Observer, Told};
@@ -36,7 +36,7 @@
 
 /// What a client asks, in the scheduler's terms.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct IncomingRequest {
     /// Its class, by number.
     pub class: u16,
     /// Its volume.
@@ -44,7 +44,7 @@
     /// The volume's plan, by number.
     pub plan: u16,
     /// Through how many initiators the volume's requests come.
-    pub hosts: f64,
+    pub initiators: f64,
     /// The piece of data.
     pub key: u64,
     /// The shard that holds it; `None`: any.
@@ -52,36 +52,42 @@
     /// Its size.
     pub units: f64,
     /// How long the client waits on.
-    pub patience: Duration,
+    pub time_remaining: Duration,
     /// The client marked it as a repeat of its own.
-    pub repeat: bool,
+    pub client_retry: bool,
 }
 
 /// How an attempt came back from a front's box client.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reply {
+pub struct AttemptResult {
     /// How its connection ended.
-    pub end: End,
+    pub transport: TransportOutcome,
     /// What the box sent, where it is whole.
     pub body: Bytes,
     /// The volume's use everywhere, in parts of its plan's rate.
-    pub used: Option<f64>,
+    pub volume_usage: Option<f64>,
     /// Units the shard served the volume through other initiators since its last answer here.
-    pub elsewhere: f64,
+    pub units_elsewhere: f64,
     /// Bytes of the request went out that can't be sent again.
-    pub spent: bool,
+    pub body_consumed: bool,
 }
 
-impl Reply {
+impl AttemptResult {
     /// An end without an answer.
-    pub fn none(end: End) -> Self {
-        Reply { end, body: Bytes::new(), used: None, elsewhere: 0.0, spent: false }
+    pub fn none(end: TransportOutcome) -> Self {
+        AttemptResult {
+            transport: end,
+            body: Bytes::new(),
+            volume_usage: None,
+            units_elsewhere: 0.0,
+            body_consumed: false,
+        }
     }
 }
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Order {
+pub enum OperatorCommand {
     /// Take a box out, whatever the list says.
     Suspend(String),
     /// Give it back; it may have been started anew meanwhile.
@@ -94,73 +100,77 @@
 
 /// What the core leaves to the process that takes its place.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Legacy {
+pub struct CoreSnapshot {
     revision: u64,
-    heard: BTreeMap<String, Heard>,
+    #[serde(rename = "heard")]
+    endpoints: BTreeMap<String, EndpointState>,
     drained: bool,
-    learnt: Learnt,
+    #[serde(rename = "learnt")]
+    scheduler: SchedulerSnapshot,
     /// Its time, which all of the above is told in; a version before this one says nothing of it.
     #[serde(default)]
-    now: Option<Duration>,
+    #[serde(rename = "now")]
+    taken_at: Option<Duration>,
     #[serde(default)]
-    starts: Starts,
+    #[serde(rename = "starts")]
+    start_times: StartTimes,
 }
 
-impl Legacy {
+impl CoreSnapshot {
     /// The clock of the process that left it, which had this reading at that moment.
     pub fn clock(&self, at: Instant) -> Option<Clock> {
-        self.now.map(|now| Clock::new(at, now))
+        self.taken_at.map(|now| Clock::new(at, now))
     }
 }
 
 /// How far an attempt is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum AttemptProgress {
     /// Its first byte goes out now: from here on its box may have it.
-    Writes,
+    WriteStarted,
     /// The request's body goes out as its client sends it.
-    BodyMoves,
+    BodyStreaming,
     /// Its last byte has gone.
-    BodyWent,
+    BodySent,
     /// The first bytes of the answer are there.
-    Began,
+    ResponseStarted,
 }
 
 /// What happened.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A request was taken, under a number never used before.
-    Arrived(RequestId, Ask),
+    RequestArrived(RequestId, IncomingRequest),
     /// An attempt came back.
-    Ended(RequestId, u8, Reply),
+    AttemptEnded(RequestId, u8, AttemptResult),
     /// An attempt has come so far.
-    Went(RequestId, u8, News),
+    AttemptProgressed(RequestId, u8, AttemptProgress),
     /// The client of a request is gone.
-    Left(RequestId),
+    ClientLeft(RequestId),
     /// News of the disk boxes.
-    List(Members),
+    EndpointList(EndpointList),
     /// This machine's wall clock shows this, as Unix time. It may be stepped at any time.
     WallClock(Duration),
     /// Settings to be used from now on; what was taken keeps the rules it came under.
     Settings(Box<Settings>),
     /// What an operator asks for.
-    Order(Order),
+    OperatorCommand(OperatorCommand),
     /// What the process before this one leaves, of which this one has the second's part.
-    Inherit(Box<Legacy>, f64),
+    Restore(Box<CoreSnapshot>, f64),
     /// This process has so much of every budget; another one has the rest.
-    Part(f64),
+    BudgetShare(f64),
     /// The list that is followed says that nothing has changed.
-    Current,
+    EndpointListCurrent,
     /// Changes of the list count as told that this host can't have heard, or it hears of them again.
-    Stale(bool),
+    EndpointListStale(bool),
     /// What a peer told, and the round trip of that exchange.
-    Told(Observer, Duration, Vec<Told>),
+    PeerReports(Observer, Duration, Vec<Told>),
     /// What was news among the peers, checked by whoever brings it.
-    Learnt(Vec<Told>),
+    GossipMerged(Vec<Told>),
     /// What all other initiators together are asked for and have spent.
-    Totals(Totals),
+    PeerTotals(Totals),
     /// A wait is over.
-    Woke,
+    TimerFired,
 }
 
 /// A final answer.
@@ -169,7 +179,7 @@
     /// What the box sent.
     Served(Bytes),
     /// Turned away; trying again is harmless after that long.
-    Refused(Duration),
+    Rejected(Duration),
     /// Failed; nothing is promised of its effect.
     Failed,
 }
@@ -178,7 +188,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Start an attempt.
-    Send {
+    StartAttempt {
         /// Whose.
         request: RequestId,
         /// Which of its attempts, from 0.
@@ -189,20 +199,20 @@
         wait: Duration,
     },
     /// Give an attempt up: close its connection.
-    Abort(RequestId, u8),
+    AbortAttempt(RequestId, u8),
     /// The one final answer.
-    Answer(RequestId, Answer),
+    Respond(RequestId, Answer),
     /// Come back with [`Input::Woke`] then; an earlier wait is void.
-    Wake(Instant),
+    SetTimer(Instant),
     /// Something for the operators to know.
-    Log(Notice),
+    Log(OperatorEvent),
     /// All that this process sees of boxes now, for its peers; what of it is news is for the spread to find.
-    Say(Vec<Told>),
+    Broadcast(Vec<Told>),
 }
 
 /// What became of the requests of one class.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct RequestCounters {
     /// How many were taken.
     pub taken: u64,
     /// How many were served, and their units.
@@ -210,11 +220,11 @@
     /// The units of the served ones.
     pub units: f64,
     /// How many were refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// How many failed.
     pub failed: u64,
     /// How many clients left before their answer.
-    pub left: u64,
+    pub client_left: u64,
 }
 
 /// The core's clock. It begins at any time, runs on by a clock that is never stepped, and is no wall clock: what is told
@@ -241,56 +251,61 @@
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenRequest {
     class: u16,
     units: f64,
-    due: Duration,
-    patience: Duration,
+    deadline: Duration,
+    time_remaining: Duration,
     attempts: u8,
     /// An attempt has ended that may have run.
     may_have_run: bool,
 }
 
 #[derive(Debug)]
-struct Flight {
-    node: NodeId,
+struct InFlightAttempt {
+    endpoint: EndpointId,
     sent_at: Duration,
-    until: Duration,
-    began: Option<Duration>,
-    moves: bool,
-    writes: bool,
+    deadline: Duration,
+    response_started_at: Option<Duration>,
+    body_streaming: bool,
+    write_started: bool,
 }
 
 /// A box that the list named once, and what operators said of it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Heard {
-    member: Member,
+struct EndpointState {
+    #[serde(rename = "member")]
+    record: EndpointRecord,
     /// When it last started, by the core's clock; `None`: long ago.
     #[serde(default)]
-    started: Option<Duration>,
+    #[serde(rename = "started")]
+    started_at: Option<Duration>,
     /// It did not start before this.
     #[serde(default)]
-    earliest: Duration,
+    #[serde(rename = "earliest")]
+    earliest_start: Duration,
     suspended: bool,
     /// When it was last taken out, and given back. A start that is surely after the first is the start that operators
     /// gave it; until the list tells of one, it counts as started at the second.
-    out: Duration,
-    back: Duration,
+    #[serde(rename = "out")]
+    suspended_at: Duration,
+    #[serde(rename = "back")]
+    resumed_at: Duration,
 }
 
-impl Heard {
-    fn born(&self) -> Duration {
-        let listed = self.started.unwrap_or_default();
-        if self.earliest > self.out {
+impl EndpointState {
+    fn started_at(&self) -> Duration {
+        let listed = self.started_at.unwrap_or_default();
+        if self.earliest_start > self.suspended_at {
             listed
         } else {
-            listed.max(self.back)
+            listed.max(self.resumed_at)
         }
     }
 
     /// A number for that start that is the same at every initiator, where the list tells of it; else 0.
-    fn start(&self) -> u64 {
-        let listed = self.member.up_since.filter(|_| self.started == Some(self.born()));
+    fn start_id(&self) -> u64 {
+        let listed = self.record.up_since.filter(|_| self.started_at == Some(self.started_at()));
         listed.map_or(0, |listed| listed.as_nanos() as u64)
     }
 }
@@ -302,18 +317,18 @@
     clock: Clock,
     settings: Rc<Settings>,
     retuned: Option<Duration>,
-    names: BTreeMap<String, NodeId>,
-    addresses: BTreeMap<NodeId, SocketAddr>,
-    open: BTreeMap<RequestId, Open>,
-    flights: BTreeMap<(RequestId, u8), Flight>,
+    names: BTreeMap<String, EndpointId>,
+    addresses: BTreeMap<EndpointId, SocketAddr>,
+    open: BTreeMap<RequestId, OpenRequest>,
+    flights: BTreeMap<(RequestId, u8), InFlightAttempt>,
     wake: Option<Duration>,
-    heard: BTreeMap<String, Heard>,
+    heard: BTreeMap<String, EndpointState>,
     drained: Option<Duration>,
     revision: u64,
     /// Nothing new goes to any box: each may have begun to drain.
     stale: bool,
-    starts: Starts,
-    tallies: Vec<(String, Tally)>,
+    starts: StartTimes,
+    tallies: Vec<(String, RequestCounters)>,
     told_at: Duration,
     ends: BTreeMap<String, u64>,
     peers: Option<Peers>,
@@ -326,7 +341,7 @@
         Broker {
             settings: Rc::new(set.clone()),
             retuned: None,
-            tallies: set.classes.iter().map(|c| (c.name.clone(), Tally::default())).collect(),
+            tallies: set.classes.iter().map(|c| (c.name.clone(), RequestCounters::default())).collect(),
             scheduler: Scheduler::new(set, seed, at),
             clock,
             names: BTreeMap::new(),
@@ -338,7 +353,7 @@
             drained: None,
             revision: 0,
             stale: false,
-            starts: Starts::default(),
+            starts: StartTimes::default(),
             told_at: at,
             ends: BTreeMap::new(),
             peers: None,
@@ -352,16 +367,20 @@
     }
 
     /// What a peer is told, most needed first; nothing where peers are off.
-    pub fn tell_peers(&self, now: Instant) -> Vec<Told> {
+    pub fn peer_reports(&self, now: Instant) -> Vec<Told> {
         let at = self.clock.time(now);
-        self.peers.as_ref().map_or(Vec::new(), |peers| peers.tell(at, &self.boxes(), &self.scheduler))
+        self.peers
+            .as_ref()
+            .map_or(Vec::new(), |peers| peers.tell(at, &self.known_endpoints(), &self.scheduler))
     }
 
     /// What this process adds to the sums over all initiators; nothing where peers are off.
-    pub fn amounts(&self, now: Instant) -> Amounts {
+    pub fn contribution(&self, now: Instant) -> Contribution {
         let at = self.clock.time(now);
         let peers = self.peers.as_ref();
-        peers.map_or_else(Amounts::default, |peers| peers.amounts(at, &self.boxes(), &self.scheduler))
+        peers.map_or_else(Contribution::default, |peers| {
+            peers.amounts(at, &self.known_endpoints(), &self.scheduler)
+        })
     }
 
     /// Whether it knows of a disk box to send to.
@@ -370,17 +389,17 @@
     }
 
     /// Requests that no final answer went to yet.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
     /// What became of the requests, by class.
-    pub fn tallies(&self) -> &[(String, Tally)] {
+    pub fn counters(&self) -> &[(String, RequestCounters)] {
         &self.tallies
     }
 
     /// How many attempts ended in which way, by the end's name.
-    pub fn ends(&self) -> &BTreeMap<String, u64> {
+    pub fn attempt_outcomes(&self) -> &BTreeMap<String, u64> {
         &self.ends
     }
 
@@ -388,22 +407,26 @@
     pub fn step(&mut self, now: Instant, input: Input) -> Vec<Effect> {
         let at = self.clock.time(now);
         let (mut effects, mut events) = (Vec::new(), Vec::new());
-        let mut review = matches!(input, Input::Order(_) | Input::Inherit(..));
-        let mut say = review || matches!(input, Input::List(_) | Input::Current);
+        let mut review = matches!(input, Input::OperatorCommand(_) | Input::Restore(..));
+        let mut say = review || matches!(input, Input::EndpointList(_) | Input::EndpointListCurrent);
         match input {
-            Input::Arrived(id, ask) => events.extend(self.arrived(at, id, ask)),
-            Input::Ended(id, number, reply) => events.extend(self.ended(at, id, number, reply, &mut effects)),
-            Input::Went(id, number, news) => events.extend(self.went(at, id, number, news)),
-            Input::Left(id) => {
+            Input::RequestArrived(id, ask) => events.extend(self.request_arrived(at, id, ask)),
+            Input::AttemptEnded(id, number, reply) => {
+                events.extend(self.attempt_ended(at, id, number, reply, &mut effects))
+            }
+            Input::AttemptProgressed(id, number, news) => {
+                events.extend(self.attempt_progressed(at, id, number, news))
+            }
+            Input::ClientLeft(id) => {
                 if let Some(open) = self.open.remove(&id) {
-                    self.count(open.class, |t| t.left += 1);
-                    events.push(Event::Left(id));
+                    self.count(open.class, |t| t.client_left += 1);
+                    events.push(Event::ClientLeft(id));
                 }
             }
-            Input::List(members) => {
-                let dated = members.kind != ListKind::Cached;
+            Input::EndpointList(members) => {
+                let dated = members.kind != EndpointListKind::Cached;
                 let latest = members.entries.iter().filter_map(|member| member.up_since).max();
-                events.push(self.listed(at, members, &mut effects));
+                events.push(self.apply_endpoint_list(at, members, &mut effects));
                 if dated {
                     self.starts.heard(at, latest);
                 }
@@ -411,56 +434,61 @@
                 review = true;
             }
             Input::WallClock(shown) => self.starts.read_wall_clock(at, shown),
-            Input::Current => {
+            Input::EndpointListCurrent => {
                 self.starts.heard(at, None);
                 self.peers.iter_mut().for_each(|peers| peers.listed(at));
                 review = true;
             }
-            Input::Stale(stale) => {
+            Input::EndpointListStale(stale) => {
                 self.stale = stale;
-                let lines = self.heard.keys().filter_map(|id| self.line(id)).collect();
-                events.push(Event::List { kind: ListKind::Changes, lines });
+                let lines = self.heard.keys().filter_map(|id| self.endpoint_update(id)).collect();
+                events.push(Event::EndpointList { kind: EndpointListKind::Delta, lines });
             }
-            Input::Told(from, trip, told) => {
+            Input::PeerReports(from, trip, told) => {
                 let heard = self.peers.as_mut().map(|peers| peers.hear(at, trip, &from, told));
                 if let Some(unsound) = heard.map(|refused| refused.unsound).filter(|n| *n > 0) {
-                    effects.push(Effect::Log(Notice::Refused { from: from.name, unsound }));
+                    effects
+                        .push(Effect::Log(OperatorEvent::PeerReportsRejected { from: from.name, unsound }));
                 }
                 review = true;
             }
-            Input::Learnt(told) => {
+            Input::GossipMerged(told) => {
                 if let Some(peers) = &mut self.peers {
                     peers.learn(at, told);
                 }
                 review = true;
             }
-            Input::Totals(totals) => {
+            Input::PeerTotals(totals) => {
                 if let Some(mut peers) = self.peers.take() {
                     peers.sum(at, totals);
-                    let window = self.settings.rules.tip_after;
-                    events.push(Event::Hearsay(peers.hearsay(at, window, &self.boxes())));
+                    let window = self.settings.rules.overload_window;
+                    events.push(Event::Gossip(peers.hearsay(at, window, &self.known_endpoints())));
                     self.peers = Some(peers);
                 }
             }
-            Input::Settings(set) => events.push(self.retune(at, *set)),
-            Input::Part(part) => events.push(Event::Part(part)),
-            Input::Inherit(legacy, part) => events.extend(self.inherit(at, *legacy, part, &mut effects)),
-            Input::Order(Order::Suspend(id)) => events.extend(self.suspend(at, &id, true, &mut effects)),
-            Input::Order(Order::Resume(id)) => events.extend(self.suspend(at, &id, false, &mut effects)),
-            Input::Order(Order::Drain) => {
+            Input::Settings(set) => events.push(self.apply_settings(at, *set)),
+            Input::BudgetShare(part) => events.push(Event::BudgetShare(part)),
+            Input::Restore(legacy, part) => events.extend(self.restore(at, *legacy, part, &mut effects)),
+            Input::OperatorCommand(OperatorCommand::Suspend(id)) => {
+                events.extend(self.set_suspended(at, &id, true, &mut effects))
+            }
+            Input::OperatorCommand(OperatorCommand::Resume(id)) => {
+                events.extend(self.set_suspended(at, &id, false, &mut effects))
+            }
+            Input::OperatorCommand(OperatorCommand::Drain) => {
                 if self.drained.is_none() {
                     self.drained = Some(at);
-                    effects.push(Effect::Log(Notice::Drained));
+                    effects.push(Effect::Log(OperatorEvent::ClientsDrained));
                 }
             }
-            Input::Order(Order::Activate) => {
+            Input::OperatorCommand(OperatorCommand::Activate) => {
                 if self.drained.take().is_some() {
-                    effects.push(Effect::Log(Notice::Activated));
+                    effects.push(Effect::Log(OperatorEvent::ClientsAccepted));
                 }
             }
-            Input::Woke => {}
+            Input::TimerFired => {}
         }
-        self.time_out(at, &mut events, &mut effects);
+        self.time_out_attempts(at, &mut events, &mut effects);
         if self.wake.is_some_and(|wake| wake <= at) {
             self.wake = None;
             events.push(Event::Timer);
@@ -474,32 +502,33 @@
             events.extend(self.review(at, &mut effects));
         }
         if say {
-            effects.extend(self.say(at));
+            effects.extend(self.broadcast(at));
         }
-        self.recall(at, &mut events, &mut effects);
+        self.withdraw_from_closed(at, &mut events, &mut effects);
         let mut actions = Vec::new();
         while !events.is_empty() {
             self.scheduler.step(at, &events, &mut actions);
             events.clear();
             for action in actions.drain(..) {
-                events.extend(self.act(at, action, &mut effects));
+                events.extend(self.apply_action(at, action, &mut effects));
             }
-            self.recall_unwanted(at, &mut events, &mut effects);
+            self.withdraw_unwanted(at, &mut events, &mut effects);
         }
-        self.tell(at, &mut effects);
-        let until = self.flights.values().map(|f| f.until).filter(|until| *until < Duration::MAX);
+        self.log_counters(at, &mut effects);
+        let until = self.flights.values().map(|f| f.deadline).filter(|until| *until < Duration::MAX);
         let review = self.peers.as_ref().and_then(Peers::changes_at);
         let first = until.chain(self.wake).chain(review).min();
-        effects.extend(first.map(|first| Effect::Wake(self.clock.instant(first))));
+        effects.extend(first.map(|first| Effect::SetTimer(self.clock.instant(first))));
         effects
     }
 
     /// The boxes that the list ever named, as far as they are remembered.
-    fn boxes(&self) -> BTreeMap<&str, Listed<'_>> {
+    fn known_endpoints(&self) -> BTreeMap<&str, KnownEndpoint<'_>> {
         let mut boxes = BTreeMap::new();
         for (id, h) in &self.heard {
-            let (node, born) = (node_number(id), h.born());
-            boxes.insert(id.as_str(), Listed { node, member: &h.member, suspended: h.suspended, born });
+            let (node, born) = (node_number(id), h.started_at());
+            boxes
+                .insert(id.as_str(), KnownEndpoint { node, member: &h.record, suspended: h.suspended, born });
         }
         boxes
     }
@@ -507,38 +536,45 @@
     /// Weighs what peers said, and what of it the scheduler has to know.
     fn review(&mut self, at: Duration, effects: &mut Vec<Effect>) -> Vec<Event> {
         let Some(mut peers) = self.peers.take() else { return Vec::new() };
-        let changes = peers.review(at, &self.boxes());
-        let hearsay = peers.hearsay(at, self.settings.rules.tip_after, &self.boxes());
+        let changes = peers.review(at, &self.known_endpoints());
+        let hearsay = peers.hearsay(at, self.settings.rules.overload_window, &self.known_endpoints());
         self.peers = Some(peers);
         for change in changes.iter().filter(|c| c.news) {
-            effects.push(Effect::Log(Notice::Advised {
+            effects.push(Effect::Log(OperatorEvent::AdviceChanged {
                 id: change.id.clone(),
                 stopped: change.advice.stop_until.is_some(),
                 held: change.advice.hold_until.is_some(),
                 started_ago: change.advice.born.map(|born| at.saturating_sub(born)),
             }));
         }
-        let lines = changes.iter().filter_map(|change| self.line(&change.id)).collect();
-        vec![Event::List { kind: ListKind::Changes, lines }, Event::Hearsay(hearsay)]
+        let lines = changes.iter().filter_map(|change| self.endpoint_update(&change.id)).collect();
+        vec![Event::EndpointList { kind: EndpointListKind::Delta, lines }, Event::Gossip(hearsay)]
     }
 
     /// What this process sees, where there is anything for peers.
-    fn say(&mut self, at: Duration) -> Option<Effect> {
+    fn broadcast(&mut self, at: Duration) -> Option<Effect> {
         let mut peers = self.peers.take()?;
-        let told = peers.say(at, &self.boxes(), &self.scheduler);
+        let told = peers.say(at, &self.known_endpoints(), &self.scheduler);
         self.peers = Some(peers);
-        (!told.is_empty()).then_some(Effect::Say(told))
+        (!told.is_empty()).then_some(Effect::Broadcast(told))
     }
 
-    fn arrived(&mut self, at: Duration, id: RequestId, ask: Ask) -> Option<Event> {
+    fn request_arrived(&mut self, at: Duration, id: RequestId, ask: IncomingRequest) -> Option<Event> {
         if self.open.contains_key(&id) {
             return None;
         }
-        let patience = ask.patience.saturating_sub(WAY_BACK);
+        let patience = ask.time_remaining.saturating_sub(WAY_BACK);
         let due = at.saturating_add(patience);
         self.open.insert(
             id,
-            Open { class: ask.class, units: ask.units, due, patience, attempts: 0, may_have_run: false },
+            OpenRequest {
+                class: ask.class,
+                units: ask.units,
+                deadline: due,
+                time_remaining: patience,
+                attempts: 0,
+                may_have_run: false,
+            },
         );
         self.count(ask.class, |t| t.taken += 1);
         Some(Event::Request(Request {
@@ -546,131 +582,151 @@
             class: ask.class,
             volume: ask.volume,
             plan: ask.plan,
-            hosts: ask.hosts,
+            initiators: ask.initiators,
             key: ask.key,
             shard: ask.shard,
             units: ask.units,
-            patience,
-            repeat: ask.repeat,
+            time_remaining: patience,
+            client_retry: ask.client_retry,
         }))
     }
 
     /// While a body is on its way its client's time stands still; it begins with the last byte. What counts as
     /// the round trip ends with the first bytes of the answer.
-    fn went(&mut self, at: Duration, id: RequestId, number: u8, news: News) -> Option<Event> {
+    fn attempt_progressed(
+        &mut self,
+        at: Duration,
+        id: RequestId,
+        number: u8,
+        news: AttemptProgress,
+    ) -> Option<Event> {
         let (flight, open) = (self.flights.get_mut(&(id, number))?, self.open.get_mut(&id)?);
-        let moves = news == News::BodyMoves;
+        let moves = news == AttemptProgress::BodyStreaming;
         match news {
-            News::Writes => {
-                flight.writes = true;
+            AttemptProgress::WriteStarted => {
+                flight.write_started = true;
                 return None;
             }
-            News::Began => {
-                flight.began = Some(at);
-                return Some(Event::Began(id));
+            AttemptProgress::ResponseStarted => {
+                flight.response_started_at = Some(at);
+                return Some(Event::ResponseStarted(id));
             }
-            News::BodyMoves | News::BodyWent => {}
+            AttemptProgress::BodyStreaming | AttemptProgress::BodySent => {}
         }
-        (flight.sent_at, flight.moves) = (at, moves);
-        open.due = if moves { Duration::MAX } else { at.saturating_add(open.patience) };
-        flight.until = open.due;
-        Some(Event::Body { request: id, moves })
+        (flight.sent_at, flight.body_streaming) = (at, moves);
+        open.deadline = if moves { Duration::MAX } else { at.saturating_add(open.time_remaining) };
+        flight.deadline = open.deadline;
+        Some(Event::RequestBody { request: id, moves })
     }
 
-    fn ended(
+    fn attempt_ended(
         &mut self,
         at: Duration,
         id: RequestId,
         number: u8,
-        reply: Reply,
+        reply: AttemptResult,
         effects: &mut Vec<Effect>,
     ) -> Vec<Event> {
         let mut events = Vec::new();
-        if self.flights.get(&(id, number)).is_some_and(|f| f.moves) {
-            events.extend(self.went(at, id, number, News::BodyWent));
+        if self.flights.get(&(id, number)).is_some_and(|f| f.body_streaming) {
+            events.extend(self.attempt_progressed(at, id, number, AttemptProgress::BodySent));
         }
         // One that was given up on has had its one outcome.
         let Some(flight) = self.flights.remove(&(id, number)) else { return events };
-        *self.ends.entry(format!("{:?}", reply.end)).or_default() += 1;
-        let ending = reply.end.outcome();
-        if ending == Ending::Served {
+        *self.ends.entry(format!("{:?}", reply.transport)).or_default() += 1;
+        let ending = reply.transport.attempt_outcome();
+        if ending == AttemptOutcome::Served {
             if let Some(open) = self.open.remove(&id) {
                 let units = open.units;
                 self.count(open.class, |t| (t.served, t.units) = (t.served + 1, t.units + units));
-                effects.push(Effect::Answer(id, Answer::Served(reply.body)));
+                effects.push(Effect::Respond(id, Answer::Served(reply.body)));
             }
         }
         if let Some(open) = self.open.get_mut(&id) {
             open.may_have_run |= !ending.never_ran();
         }
         // What can't be sent again has its final answer with its first failure.
-        if let Some(open) = self.open.get(&id).filter(|_| reply.spent) {
+        if let Some(open) = self.open.get(&id).filter(|_| reply.body_consumed) {
             let (class, never_ran) = (open.class, !open.may_have_run);
             self.open.remove(&id);
-            self.count(class, |t| if never_ran { t.refused += 1 } else { t.failed += 1 });
-            let top = Some(self.settings.retry_after_top).filter(|top| !top.is_zero());
+            self.count(class, |t| if never_ran { t.rejected += 1 } else { t.failed += 1 });
+            let top = Some(self.settings.max_retry_after).filter(|top| !top.is_zero());
             let wait = top.map_or(COME_BACK, |top| top.min(COME_BACK));
-            let answer = if never_ran { Answer::Refused(wait) } else { Answer::Failed };
-            effects.push(Effect::Answer(id, answer));
+            let answer = if never_ran { Answer::Rejected(wait) } else { Answer::Failed };
+            effects.push(Effect::Respond(id, answer));
         }
-        let mut attempt = self.outcome(flight.began.unwrap_or(at), id, number, &flight, ending);
-        attempt.used = reply.used;
-        attempt.elsewhere = reply.elsewhere;
-        events.push(Event::Attempt(attempt));
+        let mut attempt =
+            self.ended_attempt(flight.response_started_at.unwrap_or(at), id, number, &flight, ending);
+        attempt.volume_usage = reply.volume_usage;
+        attempt.units_elsewhere = reply.units_elsewhere;
+        events.push(Event::AttemptEnded(attempt));
         events
     }
 
-    fn outcome(&self, at: Duration, id: RequestId, number: u8, flight: &Flight, ending: Ending) -> Attempt {
-        Attempt {
+    fn ended_attempt(
+        &self,
+        at: Duration,
+        id: RequestId,
+        number: u8,
+        flight: &InFlightAttempt,
+        ending: AttemptOutcome,
+    ) -> EndedAttempt {
+        EndedAttempt {
             request: id,
             number,
-            node: flight.node,
-            ending,
-            took: at.saturating_sub(flight.sent_at),
-            over: !self.open.contains_key(&id),
-            used: None,
-            elsewhere: 0.0,
-            load: Load::default(),
+            endpoint: flight.endpoint,
+            outcome: ending,
+            elapsed: at.saturating_sub(flight.sent_at),
+            request_complete: !self.open.contains_key(&id),
+            volume_usage: None,
+            units_elsewhere: 0.0,
+            load_report: LoadReport::default(),
         }
     }
 
     /// A box that drains or is gone gets nothing new from now on: attempts at it that still wait for a connection
     /// are taken back. They would be written whenever that comes up, past the time that the settings leave.
-    fn recall(&mut self, at: Duration, events: &mut Vec<Event>, effects: &mut Vec<Effect>) {
-        let lists =
-            events.iter().filter_map(|e| if let Event::List { lines, .. } = e { Some(lines) } else { None });
-        let lines: Vec<&NodeLine> = lists.flatten().collect();
+    fn withdraw_from_closed(&mut self, at: Duration, events: &mut Vec<Event>, effects: &mut Vec<Effect>) {
+        let lists = events.iter().filter_map(|e| {
+            if let Event::EndpointList { lines, .. } = e {
+                Some(lines)
+            } else {
+                None
+            }
+        });
+        let lines: Vec<&EndpointUpdate> = lists.flatten().collect();
         if lines.is_empty() {
             return;
         }
-        let closed = |node: &NodeId| {
-            let line = lines.iter().rfind(|line| line.node == *node);
+        let closed = |node: &EndpointId| {
+            let line = lines.iter().rfind(|line| line.endpoint == *node);
             !self.addresses.contains_key(node) || line.is_some_and(|l| l.readiness != Readiness::Ready)
         };
-        let waiting = self.flights.iter().filter(|(_, f)| !f.writes && closed(&f.node));
+        let waiting = self.flights.iter().filter(|(_, f)| !f.write_started && closed(&f.endpoint));
         for (id, number) in waiting.map(|(key, _)| *key).collect::<Vec<_>>() {
-            if self.flights.get(&(id, number)).is_some_and(|f| f.moves) {
-                events.extend(self.went(at, id, number, News::BodyWent));
+            if self.flights.get(&(id, number)).is_some_and(|f| f.body_streaming) {
+                events.extend(self.attempt_progressed(at, id, number, AttemptProgress::BodySent));
             }
-            events.extend(self.give_up(at, id, number, End::Recalled, effects));
+            events.extend(self.give_up(at, id, number, TransportOutcome::Withdrawn, effects));
         }
     }
 
     /// An attempt that still waits for a connection and for whose answer nobody waits any more never goes out,
     /// whether or not the settings let one be cancelled that did.
-    fn recall_unwanted(&mut self, at: Duration, events: &mut Vec<Event>, effects: &mut Vec<Effect>) {
-        let unwanted = |(id, _): &(RequestId, u8), f: &Flight| !f.writes && !self.open.contains_key(id);
+    fn withdraw_unwanted(&mut self, at: Duration, events: &mut Vec<Event>, effects: &mut Vec<Effect>) {
+        let unwanted =
+            |(id, _): &(RequestId, u8), f: &InFlightAttempt| !f.write_started && !self.open.contains_key(id);
         let flights = self.flights.iter().filter(|(key, f)| unwanted(key, f));
         for (id, number) in flights.map(|(key, _)| *key).collect::<Vec<_>>() {
-            events.extend(self.give_up(at, id, number, End::Recalled, effects));
+            events.extend(self.give_up(at, id, number, TransportOutcome::Withdrawn, effects));
         }
     }
 
     /// Gives up attempts whose time has come.
-    fn time_out(&mut self, at: Duration, events: &mut Vec<Event>, effects: &mut Vec<Effect>) {
-        let over: Vec<_> = self.flights.iter().filter(|(_, f)| f.until <= at).map(|(k, _)| *k).collect();
+    fn time_out_attempts(&mut self, at: Duration, events: &mut Vec<Event>, effects: &mut Vec<Effect>) {
+        let over: Vec<_> = self.flights.iter().filter(|(_, f)| f.deadline <= at).map(|(k, _)| *k).collect();
         for (id, number) in over {
-            events.extend(self.give_up(at, id, number, End::Silent, effects));
+            events.extend(self.give_up(at, id, number, TransportOutcome::TimedOut, effects));
         }
     }
 
@@ -679,15 +735,15 @@
         at: Duration,
         id: RequestId,
         number: u8,
-        end: End,
+        end: TransportOutcome,
         effects: &mut Vec<Effect>,
     ) -> Option<Event> {
         let flight = self.flights.remove(&(id, number))?;
         *self.ends.entry(format!("{end:?}")).or_default() += 1;
-        effects.push(Effect::Abort(id, number));
+        effects.push(Effect::AbortAttempt(id, number));
         // One that is being answered says nothing of its box by ending late.
-        let heard = flight.began.unwrap_or(at);
-        Some(Event::Attempt(self.outcome(heard, id, number, &flight, end.outcome())))
+        let heard = flight.response_started_at.unwrap_or(at);
+        Some(Event::AttemptEnded(self.ended_attempt(heard, id, number, &flight, end.attempt_outcome())))
     }
 
     /// What there is now, and what there was, retired.
@@ -699,7 +755,7 @@
     /// clients learn of new settings later than this initiator. A request that carries no key is none of a
     /// keyed class.
     pub fn class(&self, name: &str, has_key: bool, now: Instant) -> Option<u16> {
-        let fits = |c: &Class| c.name == name && (has_key || c.effect != Repeat::Keyed);
+        let fits = |c: &RequestClass| c.name == name && (has_key || c.idempotency != Idempotency::Keyed);
         let classes = || self.settings.classes.iter().enumerate().filter(|(_, c)| fits(c));
         let current = classes().find(|(_, c)| !c.retired);
         let fresh = self.retuned.is_some_and(|at| self.clock.time(now) < at + OLD_CLASSES);
@@ -712,10 +768,10 @@
         plans().find(|(_, p)| !p.retired).or_else(|| plans().next_back()).map(|(number, _)| number as u16)
     }
 
-    fn retune(&mut self, at: Duration, set: Settings) -> Event {
-        let set = set.after(&self.settings);
+    fn apply_settings(&mut self, at: Duration, set: Settings) -> Event {
+        let set = set.replacing(&self.settings);
         let more = set.classes.iter().skip(self.tallies.len());
-        self.tallies.extend(more.map(|c| (c.name.clone(), Tally::default())));
+        self.tallies.extend(more.map(|c| (c.name.clone(), RequestCounters::default())));
         self.settings = Rc::new(set.clone());
         self.retuned = Some(at);
         Event::Settings(Box::new(set))
@@ -727,36 +783,49 @@
     }
 
     /// What this core leaves to a process that gets such a part of its budgets.
-    pub fn legacy(&self, now: Instant, part: f64) -> Legacy {
+    pub fn snapshot(&self, now: Instant, part: f64) -> CoreSnapshot {
         let at = self.clock.time(now);
         let (revision, heard, drained) = (self.revision, self.heard.clone(), self.drained.is_some());
         let (now, starts) = (Some(at), self.starts.clone());
-        Legacy { revision, heard, drained, learnt: self.scheduler.learnt(part), now, starts }
+        CoreSnapshot {
+            revision,
+            endpoints: heard,
+            drained,
+            scheduler: self.scheduler.learnt(part),
+            taken_at: now,
+            start_times: starts,
+        }
     }
 
     /// The predecessor heard of the list later than the configuration did, and knows what operators asked.
-    fn inherit(&mut self, at: Duration, legacy: Legacy, part: f64, effects: &mut Vec<Effect>) -> Vec<Event> {
-        let entries = legacy.heard.values().map(|h| h.member.clone()).collect();
-        let members = Members { revision: legacy.revision, kind: ListKind::Cached, entries };
-        effects.push(Effect::Log(Notice::Inherited {
+    fn restore(
+        &mut self,
+        at: Duration,
+        legacy: CoreSnapshot,
+        part: f64,
+        effects: &mut Vec<Effect>,
+    ) -> Vec<Event> {
+        let entries = legacy.endpoints.values().map(|h| h.record.clone()).collect();
+        let members = EndpointList { revision: legacy.revision, kind: EndpointListKind::Cached, entries };
+        effects.push(Effect::Log(OperatorEvent::HandoverRestored {
             revision: legacy.revision,
             boxes: members.entries.len(),
-            suspended: legacy.heard.values().filter(|h| h.suspended).count(),
+            suspended: legacy.endpoints.values().filter(|h| h.suspended).count(),
             drained: legacy.drained,
         }));
-        self.heard = legacy.heard;
+        self.heard = legacy.endpoints;
         // A version before this one told in Unix time, as this process's clock began.
-        let told = self.heard.values_mut().filter(|heard| heard.started.is_none());
+        let told = self.heard.values_mut().filter(|heard| heard.started_at.is_none());
         told.for_each(|heard| {
-            heard.started = heard.member.up_since.map(|listed| listed.min(at));
-            heard.earliest = heard.started.unwrap_or_default();
+            heard.started_at = heard.record.up_since.map(|listed| listed.min(at));
+            heard.earliest_start = heard.started_at.unwrap_or_default();
         });
-        self.starts = legacy.starts;
+        self.starts = legacy.start_times;
         self.drained = legacy.drained.then_some(at);
-        let list = self.listed(at, members, effects);
+        let list = self.apply_endpoint_list(at, members, effects);
         self.scheduler.step(at, &[list], &mut Vec::new());
-        self.scheduler.inherit(legacy.learnt);
-        vec![Event::Part(part)]
+        self.scheduler.inherit(legacy.scheduler);
+        vec![Event::BudgetShare(part)]
     }
 
     /// Whether the list ever named a box of that name.
@@ -765,7 +834,7 @@
     }
 
     /// The names of the boxes that operators took out.
-    pub fn suspended(&self) -> Vec<String> {
+    pub fn suspended_endpoints(&self) -> Vec<String> {
         let out = self.heard.iter().filter(|(_, h)| h.suspended);
         out.map(|(id, _)| id.clone()).collect()
     }
@@ -777,153 +846,177 @@
 
     /// Takes a box out, or gives it back cold: operators start it anew meanwhile, and the list may tell of
     /// that much later. Saying it twice is saying it once.
-    fn suspend(&mut self, at: Duration, id: &str, out: bool, effects: &mut Vec<Effect>) -> Option<Event> {
+    fn set_suspended(
+        &mut self,
+        at: Duration,
+        id: &str,
+        out: bool,
+        effects: &mut Vec<Effect>,
+    ) -> Option<Event> {
         let heard = self.heard.get_mut(id).filter(|h| h.suspended != out)?;
         heard.suspended = out;
-        *(if out { &mut heard.out } else { &mut heard.back }) = at;
-        let notice = if out { Notice::Suspended } else { Notice::Resumed };
+        *(if out { &mut heard.suspended_at } else { &mut heard.resumed_at }) = at;
+        let notice = if out { OperatorEvent::EndpointSuspended } else { OperatorEvent::EndpointResumed };
         effects.push(Effect::Log(notice(id.into())));
-        let line = self.line(id)?;
-        Some(Event::List { kind: ListKind::Changes, lines: vec![line] })
+        let line = self.endpoint_update(id)?;
+        Some(Event::EndpointList { kind: EndpointListKind::Delta, lines: vec![line] })
     }
 
     /// A box in the scheduler's terms: one that is taken out drains, whatever the list says, and so does one
     /// that peers say takes no work. Nothing that they say brings one back.
-    fn line(&self, id: &str) -> Option<NodeLine> {
+    fn endpoint_update(&self, id: &str) -> Option<EndpointUpdate> {
         let heard = self.heard.get(id)?;
-        let member = &heard.member;
+        let member = &heard.record;
         let advice = self.peers.as_ref().map(|peers| peers.advice(id)).unwrap_or_default();
         let stopped = heard.suspended || self.stale || advice.stop_until.is_some();
         let out = stopped && member.readiness == Readiness::Ready;
-        Some(NodeLine {
-            node: node_number(id),
+        Some(EndpointUpdate {
+            endpoint: node_number(id),
             zone: self.zone_number(member),
             shard: member.shard,
             readiness: if out { Readiness::Draining } else { member.readiness },
-            born: heard.born().max(advice.born.unwrap_or_default()),
-            start: heard.start(),
+            started_at: heard.started_at().max(advice.born.unwrap_or_default()),
+            start_id: heard.start_id(),
         })
     }
 
     /// A zone that the settings do not name is none of theirs, nor that of a box which names none: boxes of two
     /// zones do not drop each other's repeats.
-    fn zone_number(&self, member: &Member) -> u16 {
+    fn zone_number(&self, member: &EndpointRecord) -> u16 {
         let named = self.settings.zones.iter().position(|zone| *zone == member.zone);
         let name = if member.zone.is_empty() { &member.id } else { &member.zone };
         named.map_or_else(|| UNLISTED | hash(name) as u16, |number| number as u16)
     }
 
-    fn listed(&mut self, at: Duration, members: Members, effects: &mut Vec<Effect>) -> Event {
+    fn apply_endpoint_list(
+        &mut self,
+        at: Duration,
+        members: EndpointList,
+        effects: &mut Vec<Effect>,
+    ) -> Event {
         self.revision = members.revision;
-        if members.kind != ListKind::Changes {
+        if members.kind != EndpointListKind::Delta {
             self.names.clear();
             self.addresses.clear();
-            self.heard.values_mut().for_each(|h| h.member.readiness = Readiness::Gone);
+            self.heard.values_mut().for_each(|h| h.record.readiness = Readiness::Removed);
         }
         let (mut lines, mut changed) = (Vec::new(), 0);
         for member in &members.entries {
             let node = node_number(&member.id);
-            if member.readiness == Readiness::Gone {
+            if member.readiness == Readiness::Removed {
                 self.names.remove(&member.id);
                 self.addresses.remove(&node);
             } else {
                 self.names.insert(member.id.clone(), node);
                 self.addresses.extend(member.address.map(|a| (node, a)));
             }
-            if self.heard.get(&member.id).is_none_or(|heard| heard.member != *member) {
+            if self.heard.get(&member.id).is_none_or(|heard| heard.record != *member) {
                 changed += 1;
                 if changed <= LISTED_MOST {
                     let (revision, kind, member) = (members.revision, members.kind, member.clone());
-                    effects.push(Effect::Log(Notice::Listed { revision, kind, member }));
+                    effects.push(Effect::Log(OperatorEvent::EndpointListed { revision, kind, member }));
                 }
             }
-            self.hear_of(at, member);
-            lines.extend(self.line(&member.id));
+            self.update_endpoint(at, member);
+            lines.extend(self.endpoint_update(&member.id));
         }
         if changed > LISTED_MOST {
             let (revision, more) = (members.revision, changed - LISTED_MOST);
-            effects.push(Effect::Log(Notice::ListedBeside { revision, more }));
+            effects.push(Effect::Log(OperatorEvent::EndpointsNotListed { revision, more }));
         }
         if self.heard.len() > HEARD_MOST {
-            self.heard.retain(|_, h| h.suspended || h.member.readiness != Readiness::Gone);
+            self.heard.retain(|_, h| h.suspended || h.record.readiness != Readiness::Removed);
         }
-        Event::List { kind: members.kind, lines }
+        Event::EndpointList { kind: members.kind, lines }
     }
 
     /// Takes the list's word on one box. A start is taken over when it is first heard, and every other one is a new start:
     /// the clock that it is told by may have been set back.
-    fn hear_of(&mut self, at: Duration, member: &Member) {
+    fn update_endpoint(&mut self, at: Duration, member: &EndpointRecord) {
         let listed = member.up_since.map(|listed| self.starts.started_at(at, listed));
         let earliest = self.starts.earliest(at);
-        let heard = self.heard.entry(member.id.clone()).or_insert_with(|| Heard {
-            member: member.clone(),
-            started: None,
-            earliest: Duration::ZERO,
+        let heard = self.heard.entry(member.id.clone()).or_insert_with(|| EndpointState {
+            record: member.clone(),
+            started_at: None,
+            earliest_start: Duration::ZERO,
             suspended: false,
-            out: Duration::ZERO,
-            back: Duration::ZERO,
+            suspended_at: Duration::ZERO,
+            resumed_at: Duration::ZERO,
         });
-        if heard.started.is_none() || heard.member.up_since != member.up_since {
-            let before = heard.started.unwrap_or_default();
-            heard.started = listed.map(|started| started.max(before + NANO));
-            heard.earliest = earliest;
+        if heard.started_at.is_none() || heard.record.up_since != member.up_since {
+            let before = heard.started_at.unwrap_or_default();
+            heard.started_at = listed.map(|started| started.max(before + NANO));
+            heard.earliest_start = earliest;
         }
-        heard.member = member.clone();
+        heard.record = member.clone();
     }
 
     /// Carries out one action; what it brings back at once is an event for the next round.
-    fn act(&mut self, at: Duration, action: Action, effects: &mut Vec<Effect>) -> Option<Event> {
+    fn apply_action(&mut self, at: Duration, action: Action, effects: &mut Vec<Effect>) -> Option<Event> {
         match action {
             Action::Send { request, node, timeout } => {
                 let open = self.open.get_mut(&request)?;
-                let (number, due) = (open.attempts, open.due);
+                let (number, due) = (open.attempts, open.deadline);
                 open.attempts = open.attempts.saturating_add(1);
                 let until = if !timeout.is_zero() { due.min(at.saturating_add(timeout)) } else { due };
-                let flight = Flight { node, sent_at: at, until, began: None, moves: false, writes: false };
+                let flight = InFlightAttempt {
+                    endpoint: node,
+                    sent_at: at,
+                    deadline: until,
+                    response_started_at: None,
+                    body_streaming: false,
+                    write_started: false,
+                };
                 let Some(&to) = self.addresses.get(&node) else {
-                    let void = self.outcome(at, request, number, &flight, End::NoAddress.outcome());
-                    return Some(Event::Attempt(void));
+                    let void = self.ended_attempt(
+                        at,
+                        request,
+                        number,
+                        &flight,
+                        TransportOutcome::NoAddress.attempt_outcome(),
+                    );
+                    return Some(Event::AttemptEnded(void));
                 };
                 self.flights.insert((request, number), flight);
                 let wait = until.saturating_sub(at);
-                effects.push(Effect::Send { request, number, to, wait });
+                effects.push(Effect::StartAttempt { request, number, to, wait });
             }
             Action::Cancel { request, number } => {
-                return self.give_up(at, request, number, End::CalledOff, effects);
+                return self.give_up(at, request, number, TransportOutcome::Cancelled, effects);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let open = self.open.remove(&request)?;
-                self.count(open.class, |t| t.refused += 1);
-                effects.push(Effect::Answer(request, Answer::Refused(retry_after)));
+                self.count(open.class, |t| t.rejected += 1);
+                effects.push(Effect::Respond(request, Answer::Rejected(retry_after)));
             }
             Action::Fail { request } => {
                 let open = self.open.remove(&request)?;
                 self.count(open.class, |t| t.failed += 1);
-                effects.push(Effect::Answer(request, Answer::Failed));
+                effects.push(Effect::Respond(request, Answer::Failed));
             }
-            Action::Wake(then) => self.wake = Some(self.wake.map_or(then, |w| w.min(then))),
-            Action::Log(line) => effects.push(Effect::Log(Notice::Decided(line))),
+            Action::SetTimer(then) => self.wake = Some(self.wake.map_or(then, |w| w.min(then))),
+            Action::Log(line) => effects.push(Effect::Log(OperatorEvent::SchedulerMessage(line))),
             // The list is always watched, idle connections end by their own clock, and neither probes
             // nor messages between initiators are asked for where the settings forbid them.
-            Action::Watch(_) | Action::Fetch | Action::CloseIdle(_) => {}
-            Action::Probe(_) | Action::Tell { .. } => {}
+            Action::WatchEndpointList(_) | Action::FetchEndpointList | Action::CloseIdle(_) => {}
+            Action::HealthCheck(_) | Action::SendPeerMessage { .. } => {}
         }
         None
     }
 
-    fn count(&mut self, class: u16, change: impl FnOnce(&mut Tally)) {
+    fn count(&mut self, class: u16, change: impl FnOnce(&mut RequestCounters)) {
         if let Some((_, tally)) = self.tallies.get_mut(class as usize) {
             change(tally);
         }
     }
 
     /// What became of requests and attempts since the start, now and then.
-    fn tell(&mut self, at: Duration, effects: &mut Vec<Effect>) {
+    fn log_counters(&mut self, at: Duration, effects: &mut Vec<Effect>) {
         if at < self.told_at + TALLY_EVERY {
             return;
         }
         self.told_at = at;
-        effects.push(Effect::Log(Notice::SoFar {
+        effects.push(Effect::Log(OperatorEvent::Counters {
             classes: self.tallies.clone(),
             ends: self.ends.iter().map(|(end, count)| (end.clone(), *count)).collect(),
             open: self.open.len(),
@@ -932,7 +1025,7 @@
 }
 
 /// A number for a box's name, the same at every initiator.
-fn node_number(id: &str) -> NodeId {
+fn node_number(id: &str) -> EndpointId {
     let digits = id.rsplit('-').next().unwrap_or(id);
     let number = (digits.len() == 8).then(|| u32::from_str_radix(digits, 16).ok()).flatten();
     number.unwrap_or_else(|| hash(id))
--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -5,7 +5,7 @@
 
 use crate::interface::*;
 use crate::measure::{backoff, nanos, scramble, seconds, span_of, Bucket, Part, Rate, Recent};
-use crate::memo::Memo;
+use crate::memo::UnitsMessage;
 use crate::state::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -48,8 +48,8 @@
     queues: Queues,
     lines: BTreeMap<u64, Line>,
     resting: BTreeSet<(Duration, u64)>,
-    nodes: BTreeMap<NodeId, Node>,
-    holders: BTreeMap<u16, Vec<NodeId>>, // The ready nodes of each shard.
+    nodes: BTreeMap<EndpointId, Node>,
+    holders: BTreeMap<u16, Vec<EndpointId>>, // The ready nodes of each shard.
     ready_nodes: usize,
     strain: Part,                     // Of the requests that ended, those late or unserved.
     asked: BTreeMap<u16, Duration>,   // When each shard was last asked for.
@@ -72,10 +72,10 @@
     /// A host that has just started and knows nothing of an earlier life.
     pub fn new(set: Settings, seed: u64, now: Duration) -> Self {
         let times = Scheduler { now, started: now, lifted_at: now, ..Scheduler::default() };
-        let mut host = Scheduler { pace: set.unit_mean, set, seed, part: 1.0, ..times };
+        let mut host = Scheduler { pace: set.mean_request_units, set, seed, part: 1.0, ..times };
         // All hosts may start at once: the list's service is not asked by all in the same instant.
-        let span = (host.set.hosts * SECOND / 50).min(host.set.rules.ask_within / 4);
-        host.ask_at = host.set.list_on_request.then_some(now + host.random_span(span));
+        let span = (host.set.initiators * SECOND / 50).min(host.set.rules.notified_within / 4);
+        host.ask_at = host.set.endpoint_list_polled.then_some(now + host.random_span(span));
         host
     }
 
@@ -99,45 +99,48 @@
 
     fn absorb(&mut self, event: &Event) {
         match event {
-            Event::List { kind, lines } => self.on_list(*kind, lines),
+            Event::EndpointList { kind, lines } => self.on_list(*kind, lines),
             Event::Request(request) => self.on_request(request),
-            Event::Streaming(id) => self.on_streaming(*id),
-            Event::Began(id) => self.free_place(*id),
-            Event::Body { request, moves } => self.on_body(*request, *moves),
-            Event::Attempt(attempt) => self.on_attempt(attempt),
+            Event::ResponseStreaming(id) => self.on_streaming(*id),
+            Event::ResponseStarted(id) => self.free_place(*id),
+            Event::RequestBody { request, moves } => self.on_body(*request, *moves),
+            Event::AttemptEnded(attempt) => self.on_attempt(attempt),
             Event::Settings(set) => self.set = Settings::clone(set),
-            Event::Part(part) => {
+            Event::BudgetShare(part) => {
                 self.volumes.values_mut().for_each(|v| v.scale_tokens((part / self.part).min(1.0)));
                 self.part = *part;
             }
-            Event::Left(id) => self.on_left(*id),
+            Event::ClientLeft(id) => self.on_left(*id),
             Event::Timer => {
                 // A host's clock may be coarser than ours: a timer a little early is still the one set.
-                if self.armed.is_some_and(|at| at <= self.now + self.set.step.max(SECOND / 1000)) {
+                if self
+                    .armed
+                    .is_some_and(|at| at <= self.now + self.set.min_batch_interval.max(SECOND / 1000))
+                {
                     self.armed = None;
                 }
             }
-            Event::Told { from, bytes } => self.on_told(*from, bytes),
+            Event::PeerMessage { from, bytes } => self.on_told(*from, bytes),
             other => self.hear(other),
         }
     }
 
-    fn on_list(&mut self, kind: ListKind, lines: &[NodeLine]) {
-        if kind == ListKind::Failed {
+    fn on_list(&mut self, kind: EndpointListKind, lines: &[EndpointUpdate]) {
+        if kind == EndpointListKind::Failed {
             self.list_calls_failed += 1;
             let wait = backoff(5 * BACKOFF.0, BACKOFF.1, self.list_calls_failed);
             self.ask_at = Some(self.now + wait / 2 + self.random_span(wait));
             return;
         }
         self.list_calls_failed = 0;
-        if kind != ListKind::Changes {
-            let named: BTreeSet<NodeId> = lines.iter().map(|l| l.node).collect();
+        if kind != EndpointListKind::Delta {
+            let named: BTreeSet<EndpointId> = lines.iter().map(|l| l.endpoint).collect();
             let unnamed = self.nodes.iter_mut().filter(|(id, _)| !named.contains(id));
             unnamed.for_each(|(_, n)| (n.ready, n.gone) = (false, true));
         }
         lines.iter().for_each(|line| self.on_line(line));
         let (now, rules) = (self.now, &self.set.rules);
-        self.nodes.retain(|_, n| !n.gone || !n.out.is_empty() || n.sent_at + rules.warm_up > now);
+        self.nodes.retain(|_, n| !n.gone || !n.out.is_empty() || n.sent_at + rules.slow_start_duration > now);
         self.holders.clear();
         for (id, node) in self.nodes.iter().filter(|(_, n)| n.ready) {
             self.holders.entry(node.shard).or_default().push(*id);
@@ -149,23 +152,23 @@
     }
 
     /// The ready nodes that may serve a shard; a new object may go to any.
-    fn holders_of(&self, shard: Option<u16>) -> Vec<NodeId> {
+    fn holders_of(&self, shard: Option<u16>) -> Vec<EndpointId> {
         match shard {
             Some(shard) => self.holders.get(&shard).cloned().unwrap_or_default(),
             None => self.holders.values().flatten().copied().collect(),
         }
     }
 
-    fn on_line(&mut self, line: &NodeLine) {
-        let start = if line.start > 0 { line.start } else { line.born.as_nanos() as u64 };
-        let saved = self.first_saved(line.node, line.born, start);
-        let node = self.nodes.entry(line.node).or_insert(Node { window: WINDOW_TOP, ..Node::default() });
+    fn on_line(&mut self, line: &EndpointUpdate) {
+        let start = if line.start_id > 0 { line.start_id } else { line.started_at.as_nanos() as u64 };
+        let saved = self.first_saved(line.endpoint, line.started_at, start);
+        let node = self.nodes.entry(line.endpoint).or_insert(Node { window: WINDOW_TOP, ..Node::default() });
         node.zone = line.zone;
         node.shard = line.shard;
         node.ready = line.readiness == Readiness::Ready;
-        node.gone = line.readiness == Readiness::Gone;
-        if !line.born.is_zero() && node.listed.is_none_or(|b| line.born > b) {
-            node.born = Some(line.born);
+        node.gone = line.readiness == Readiness::Removed;
+        if !line.started_at.is_zero() && node.listed.is_none_or(|b| line.started_at > b) {
+            node.born = Some(line.started_at);
             node.listed = node.born;
             node.broke_at = None;
             node.fails = 0;
@@ -181,7 +184,7 @@
         if at > self.now {
             return self.wake_by(at);
         }
-        self.acts.push(Action::Watch(true));
+        self.acts.push(Action::WatchEndpointList(true));
         self.ask_at = None;
     }
 
@@ -190,10 +193,10 @@
             return;
         }
         let class = self.set.class(req.class);
-        let due = self.now.saturating_add(req.patience);
+        let due = self.now.saturating_add(req.time_remaining);
         let units = if req.units.is_finite() { req.units.max(0.0) } else { 0.0 };
         let req = Request { units, ..req.clone() };
-        if self.set.rules.budget().is_some() {
+        if self.set.rules.retry_budget().is_some() {
             self.taken.add(self.now, 1.0);
         }
         self.meet(&req);
@@ -203,9 +206,9 @@
         // A client that waits less long than others of its class has spent the rest on earlier tries: its aim
         // counts from the first, and what passed then is late work now.
         let longest = self.longest.entry(req.class).or_default();
-        *longest = req.patience.max(*longest);
-        let spent = *longest - req.patience;
-        let aim_at = self.now.saturating_add(class.aim.saturating_sub(spent)).min(due);
+        *longest = req.time_remaining.max(*longest);
+        let spent = *longest - req.time_remaining;
+        let aim_at = self.now.saturating_add(class.latency_objective.saturating_sub(spent)).min(due);
         let job = Job { came: self.now, aim_at, due, req: req.clone(), ..Job::default() };
         self.jobs.insert(req.id, job);
         self.shelve(req.id);
@@ -220,11 +223,11 @@
     }
 
     fn meet_volume(&mut self, req: &Request) {
-        let (now, started, peers) = (self.now, self.started, self.set.peers);
+        let (now, started, peers) = (self.now, self.started, self.set.peer_messages_allowed);
         let plan = self.set.plans.get(req.plan as usize).cloned().unwrap_or_default();
         let held = self.volumes.values().filter(|v| v.held > 0);
         let smallest = held.map(|v| v.tag).fold(f64::INFINITY, f64::min);
-        let top = self.set.units_top;
+        let top = self.set.max_request_units;
         let volume = self.volumes.entry(req.volume).or_insert_with(|| Volume {
             scale: 1.0,
             scaled_at: now,
@@ -235,7 +238,8 @@
             ..Volume::default()
         });
         volume.plan = plan;
-        volume.hosts = volume.hosts.max(if req.hosts.is_finite() { req.hosts } else { 0.0 }).max(1.0);
+        volume.hosts =
+            volume.hosts.max(if req.initiators.is_finite() { req.initiators } else { 0.0 }).max(1.0);
         volume.pooled = if peers && volume.hosts > 1.0 { POOLED } else { 0.0 };
         if volume.held == 0 && smallest.is_finite() {
             volume.tag = volume.tag.max(smallest);
@@ -261,7 +265,7 @@
     fn on_body(&mut self, id: RequestId, moves: bool) {
         self.free_place(id);
         let (now, Some(job)) = (self.now, self.jobs.get_mut(&id)) else { return };
-        let times = (self.set.class(job.req.class).aim, job.req.patience);
+        let times = (self.set.class(job.req.class).latency_objective, job.req.time_remaining);
         let (aim, patience) = if moves { (FOREVER, FOREVER) } else { times };
         (job.aim_at, job.due) = (now.saturating_add(aim), now.saturating_add(patience));
         if let Some((node, sent, _)) = job.attempts.last_mut().filter(|_| !moves) {
@@ -275,7 +279,7 @@
 
     /// What is out for a client that left is work for nobody.
     fn on_left(&mut self, id: RequestId) {
-        if let Some(job) = self.jobs.get(&id).filter(|j| self.set.cancels && !j.streaming) {
+        if let Some(job) = self.jobs.get(&id).filter(|j| self.set.cancellation_allowed && !j.streaming) {
             let out = job.attempts.iter().enumerate().filter(|(_, a)| a.2);
             self.acts.extend(out.map(|(n, _)| Action::Cancel { request: id, number: n as u8 }));
         }
@@ -299,12 +303,13 @@
     fn shelve(&mut self, id: RequestId) {
         let Some(job) = self.jobs.get(&id) else { return };
         let class = self.set.class(job.req.class);
-        let memory = job.first_run().filter(|_| class.effect == Effect::Keyed && job.out == 0);
-        let safe = class.memory.saturating_sub(self.set.connect_timeout); // It is written no later than then.
+        let memory = job.first_run().filter(|_| class.idempotency == Idempotency::Keyed && job.out == 0);
+        let safe = class.dedup_window.saturating_sub(self.set.connect_timeout); // It is written no later than then.
         let until = memory.map_or(job.due, |(_, at)| job.due.min(at.saturating_add(safe)));
         // Work for one that waited past its aim earns little and keeps others from theirs, at half the worth
         // in half that time; and a client told late that nothing was tried for it has lost that time.
-        let part = nanos(class.aim) / nanos(class.deadline).max(1.0) / self.dearness(job.req.class);
+        let part =
+            nanos(class.latency_objective) / nanos(class.deadline).max(1.0) / self.dearness(job.req.class);
         let unsent = job.came + span_of(nanos(job.due - job.came) * part.clamp(UNSENT.0, UNSENT.1));
         let until = if job.attempts.is_empty() { until.min(unsent) } else { until };
         let held_by = self.holders_of(job.req.shard);
@@ -326,11 +331,13 @@
     fn end(&mut self, id: RequestId) {
         let Some(job) = self.jobs.get(&id).filter(|j| !j.over) else { return };
         let class = self.set.class(job.req.class);
-        let everywhere = class.effect == Effect::Keyed && class.group == Group::All;
-        let refuse = class.effect == Effect::Safe || everywhere || job.out == 0 && job.may_have_run.is_none();
+        let everywhere = class.idempotency == Idempotency::Keyed && class.dedup_scope == DedupScope::All;
+        let refuse = class.idempotency == Idempotency::Idempotent
+            || everywhere
+            || job.out == 0 && job.may_have_run.is_none();
         let waited = self.now.saturating_sub(job.came) + span_of(self.trip(job.req.shard));
         let retry_after = self.come_back(waited);
-        let refused = Action::Refuse { request: id, retry_after };
+        let refused = Action::Reject { request: id, retry_after };
         self.acts.push(if refuse { refused } else { Action::Fail { request: id } });
         self.close(id);
     }
@@ -338,7 +345,7 @@
     /// When a refused client should come again: after about as long as this one waited for nothing and one
     /// round trip, spread so that those refused together do not return together.
     fn come_back(&mut self, wait: Duration) -> Duration {
-        let top = Some(self.set.retry_after_top).filter(|top| !top.is_zero()).unwrap_or(FOREVER);
+        let top = Some(self.set.max_retry_after).filter(|top| !top.is_zero()).unwrap_or(FOREVER);
         (wait / 2 + self.random_span(wait)).clamp(NANO, top)
     }
 
@@ -419,25 +426,30 @@
         }
     }
 
-    fn on_attempt(&mut self, a: &Attempt) {
+    fn on_attempt(&mut self, a: &EndedAttempt) {
         let Some(job) = self.jobs.get_mut(&a.request) else { return };
         let Some(slot) = job.attempts.get_mut(a.number as usize).filter(|s| s.2) else { return };
         slot.2 = false;
         job.out -= 1;
         let (node_id, sent) = (slot.0, slot.1);
-        if !a.ending.never_ran() && job.may_have_run.is_none() {
+        if !a.outcome.never_ran() && job.may_have_run.is_none() {
             job.may_have_run = Some((node_id, sent));
         }
-        job.over |= a.over;
-        let away = [Ending::TimedOut, Ending::Cancelled, Ending::NoConnection, Ending::Void];
-        job.arrived |= !away.contains(&a.ending);
+        job.over |= a.request_complete;
+        let away = [
+            AttemptOutcome::TimedOut,
+            AttemptOutcome::Cancelled,
+            AttemptOutcome::ConnectFailed,
+            AttemptOutcome::NotSent,
+        ];
+        job.arrived |= !away.contains(&a.outcome);
         let req = job.req.clone();
-        self.rest_key(&req, a.ending);
+        self.rest_key(&req, a.outcome);
         self.settle_out(node_id, a);
         self.judge(node_id, a, req.units);
         self.count_overtaken(node_id, a, sent);
         self.hear_meter(req.volume, a, req.units);
-        if a.over {
+        if a.request_complete {
             self.close(a.request);
         } else {
             self.after_failure(a.request);
@@ -445,11 +457,14 @@
         self.forget(a.request);
     }
 
-    fn rest_key(&mut self, req: &Request, ending: Ending) {
-        let unsure = matches!(ending, Ending::TimedOut | Ending::Broken | Ending::Cancelled);
+    fn rest_key(&mut self, req: &Request, ending: AttemptOutcome) {
+        let unsure = matches!(
+            ending,
+            AttemptOutcome::TimedOut | AttemptOutcome::ConnectionLost | AttemptOutcome::Cancelled
+        );
         if unsure && self.set.class(req.class).ordered {
             if let Some(line) = self.lines.get_mut(&req.key) {
-                line.rest_until = self.now.saturating_add(self.set.rules.order_rest);
+                line.rest_until = self.now.saturating_add(self.set.rules.ordering_pause);
             }
         }
     }
@@ -471,7 +486,8 @@
     fn may_repeat(&self, job: &Job) -> bool {
         let class = self.set.class(job.req.class);
         let never_ran = job.first_run().is_none();
-        self.set.tries_left(&class, job.attempts.len()) && (never_ran || class.effect != Effect::Unsafe)
+        self.set.attempts_left(&class, job.attempts.len())
+            && (never_ran || class.idempotency != Idempotency::NotIdempotent)
     }
 
     /// Vt rises by half its gap to the largest each second, the span over which worth is counted.
@@ -489,7 +505,7 @@
     }
 
     fn dispatch(&mut self) {
-        let wanted: BTreeSet<NodeId> = self.queues.shards().flat_map(|s| self.holders_of(*s)).collect();
+        let wanted: BTreeSet<EndpointId> = self.queues.shards().flat_map(|s| self.holders_of(*s)).collect();
         // One has no order, and the mean over thousands of nodes is not for nothing.
         let order =
             if wanted.len() > 1 { self.by_expected_wait(&wanted) } else { wanted.into_iter().collect() };
@@ -503,7 +519,7 @@
     /// New objects go to the node with the least expected wait: it chooses first. Old news fades to the mean, and nodes
     /// of which as little is known come in an order of this host's own: hosts that know nothing must not all choose the
     /// same.
-    fn by_expected_wait(&self, wanted: &BTreeSet<NodeId>) -> Vec<NodeId> {
+    fn by_expected_wait(&self, wanted: &BTreeSet<EndpointId>) -> Vec<EndpointId> {
         let met: Vec<f64> =
             self.nodes.values().filter(|n| n.ready).map(|n| n.lag).filter(|l| *l > 0.0).collect();
         let mean = met.iter().sum::<f64>() / met.len().max(1) as f64;
@@ -512,7 +528,7 @@
             ((mean + (n.lag - mean) * fresh) * (n.held() + 1.0)) as u64
         };
         let nodes = wanted.iter().filter_map(|id| Some((id, self.nodes.get(id)?)));
-        let mut order: Vec<(u64, u64, NodeId)> =
+        let mut order: Vec<(u64, u64, EndpointId)> =
             nodes.map(|(id, n)| (wait(n), scramble(self.seed ^ u64::from(*id)), *id)).collect();
         order.sort_unstable();
         order.into_iter().map(|(_, _, id)| id).collect()
@@ -521,7 +537,7 @@
     /// Clients have so many connections: more open requests would keep out others that are worth more. What
     /// is late goes first, then what no reserve covers, of the volume that has been sent most for its weight.
     fn shed(&mut self) {
-        let top = self.set.open_top;
+        let top = self.set.max_open_requests;
         let mut open = self.jobs.values().filter(|j| !j.over).count();
         while top > 0 && open > top {
             let held = self.jobs.iter().filter(|(_, j)| j.queued && j.attempts.is_empty());
@@ -544,7 +560,7 @@
     }
 
     /// What this node may be sent next: the run it is in goes on a little past the window.
-    fn offer(&mut self, id: NodeId) -> Option<RequestId> {
+    fn offer(&mut self, id: EndpointId) -> Option<RequestId> {
         let node = self.nodes.get(&id)?;
         let window = (node.window * self.part).max(1.0).floor();
         let (held, hold_until) = (node.held(), node.hold_until);
@@ -552,7 +568,7 @@
             self.wake_by(hold_until);
             return None;
         }
-        if held >= window && self.set.cancels {
+        if held >= window && self.set.cancellation_allowed {
             self.recall_late(id);
         }
         let run = if held < window + RUN_ROOM { self.pick(id, true) } else { None };
@@ -561,14 +577,14 @@
 
     /// An attempt late by a whole aim makes room where one in time waits, in any jam. It wastes work
     /// where nodes go on with what was called off: hence the wait.
-    fn recall_late(&mut self, id: NodeId) {
+    fn recall_late(&mut self, id: EndpointId) {
         let Some(node) = self.nodes.get(&id) else { return };
         let reach = self.now + span_of(node.trip(self.now) * 0.5);
         let waits = |q: &Queue| q.range((reach, 0)..).next().is_some();
         if !self.queues.get(&Some(node.shard)).is_some_and(|queues| queues.values().any(waits)) {
             return;
         }
-        let gone = self.now.saturating_sub(span_of(self.set.shortest_aim()));
+        let gone = self.now.saturating_sub(span_of(self.set.shortest_latency_objective_nanos()));
         let late = |o: &&Out| self.jobs.get(&o.job).is_some_and(|j| !j.over && j.aim_at <= gone);
         let Some(out) = node.out.iter().filter(|o| !o.missed && !o.free).find(late).cloned() else { return };
         self.acts.push(Action::Cancel { request: out.job, number: out.number });
@@ -576,7 +592,7 @@
     }
 
     /// The held request with the least (level, tag) that this node may be sent now.
-    fn pick(&mut self, id: NodeId, run: bool) -> Option<RequestId> {
+    fn pick(&mut self, id: EndpointId, run: bool) -> Option<RequestId> {
         let room = self.room_left(id);
         let node = self.nodes.get(&id)?;
         let idle = node.held() == 0.0;
@@ -605,7 +621,7 @@
     }
 
     /// Level and tag of a volume's first request; `None` where it may not be sent now.
-    fn rank(&mut self, id: RequestId, late: bool, node: NodeId, run: bool) -> Option<(u8, f64)> {
+    fn rank(&mut self, id: RequestId, late: bool, node: EndpointId, run: bool) -> Option<(u8, f64)> {
         let job = self.jobs.get(&id)?;
         let (units, of, drawn, class) = (job.req.units, job.req.volume, job.drawn, job.req.class);
         let cost = self.nodes.get(&node)?.cost(&job.req) * self.dearness(class);
@@ -616,7 +632,7 @@
         if !drawn && !self.limit_allows(of, units, late) {
             return None;
         }
-        let (now, top) = (self.now, self.set.units_top);
+        let (now, top) = (self.now, self.set.max_request_units);
         let strain = (2.0 * self.strain.get(now, LEASE)).min(1.0);
         let volume = self.volumes.get_mut(&of)?;
         let rate = volume.plan.reserve * volume.share(now);
@@ -626,7 +642,7 @@
         let level = if late { 2 } else { u8::from(!reserved) };
         // Clients that leave before their answers and come again must not gain by it.
         let answered = (volume.served.get(now, LEASE) + top) / (volume.sent.get(now, LEASE) + top);
-        let worth = [1.0, self.set.share_worth, self.set.class(class).late_worth][level as usize];
+        let worth = [1.0, self.set.within_share_weight, self.set.class(class).late_weight][level as usize];
         // Work that earns less yields from shorter round trips on: late work always, other work the more
         // requests end late here. For any crowd; where nothing better waits it leaves later than it could.
         let ease = if late { worth } else { worth.powf(strain) };
@@ -640,16 +656,16 @@
 
     /// Many hosts with one place each still crowd a node: each waits between two sends, the longer the
     /// longer its last round trips were, and shorter for more weight.
-    fn rested_at(&self, id: NodeId, weight: f64, ease: f64) -> Duration {
+    fn rested_at(&self, id: EndpointId, weight: f64, ease: f64) -> Duration {
         let Some(node) = self.nodes.get(&id) else { return Duration::ZERO };
-        let full = (REST_AIM * self.set.shortest_aim() * ease).max(1e6);
+        let full = (REST_AIM * self.set.shortest_latency_objective_nanos() * ease).max(1e6);
         // Time-outs tell of no room: trials get rarer, to a core's work of all. Hurts where sends are lost.
-        let core = (f64::from(self.set.hosts) * node.service).max(nanos(LEASE));
+        let core = (f64::from(self.set.initiators) * node.service).max(nanos(LEASE));
         let lease = (nanos(LEASE) * f64::from(1 << node.unheard)).min(core);
         let age = nanos(self.now.saturating_sub(node.seen_at)) / lease;
         let trip = full + (node.lag - full).max(0.0) * (-age).exp();
         let mean = self.set.mean_weight();
-        let crowd = f64::from(self.set.hosts.max(1) - 1) / self.nodes.len().max(1) as f64;
+        let crowd = f64::from(self.set.initiators.max(1) - 1) / self.nodes.len().max(1) as f64;
         let rest = crowd * trip * ((trip / full).powf(REST_POWER) - 1.0) * mean / weight.max(1e-6);
         let wake = node.sent_at + span_of(rest.min(REST_TOP * lease));
         wake.min(self.now + SECOND / 4) // It fades on meanwhile.
@@ -657,26 +673,26 @@
 
     /// What a unit of this class costs for its worth, against the class worth most.
     fn dearness(&self, class: u16) -> f64 {
-        let own = Some(self.set.class(class).value).filter(|own| *own > 0.0);
-        own.map_or(1.0, |own| self.set.top_value().max(1e-6) / own)
+        let own = Some(self.set.class(class).priority_weight).filter(|own| *own > 0.0);
+        own.map_or(1.0, |own| self.set.max_priority_weight().max(1e-6) / own)
     }
 
     /// A keyed request that may have run goes only where its repeat is dropped.
-    fn group_holds(&self, job: &Job, to: NodeId) -> bool {
+    fn group_holds(&self, job: &Job, to: EndpointId) -> bool {
         let class = self.set.class(job.req.class);
         let Some((first, _)) = job.first_run() else { return true };
         let (Some(a), Some(b)) = (self.nodes.get(&first), self.nodes.get(&to)) else { return false };
-        match (class.effect, class.group) {
-            (Effect::Safe, _) | (Effect::Keyed, Group::All) => true,
-            (Effect::Keyed, Group::Zone) => a.zone == b.zone,
-            (Effect::Keyed, Group::Shard) => a.shard == b.shard,
-            (Effect::Unsafe, _) => false,
+        match (class.idempotency, class.dedup_scope) {
+            (Idempotency::Idempotent, _) | (Idempotency::Keyed, DedupScope::All) => true,
+            (Idempotency::Keyed, DedupScope::Zone) => a.zone == b.zone,
+            (Idempotency::Keyed, DedupScope::Shard) => a.shard == b.shard,
+            (Idempotency::NotIdempotent, _) => false,
         }
     }
 
-    fn send(&mut self, id: RequestId, to: NodeId) {
+    fn send(&mut self, id: RequestId, to: EndpointId) {
         self.unqueue(id);
-        let (now, stated) = (self.now, self.set.rules.budget().is_some());
+        let (now, stated) = (self.now, self.set.rules.retry_budget().is_some());
         let (Some(job), Some(node)) = (self.jobs.get_mut(&id), self.nodes.get_mut(&to)) else { return };
         if !job.attempts.is_empty() && stated {
             self.further.add(now, 1.0);
@@ -692,7 +708,7 @@
             node.sent.add(now, units);
             node.saved.tokens -= units;
         }
-        node.sent.since(now.saturating_sub(self.set.rules.tip_after));
+        node.sent.since(now.saturating_sub(self.set.rules.overload_window));
         node.sent_at = now;
         let cost = node.cost(&job.req);
         node.last_key = job.req.key;
@@ -717,7 +733,7 @@
     fn arm(&mut self) {
         if self.next < FOREVER && self.armed.is_none_or(|at| self.next < at || at < self.now) {
             let at = self.next.max(self.now + NANO);
-            self.acts.push(Action::Wake(at));
+            self.acts.push(Action::SetTimer(at));
             self.armed = Some(at);
         }
     }
--- a/crates/core/src/choice/health.rs
+++ b/crates/core/src/choice/health.rs
@@ -8,23 +8,25 @@
 
 impl Scheduler {
     /// Takes an ended attempt off its node.
-    pub(super) fn settle_out(&mut self, id: NodeId, a: &Attempt) {
+    pub(super) fn settle_out(&mut self, id: EndpointId, a: &EndedAttempt) {
         let Some(node) = self.nodes.get_mut(&id) else { return };
         let at = node.out.iter().position(|o| (o.job, o.number) == (a.request, a.number));
         let Some(out) = at.map(|at| node.out.remove(at)).filter(|o| o.missed) else { return };
         // A jammed node is late too; only what later ones overtook can have been lost.
-        if a.ending == Ending::TimedOut && out.overtaken > 0 {
+        if a.outcome == AttemptOutcome::TimedOut && out.overtaken > 0 {
             self.lost.add(self.now, 1.0, LEASE);
         }
     }
 
     /// A node serves in turn of arrival: attempts sent before one that is now answered were overtaken.
-    pub(super) fn count_overtaken(&mut self, id: NodeId, a: &Attempt, sent: Duration) {
-        let Some(node) = self.nodes.get_mut(&id).filter(|_| a.ending == Ending::Served) else { return };
+    pub(super) fn count_overtaken(&mut self, id: EndpointId, a: &EndedAttempt, sent: Duration) {
+        let Some(node) = self.nodes.get_mut(&id).filter(|_| a.outcome == AttemptOutcome::Served) else {
+            return;
+        };
         node.quiet = 0;
         // Answered before one that was missed: the node is not jammed, that one was lost or is slow.
         if node.out.iter().any(|o| o.missed && o.sent_at < sent) {
-            node.lag = nanos(a.took);
+            node.lag = nanos(a.elapsed);
         }
         node.out.iter_mut().filter(|o| o.sent_at < sent).for_each(|o| o.overtaken += 1);
     }
@@ -37,7 +39,7 @@
         let mut next = FOREVER;
         // Of thousands of nodes few have something out.
         let out = self.jobs.values().flat_map(|j| j.attempts.iter().filter(|a| a.2).map(|a| a.0));
-        for id in out.collect::<BTreeSet<NodeId>>() {
+        for id in out.collect::<BTreeSet<EndpointId>>() {
             let Some(node) = self.nodes.get_mut(&id) else { continue };
             let trip = node.lag.max(node.service).max(1e6);
             for out in node.out.iter_mut().filter(|o| !o.missed && !o.free) {
@@ -61,25 +63,26 @@
     }
 
     /// Health: the window halves on what went wrong or late, and grows per round trip otherwise.
-    pub(super) fn judge(&mut self, id: NodeId, a: &Attempt, units: f64) {
-        let (now, aim, warm_up) = (self.now, self.set.shortest_aim(), self.set.rules.warm_up);
+    pub(super) fn judge(&mut self, id: EndpointId, a: &EndedAttempt, units: f64) {
+        let (now, aim, warm_up) =
+            (self.now, self.set.shortest_latency_objective_nanos(), self.set.rules.slow_start_duration);
         let (thin, saved) = (
-            self.bears() / self.rivals() < self.set.units_top,
+            self.bears() / self.rivals() < self.set.max_request_units,
             self.first_saved(id, now, now.as_nanos() as u64),
         );
         let unreached = Some(self.set.connect_timeout).filter(|t| !t.is_zero()).unwrap_or(FOREVER);
         let Some(node) = self.nodes.get_mut(&id) else { return };
         // What a cold node has done in time it can do again within a fall window, whoever's turn it is.
-        if a.ending == Ending::Served && thin && nanos(a.took) <= aim {
+        if a.outcome == AttemptOutcome::Served && thin && nanos(a.elapsed) <= aim {
             node.relays = if node.relay_until >= now { node.relays + 1 } else { 1 };
-            node.relay_until = now + self.set.rules.tip_after;
+            node.relay_until = now + self.set.rules.overload_window;
         }
-        if let Some(ms) = a.load.service_ms.filter(|ms| *ms > 0.0) {
+        if let Some(ms) = a.load_report.service_ms.filter(|ms| *ms > 0.0) {
             node.service = ms * 1e6;
         }
-        match a.ending {
-            Ending::Served => {
-                let lag = nanos(a.took);
+        match a.outcome {
+            AttemptOutcome::Served => {
+                let lag = nanos(a.elapsed);
                 let news = 1.0 - (-seconds(now - node.seen_at) / seconds(LEASE)).exp();
                 node.lag += if node.lag > 0.0 { news.max(0.2) * (lag - node.lag) } else { lag };
                 if node.born.is_none_or(|born| now >= born + warm_up) {
@@ -88,7 +91,7 @@
                 (node.seen_at, node.fails, node.unheard) = (now, 0, 0);
                 // Connections may break under a process that lives on: what it answers at once, or was
                 // sent before the break, tells that it did not restart.
-                if node.broke_at.is_some_and(|at| now - a.took.min(now) < at || now < at + SECOND) {
+                if node.broke_at.is_some_and(|at| now - a.elapsed.min(now) < at || now < at + SECOND) {
                     node.born = node.listed;
                 }
                 node.broke_at = None;
@@ -98,30 +101,33 @@
                     node.window = (node.window + 1.0 / node.window).min(WINDOW_TOP);
                 }
             }
-            Ending::Cancelled if nanos(a.took) > node.lag => (node.lag, node.seen_at) = (nanos(a.took), now),
-            Ending::Error | Ending::Cancelled | Ending::Void => {}
-            Ending::TimedOut => {
-                node.unheard = (node.unheard + u32::from(nanos(a.took) > aim)).min(8);
+            AttemptOutcome::Cancelled if nanos(a.elapsed) > node.lag => {
+                (node.lag, node.seen_at) = (nanos(a.elapsed), now)
+            }
+            AttemptOutcome::Error | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
+            AttemptOutcome::TimedOut => {
+                node.unheard = (node.unheard + u32::from(nanos(a.elapsed) > aim)).min(8);
                 node.shrink(now);
             }
-            Ending::TurnedAway => {
+            AttemptOutcome::Rejected => {
                 node.shrink(now);
                 node.hold_until = now + span_of(node.service.max(1e7));
             }
             // One connection that does not come up may be lost on the way; a process that starts refuses.
-            Ending::NoConnection if node.fails == 0 && a.took >= unreached => node.fails = 1,
-            Ending::Broken | Ending::NoConnection => {
+            AttemptOutcome::ConnectFailed if node.fails == 0 && a.elapsed >= unreached => node.fails = 1,
+            AttemptOutcome::ConnectionLost | AttemptOutcome::ConnectFailed => {
                 // A restart the list has not told of yet: send little, and ramp as after a start.
                 node.shrink(now);
                 let wait = backoff(BACKOFF.0, BACKOFF.1, node.fails);
-                let first = a.ending == Ending::Broken && node.fails == 0;
+                let first = a.outcome == AttemptOutcome::ConnectionLost && node.fails == 0;
                 node.hold_until = if first { Duration::ZERO } else { now + wait };
-                let broken = a.ending == Ending::Broken && (node.fails == 0 || node.broke_at.is_some());
+                let broken = a.outcome == AttemptOutcome::ConnectionLost
+                    && (node.fails == 0 || node.broke_at.is_some());
                 node.broke_at = broken.then_some(now);
                 node.fails += 1;
                 (node.born, node.relays, node.saved) = (Some(now), 0, saved);
                 // What a process that may be dead took does not burden its successor.
-                if node.listed.is_none_or(|at| now >= at + self.set.rules.warm_up) {
+                if node.listed.is_none_or(|at| now >= at + self.set.rules.slow_start_duration) {
                     node.sent.clear();
                 }
             }
--- a/crates/core/src/choice/hearsay.rs
+++ b/crates/core/src/choice/hearsay.rs
@@ -1,7 +1,7 @@
 //! What other hosts say, where it bears on a decision: it only ever takes away.
 
 use super::{Scheduler, LEASE, SECOND, STALE_LEASES};
-use crate::interface::{Event, Hearsay, NodeId, Request, Rules, VolumeId};
+use crate::interface::{EndpointId, Event, PeerGossip, Request, SharedRules, VolumeId};
 use crate::measure::{nanos, Rate};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 /// The last of what was said, by box and volume, and when.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Said {
-    spent: BTreeMap<NodeId, (f64, Duration)>,
+    spent: BTreeMap<EndpointId, (f64, Duration)>,
     demand: BTreeMap<VolumeId, (f64, Duration)>,
     /// The moments of what was said that volumes go by.
     used: BTreeMap<VolumeId, Duration>,
@@ -18,7 +18,9 @@
 impl Scheduler {
     /// What is no event of the scheduler's own.
     pub(super) fn hear(&mut self, event: &Event) {
-        let Event::Hearsay(Hearsay { holds, spent, demand }) = event else { return };
+        let Event::Gossip(PeerGossip { held_back_until: holds, units_sent: spent, demand }) = event else {
+            return;
+        };
         for (id, until) in holds {
             if let Some(node) = self.nodes.get_mut(id) {
                 node.hold_until = node.hold_until.max(*until);
@@ -42,22 +44,22 @@
 
     /// By how much a node can do more than just after its start, at that age.
     pub(super) fn grown(&self, age: Duration) -> f64 {
-        let start = self.set.rules.start_capacity.min(1.0);
-        (start + (1.0 - start) * nanos(age) / nanos(self.set.rules.warm_up)) / start
+        let start = self.set.rules.slow_start_capacity.min(1.0);
+        (start + (1.0 - start) * nanos(age) / nanos(self.set.rules.slow_start_duration)) / start
     }
 
     /// What a node may be sent: what others say they sent a cold one comes off what all together may send it.
     /// No word adds to the own part.
-    pub(super) fn room_left(&mut self, id: NodeId) -> f64 {
+    pub(super) fn room_left(&mut self, id: EndpointId) -> f64 {
         let room = self.room(id);
         let (now, rules) = (self.now, &self.set.rules);
-        let window = rules.tip_after;
+        let window = rules.overload_window;
         let said = self.said.spent.get(&id).filter(|(_, at)| now < *at + window);
         let (Some((others, at)), Some(node)) = (said.copied(), self.nodes.get(&id)) else { return room };
         if !room.is_finite() || room <= 0.0 {
             return room;
         }
-        let age = node.born.map_or(rules.warm_up, |born| now.saturating_sub(born));
+        let age = node.born.map_or(rules.slow_start_duration, |born| now.saturating_sub(born));
         let own = node.sent.sum((now + super::NANO).saturating_sub(window));
         let all = self.bears() * self.grown(age);
         let left = all - own - others;
@@ -81,12 +83,12 @@
     }
 
     /// The figures of the rules.
-    pub fn rules(&self) -> &Rules {
+    pub fn rules(&self) -> &SharedRules {
         &self.set.rules
     }
 
     /// Units this host sent a node within a window, of those that count against a cold node's budget.
-    pub fn spent(&self, id: NodeId, window: Duration, now: Duration) -> f64 {
+    pub fn spent(&self, id: EndpointId, window: Duration, now: Duration) -> f64 {
         self.nodes.get(&id).map_or(0.0, |node| node.sent.sum((now + super::NANO).saturating_sub(window)))
     }
 
--- a/crates/core/src/choice/limits.rs
+++ b/crates/core/src/choice/limits.rs
@@ -6,17 +6,17 @@
 const LEFT: f64 = 0.5; // Part of a limit's store that late work leaves.
 
 impl Scheduler {
-    pub(super) fn hear_meter(&mut self, volume: VolumeId, a: &Attempt, units: f64) {
+    pub(super) fn hear_meter(&mut self, volume: VolumeId, a: &EndedAttempt, units: f64) {
         let now = self.now;
         let Some(volume) = self.volumes.get_mut(&volume) else { return };
-        if a.ending == Ending::Served {
+        if a.outcome == AttemptOutcome::Served {
             volume.served.add(now, units, LEASE);
         }
-        if a.elsewhere.is_finite() && a.elsewhere > 0.0 {
-            volume.others.add(now, a.elsewhere, LEASE);
+        if a.units_elsewhere.is_finite() && a.units_elsewhere > 0.0 {
+            volume.others.add(now, a.units_elsewhere, LEASE);
             volume.news_at = Some(now);
         }
-        if let Some(used) = a.used.filter(|u| u.is_finite()) {
+        if let Some(used) = a.volume_usage.filter(|u| u.is_finite()) {
             volume.total = used * volume.plan.rate;
             volume.news_at = Some(now);
         }
@@ -28,7 +28,7 @@
         let Some(volume) = self.volumes.get_mut(&id) else { return false };
         let own = (1.0 - volume.pooled) / volume.hosts * self.part;
         let units = units + if late { LEFT * volume.plan.burst * own } else { 0.0 };
-        let owed = volume.owed(now, self.set.keepalive.max(LEASE));
+        let owed = volume.owed(now, self.set.keep_alive_timeout.max(LEASE));
         let missing = if volume.plan.limit > 0.0 { volume.missing(now, units, self.part, owed) } else { 0.0 };
         if missing <= 0.0 {
             return true;
@@ -43,7 +43,7 @@
     /// leave those of idle hosts unused. What a lost message or a dead home takes with it is not spent.
     pub(super) fn ask_home(&mut self, id: VolumeId) {
         let number = self.random(1 << 32) as u32;
-        let (now, mean, rank) = (self.now, self.set.unit_mean, self.set.rank as u16);
+        let (now, mean, rank) = (self.now, self.set.mean_request_units, self.set.rank as u16);
         let Some(volume) = self.volumes.get_mut(&id).filter(|v| v.pooled > 0.0) else { return };
         let again = volume.asked.map_or(Duration::ZERO, |(_, at)| at + volume.hold() / 4);
         if again > now {
@@ -52,31 +52,31 @@
         volume.asked = Some((number, now));
         let units = volume.held as f64 * mean;
         let plan = self.set.plans.iter().position(|p| *p == volume.plan).unwrap_or(0) as u16;
-        let ask = Memo::Ask { volume: id, plan, units, number };
-        self.tell((scramble(id) % u64::from(self.set.hosts.max(1))) as u16, rank, ask);
+        let ask = UnitsMessage::Request { volume: id, plan, units, number };
+        self.tell((scramble(id) % u64::from(self.set.initiators.max(1))) as u16, rank, ask);
     }
 
-    pub(super) fn tell(&mut self, to: u16, from: u16, memo: Memo) {
+    pub(super) fn tell(&mut self, to: u16, from: u16, memo: UnitsMessage) {
         if to == self.set.rank as u16 {
             self.on_told(from, &memo.bytes());
         } else {
-            self.acts.push(Action::Tell { to: Some(to), bytes: memo.bytes() });
+            self.acts.push(Action::SendPeerMessage { to: Some(to), bytes: memo.bytes() });
         }
     }
 
     pub(super) fn on_told(&mut self, from: u16, bytes: &[u8]) {
         let now = self.now;
-        match Memo::parse(bytes) {
-            Some(Memo::Ask { volume, plan, units, number }) => {
+        match UnitsMessage::parse(bytes) {
+            Some(UnitsMessage::Request { volume, plan, units, number }) => {
                 let Some(plan) = self.set.plans.get(plan as usize).filter(|p| p.limit > 0.0) else { return };
                 let pool = self.pools.entry(volume).or_insert(Bucket { tokens: 0.0, at: self.started });
                 let units = pool.fill(now, POOLED * plan.limit, POOLED * plan.burst).min(units);
                 if units >= 1.0 {
                     pool.tokens -= units;
-                    self.tell(from, from, Memo::Give { volume, units, number });
+                    self.tell(from, from, UnitsMessage::Grant { volume, units, number });
                 }
             }
-            Some(Memo::Give { volume, units, number }) => {
+            Some(UnitsMessage::Grant { volume, units, number }) => {
                 let Some(volume) = self.volumes.get_mut(&volume) else { return };
                 let Some((_, at)) = volume.asked.filter(|a| a.0 == number) else { return };
                 // The home's store has filled again meanwhile: what comes late must not be spent as well.
@@ -89,8 +89,8 @@
     }
 
     pub(super) fn budget_allows(&mut self) -> bool {
-        let Some((free, share)) = self.set.rules.budget() else { return true };
-        let span = self.set.rules.budget_span;
+        let Some((free, share)) = self.set.rules.retry_budget() else { return true };
+        let span = self.set.rules.retry_budget_window;
         let since = (self.now + NANO).saturating_sub(span);
         let (taken, further) = (self.taken.since(since), self.further.since(since));
         let allowed = further + 1.0 <= free + share * taken;
--- a/crates/core/src/hearsay.rs
+++ b/crates/core/src/hearsay.rs
@@ -2,8 +2,10 @@
 //! There is none of this where peers are off.
 
 use crate::choice::Scheduler;
-use crate::interface::{Attempt, Ending, Event, Hearsay, NodeId, Readiness, Rules, VolumeId};
-use crate::members::Member;
+use crate::interface::{
+    AttemptOutcome, EndedAttempt, EndpointId, Event, PeerGossip, Readiness, SharedRules, VolumeId,
+};
+use crate::members::EndpointRecord;
 use shaletack_knowledge::fact::Topic;
 use shaletack_knowledge::{
     demand, spent, weigh, Advice, Fact, Health, Knowledge, Observer, Own, Refused, Standing, Told, What,
@@ -20,18 +22,18 @@
 
 /// One box as the own list and operators have it.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed<'a> {
+pub struct KnownEndpoint<'a> {
     /// Its number at the scheduler.
-    pub node: NodeId,
+    pub node: EndpointId,
     /// Its entry.
-    pub member: &'a Member,
+    pub member: &'a EndpointRecord,
     /// An operator took it out.
     pub suspended: bool,
     /// When it last started, as far as the core knows by itself.
     pub born: Duration,
 }
 
-impl Listed<'_> {
+impl KnownEndpoint<'_> {
     fn start(&self) -> u64 {
         start_of(self.member)
     }
@@ -42,7 +44,7 @@
 }
 
 /// The list's word for a start, the same at every initiator; 0: long ago.
-fn start_of(member: &Member) -> u64 {
+fn start_of(member: &EndpointRecord) -> u64 {
     member.up_since.map_or(0, |at| at.as_millis() as u64)
 }
 
@@ -68,7 +70,7 @@
     met: BTreeMap<String, (u64, Duration)>,
     /// When the own list last said that a box takes no work.
     unready: BTreeMap<String, Duration>,
-    health: BTreeMap<NodeId, Health>,
+    health: BTreeMap<EndpointId, Health>,
     advice: BTreeMap<String, Advice>,
     /// When this process last said what it sees.
     said_at: Duration,
@@ -80,7 +82,7 @@
 
 /// What this process adds to the sums over all, in thousandths of a unit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Amounts {
+pub struct Contribution {
     /// What it is asked for a second, by volume.
     pub demand: Vec<(VolumeId, u64)>,
     /// What it spent at cold boxes within the window that the rules name, by name and start; none spent as well, since
@@ -154,15 +156,20 @@
         let mut watched = Watched::default();
         let again = at >= self.said_at + TOLD_EVERY;
         for event in events {
-            let Event::Attempt(Attempt { node, ending, .. }) = event else { continue };
+            let Event::AttemptEnded(EndedAttempt { endpoint: node, outcome: ending, .. }) = event else {
+                continue;
+            };
             let health = self.health.entry(*node).or_default();
             let was = health.verdict().map(|(failing, _)| failing);
             match ending {
-                Ending::Served => health.answers(at),
-                Ending::Error | Ending::TimedOut | Ending::Broken | Ending::NoConnection => {
+                AttemptOutcome::Served => health.answers(at),
+                AttemptOutcome::Error
+                | AttemptOutcome::TimedOut
+                | AttemptOutcome::ConnectionLost
+                | AttemptOutcome::ConnectFailed => {
                     watched.failing |= health.fails(at);
                 }
-                Ending::TurnedAway | Ending::Cancelled | Ending::Void => {}
+                AttemptOutcome::Rejected | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
             }
             let is = health.verdict().map(|(failing, _)| failing);
             watched.tells |= is != was || (again && is == Some(true));
@@ -182,12 +189,12 @@
 
     /// Weighs all anew: which boxes' advice changed. Only boxes that somebody speaks of, or that fail here, are looked
     /// at one by one: there is no advice on the others.
-    pub fn review(&mut self, at: Duration, boxes: &BTreeMap<&str, Listed>) -> Vec<Change> {
+    pub fn review(&mut self, at: Duration, boxes: &BTreeMap<&str, KnownEndpoint>) -> Vec<Change> {
         self.knowledge.forget(at, |id| boxes.contains_key(id));
         self.met.retain(|id, _| boxes.contains_key(id.as_str()));
         self.unready.retain(|id, seen| boxes.contains_key(id.as_str()) && at <= *seen + KEPT);
         if !self.health.is_empty() {
-            let nodes: BTreeSet<NodeId> = boxes.values().map(|b| b.node).collect();
+            let nodes: BTreeSet<EndpointId> = boxes.values().map(|b| b.node).collect();
             self.health.retain(|node, _| nodes.contains(node));
         }
         let mut spoken_of: BTreeSet<&str> = self.knowledge.facts().filter_map(|f| f.what.about()).collect();
@@ -207,7 +214,7 @@
                 spoken_of.insert(id);
             }
         }
-        let own = |id: &str, listed: &Listed, replaced: bool| Own {
+        let own = |id: &str, listed: &KnownEndpoint, replaced: bool| Own {
             start: listed.start(),
             dated: self.dated,
             met: self.met.get(id).map_or(at, |(_, met)| *met),
@@ -215,7 +222,7 @@
             failing: self.health.get(&listed.node).and_then(Health::failing),
             replaced,
         };
-        let spoken_of: Vec<(&str, &Listed)> =
+        let spoken_of: Vec<(&str, &KnownEndpoint)> =
             spoken_of.into_iter().filter_map(|id| Some((id, boxes.get(id)?))).collect();
         // What serves a shard: what is neither stopped nor held back, each hold taking one away.
         let mut serving: BTreeMap<u16, usize> = BTreeMap::new();
@@ -251,7 +258,12 @@
     }
 
     /// What bears on boxes and volumes beside the list's lines.
-    pub fn hearsay(&self, at: Duration, window: Duration, boxes: &BTreeMap<&str, Listed>) -> Hearsay {
+    pub fn hearsay(
+        &self,
+        at: Duration,
+        window: Duration,
+        boxes: &BTreeMap<&str, KnownEndpoint>,
+    ) -> PeerGossip {
         let holds = boxes.iter().filter_map(|(id, b)| Some((b.node, self.advice(id).hold_until?)));
         // Facts come from those of the release before, which are in no sum; the rest is in the sums.
         let at_boxes = self.knowledge.facts().filter_map(|f| match &f.what {
@@ -281,15 +293,20 @@
             };
             Some((volume, rate as f64 / MILLI, at.saturating_sub(age)))
         });
-        Hearsay {
-            holds: holds.collect(),
-            spent: spent.filter(|(_, units)| *units > 0.0).collect(),
+        PeerGossip {
+            held_back_until: holds.collect(),
+            units_sent: spent.filter(|(_, units)| *units > 0.0).collect(),
             demand: demand.collect(),
         }
     }
 
     /// What a peer is told in an exchange: what this process sees, spent and is asked for, and what it heard.
-    pub fn tell(&self, at: Duration, boxes: &BTreeMap<&str, Listed>, scheduler: &Scheduler) -> Vec<Told> {
+    pub fn tell(
+        &self,
+        at: Duration,
+        boxes: &BTreeMap<&str, KnownEndpoint>,
+        scheduler: &Scheduler,
+    ) -> Vec<Told> {
         let mut own = self.sees(at, boxes, scheduler);
         let mut say = |what, start| own.push(Fact { what, by: self.me.clone(), start, hops: 0, seen: at });
         for (id, start, units) in self.spends(at, boxes, scheduler).into_iter().filter(|s| s.2 > 0) {
@@ -302,7 +319,12 @@
     }
 
     /// What this process sees first-hand, for all to hear.
-    pub fn say(&mut self, at: Duration, boxes: &BTreeMap<&str, Listed>, scheduler: &Scheduler) -> Vec<Told> {
+    pub fn say(
+        &mut self,
+        at: Duration,
+        boxes: &BTreeMap<&str, KnownEndpoint>,
+        scheduler: &Scheduler,
+    ) -> Vec<Told> {
         self.said_at = at;
         self.sees(at, boxes, scheduler).iter().filter_map(|fact| fact.told(at, &self.me)).collect()
     }
@@ -312,35 +334,46 @@
     fn spends(
         &self,
         at: Duration,
-        boxes: &BTreeMap<&str, Listed>,
+        boxes: &BTreeMap<&str, KnownEndpoint>,
         scheduler: &Scheduler,
     ) -> Vec<(String, u64, u64)> {
         let rules = scheduler.rules();
         let cold = boxes.iter().filter(|(id, listed)| self.cold_since(id, listed, rules, at).is_some());
         let spent = cold.map(|(id, listed)| {
-            let units = scheduler.spent(listed.node, rules.tip_after, at);
+            let units = scheduler.spent(listed.node, rules.overload_window, at);
             ((*id).to_owned(), listed.start(), (units * MILLI).ceil() as u64)
         });
         spent.collect()
     }
 
     /// What this process adds to the sums over all.
-    pub fn amounts(&self, at: Duration, boxes: &BTreeMap<&str, Listed>, scheduler: &Scheduler) -> Amounts {
+    pub fn amounts(
+        &self,
+        at: Duration,
+        boxes: &BTreeMap<&str, KnownEndpoint>,
+        scheduler: &Scheduler,
+    ) -> Contribution {
         let demand = scheduler.demands(at).map(|(volume, rate)| (volume, (rate * MILLI) as u64));
-        Amounts { demand: demand.collect(), spent: self.spends(at, boxes, scheduler) }
+        Contribution { demand: demand.collect(), spent: self.spends(at, boxes, scheduler) }
     }
 
     /// When a box that takes work but is not warm yet started.
-    fn cold_since(&self, id: &str, listed: &Listed, rules: &Rules, at: Duration) -> Option<Duration> {
+    fn cold_since(
+        &self,
+        id: &str,
+        listed: &KnownEndpoint,
+        rules: &SharedRules,
+        at: Duration,
+    ) -> Option<Duration> {
         if listed.born.is_zero() || !listed.is_ready() {
             return None;
         }
         // It can't have started after it was first known to have, whatever this process's clock says.
         let met = self.met.get(id).map_or(at, |(_, met)| *met);
-        Some(listed.born.min(met)).filter(|born| at < *born + rules.warm_up)
+        Some(listed.born.min(met)).filter(|born| at < *born + rules.slow_start_duration)
     }
 
-    fn sees(&self, at: Duration, boxes: &BTreeMap<&str, Listed>, scheduler: &Scheduler) -> Vec<Fact> {
+    fn sees(&self, at: Duration, boxes: &BTreeMap<&str, KnownEndpoint>, scheduler: &Scheduler) -> Vec<Fact> {
         let mut own = Vec::new();
         let mut say = |what, start, seen| own.push(Fact { what, by: self.me.clone(), start, hops: 0, seen });
         let rules = scheduler.rules();
@@ -350,7 +383,7 @@
                 _ if listed.suspended => Some((Standing::Draining, at)),
                 Readiness::Ready => self.dated.map(|seen| (Standing::Ready, seen)),
                 Readiness::Draining => self.dated.map(|seen| (Standing::Draining, seen)),
-                Readiness::Gone => self.dated.map(|seen| (Standing::Gone, seen)),
+                Readiness::Removed => self.dated.map(|seen| (Standing::Gone, seen)),
             };
             // That a box takes work is news only where somebody may think otherwise.
             let doubted = || {
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -9,25 +9,25 @@
 /// The number the host gives a request; never used twice.
 pub type RequestId = u64;
 /// The number of a storage node; stays the same when its process restarts.
-pub type NodeId = u32;
+pub type EndpointId = u32;
 /// The number of a volume.
 pub type VolumeId = u64;
 
 /// What a repeat of a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Effect {
+pub enum Idempotency {
     /// A repeat does no harm.
     #[default]
-    Safe,
+    Idempotent,
     /// Nodes of one group drop a repeat while they remember the first.
     Keyed,
     /// A repeat would take effect again.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// Which nodes drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Group {
+pub enum DedupScope {
     /// Every node.
     #[default]
     All,
@@ -39,27 +39,27 @@
 
 /// One class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// Its name.
     pub name: String,
     /// Full worth is earned by an answer within this time.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// The client's whole wait.
     pub deadline: Duration,
     /// The part of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// What one request is worth.
-    pub value: f64,
+    pub priority_weight: f64,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Who drops repeats of a keyed request.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// How long repeats are dropped, from the first attempt that may have run.
-    pub memory: Duration,
+    pub dedup_window: Duration,
     /// Requests with the same key run one at a time, in the order taken.
     pub ordered: bool,
     /// The most attempts of one of its requests; 0: the settings' `try_limit`.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Newer settings have it no more: only requests taken under it stay.
     pub retired: bool,
 }
@@ -89,33 +89,33 @@
 
 /// The figures of the rules.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Rules {
+pub struct SharedRules {
     /// A host that may not have heard of changes for this long counts as told of them; 0: none.
-    pub ask_within: Duration,
+    pub notified_within: Duration,
     /// A node just started can do at least this part of its usual work.
-    pub start_capacity: f64,
+    pub slow_start_capacity: f64,
     /// A node is warm this long after its start.
-    pub warm_up: Duration,
+    pub slow_start_duration: Duration,
     /// A cold node falls over when sent more than this many times what it can do, all hosts together,
     /// for `tip_after`; 0: not stated.
-    pub overload: f64,
+    pub overload_factor: f64,
     /// The span over which work sent to a cold node is counted.
-    pub tip_after: Duration,
+    pub overload_window: Duration,
     /// How long a key rests after an attempt that may still run.
-    pub order_rest: Duration,
+    pub ordering_pause: Duration,
     /// The span over which further attempts are counted; 0: no budget.
-    pub budget_span: Duration,
+    pub retry_budget_window: Duration,
     /// Further attempts always allowed in that span; `None`: no budget.
-    pub budget_free: Option<f64>,
+    pub retry_budget_minimum: Option<f64>,
     /// Further attempts for each request taken in that span; `None`: no budget.
-    pub budget_share: Option<f64>,
+    pub retry_budget_ratio: Option<f64>,
 }
 
 /// All that a scheduler is told at its start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// How many hosts there are, this one included.
-    pub hosts: u32,
+    pub initiators: u32,
     /// This host's number among them.
     pub rank: u32,
     /// This host's zone.
@@ -123,81 +123,82 @@
     /// The names of the zones, by number.
     pub zones: Vec<String>,
     /// The shortest time between batches.
-    pub step: Duration,
+    pub min_batch_interval: Duration,
     /// The list of nodes comes only when asked for.
-    pub list_on_request: bool,
+    pub endpoint_list_polled: bool,
     /// The classes, by number.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// The plans, by number.
     pub plans: Vec<Plan>,
     /// The figures of the rules.
-    pub rules: Rules,
+    pub rules: SharedRules,
     /// The most attempts a request may have; 0: no such limit.
-    pub try_limit: u32,
+    pub max_attempts: u32,
     /// One request may have two attempts out.
-    pub second_copies: bool,
+    pub hedging_allowed: bool,
     /// The host may send [`Action::Tell`].
-    pub peers: bool,
+    pub peer_messages_allowed: bool,
     /// The host may send [`Action::Probe`].
-    pub probes: bool,
+    pub health_checks_allowed: bool,
     /// The host may send [`Action::Cancel`].
-    pub cancels: bool,
+    pub cancellation_allowed: bool,
     /// The longest wait that they keep; 0: not stated.
-    pub retry_after_top: Duration,
+    pub max_retry_after: Duration,
     /// Units within `tip_after`, from all hosts together, that a cold node always bears.
-    pub cold_bears: f64,
+    pub slow_start_units: f64,
     /// An idle connection to a node is closed by the node after this long.
-    pub keepalive: Duration,
+    pub keep_alive_timeout: Duration,
     /// A connection not made by then is given up.
     pub connect_timeout: Duration,
     /// The most requests that may be open at this host: its clients have no connections for more; 0: not stated.
-    pub open_top: usize,
+    pub max_open_requests: usize,
     /// The names of the figures in load reports, in their order.
-    pub load_fields: Vec<String>,
+    pub load_report_fields: Vec<String>,
     /// The period over which the meter adds up use; 0: no meter.
     pub meter_period: Duration,
     /// Mean units of a request.
-    pub unit_mean: f64,
+    pub mean_request_units: f64,
     /// The most units of one request.
-    pub units_top: f64,
+    pub max_request_units: f64,
     /// Part of the worth earned beyond the reserve, inside the share.
-    pub share_worth: f64,
+    pub within_share_weight: f64,
     /// Part of the worth earned beyond reserve and share.
-    pub spare_worth: f64,
+    pub beyond_share_weight: f64,
 }
 
-impl Rules {
+impl SharedRules {
     /// Further attempts always allowed in `budget_span`, and for each request taken; `None`: no budget.
-    pub fn budget(&self) -> Option<(f64, f64)> {
-        let stated = !self.budget_span.is_zero() && self.budget_free.or(self.budget_share).is_some();
-        stated.then_some((self.budget_free.unwrap_or(0.0), self.budget_share.unwrap_or(0.0)))
+    pub fn retry_budget(&self) -> Option<(f64, f64)> {
+        let stated = !self.retry_budget_window.is_zero()
+            && self.retry_budget_minimum.or(self.retry_budget_ratio).is_some();
+        stated.then_some((self.retry_budget_minimum.unwrap_or(0.0), self.retry_budget_ratio.unwrap_or(0.0)))
     }
 }
 
 impl Settings {
     /// A class by its number; the default one where there is none.
-    pub fn class(&self, number: u16) -> Class {
+    pub fn class(&self, number: u16) -> RequestClass {
         self.classes.get(number as usize).cloned().unwrap_or_default()
     }
 
     /// A request of this class that was tried so often may be tried again.
-    pub fn tries_left(&self, class: &Class, tried: usize) -> bool {
-        let most = if class.tries > 0 { class.tries } else { self.try_limit };
+    pub fn attempts_left(&self, class: &RequestClass, tried: usize) -> bool {
+        let most = if class.max_attempts > 0 { class.max_attempts } else { self.max_attempts };
         most == 0 || tried < most as usize
     }
 
     /// The longest that a client waits.
-    pub fn longest(&self) -> Duration {
+    pub fn longest_deadline(&self) -> Duration {
         self.classes.iter().map(|c| c.deadline).max().unwrap_or_default()
     }
 
     /// These in place of older ones. A class or plan that is the same in both keeps its number, and one that only
     /// the older have keeps it too, retired: numbers that are in use never come to mean something else.
-    pub fn after(mut self, older: &Settings) -> Settings {
+    pub fn replacing(mut self, older: &Settings) -> Settings {
         let mut classes: Vec<_> =
-            older.classes.iter().cloned().map(|c| Class { retired: true, ..c }).collect();
+            older.classes.iter().cloned().map(|c| RequestClass { retired: true, ..c }).collect();
         for class in std::mem::take(&mut self.classes) {
-            let same = |c: &&mut Class| **c == Class { retired: true, ..class.clone() };
+            let same = |c: &&mut RequestClass| **c == RequestClass { retired: true, ..class.clone() };
             match classes.iter_mut().find(same) {
                 Some(old) => old.retired = false,
                 None => classes.push(class),
@@ -214,14 +215,14 @@
     }
 
     /// The shortest aim of all classes, in nanoseconds; a second where there are none.
-    pub fn shortest_aim(&self) -> f64 {
+    pub fn shortest_latency_objective_nanos(&self) -> f64 {
         let current = self.classes.iter().filter(|c| !c.retired);
-        current.map(|c| c.aim).min().unwrap_or(Duration::from_secs(1)).as_nanos() as f64
+        current.map(|c| c.latency_objective).min().unwrap_or(Duration::from_secs(1)).as_nanos() as f64
     }
 
     /// What a request of the class worth most is worth.
-    pub fn top_value(&self) -> f64 {
-        self.classes.iter().filter(|c| !c.retired).map(|c| c.value).fold(0.0, f64::max)
+    pub fn max_priority_weight(&self) -> f64 {
+        self.classes.iter().filter(|c| !c.retired).map(|c| c.priority_weight).fold(0.0, f64::max)
     }
 
     /// The mean weight of the plans.
@@ -243,7 +244,7 @@
     /// The volume's plan, by number.
     pub plan: u16,
     /// Through how many hosts the volume's requests come.
-    pub hosts: f64,
+    pub initiators: f64,
     /// The piece of data; 0: none.
     pub key: u64,
     /// The shard that holds the data; `None`: a new object, which any node can take.
@@ -251,9 +252,9 @@
     /// Its size.
     pub units: f64,
     /// How long until the client gives up.
-    pub patience: Duration,
+    pub time_remaining: Duration,
     /// The client marked it as a repeat of its own.
-    pub repeat: bool,
+    pub client_retry: bool,
 }
 
 /// What a node is ready for.
@@ -265,14 +266,15 @@
     /// Finishes its work; nothing new may be sent.
     Draining,
     /// Removed.
-    Gone,
+    #[serde(rename = "Gone")]
+    Removed,
 }
 
 /// One line of the list of nodes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct NodeLine {
+pub struct EndpointUpdate {
     /// Which node.
-    pub node: NodeId,
+    pub endpoint: EndpointId,
     /// Its zone.
     pub zone: u16,
     /// The shard it holds.
@@ -280,16 +282,16 @@
     /// What it is ready for.
     pub readiness: Readiness,
     /// When it last started; 0: long ago.
-    pub born: Duration,
+    pub started_at: Duration,
     /// A number for that start that is the same at every host; 0: `born` is.
-    pub start: u64,
+    pub start_id: u64,
 }
 
 /// What a report on the list of nodes holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointListKind {
     /// Only the lines that changed.
-    Changes,
+    Delta,
     /// The whole list.
     Full,
     /// The whole list as this host last saw it, perhaps long ago.
@@ -300,75 +302,75 @@
 
 /// A node's own figures, as it last measured them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Recent service time without waiting, in milliseconds.
     pub service_ms: Option<f64>,
     /// Requests waiting.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
     /// Part of its cores in use.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
     /// Requests in hand.
-    pub held: Option<f64>,
+    pub in_flight: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// Served.
     Served,
     /// The node answered with an error; it may have run.
     Error,
     /// Turned away unseen; it did not run.
-    TurnedAway,
+    Rejected,
     /// No answer in time; it may have run or still run.
     TimedOut,
     /// No connection; it did not run.
-    NoConnection,
+    ConnectFailed,
     /// The connection broke; it may have run or still run.
-    Broken,
+    ConnectionLost,
     /// Cancelled; it may have run or still run.
     Cancelled,
     /// Never sent; it did not run.
-    Void,
+    NotSent,
 }
 
-impl Ending {
+impl AttemptOutcome {
     /// Proof that nothing of the attempt ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::TurnedAway | Ending::NoConnection | Ending::Void)
+        matches!(self, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
     }
 }
 
 /// The end of one attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Attempt {
+pub struct EndedAttempt {
     /// Whose attempt.
     pub request: RequestId,
     /// Which of its attempts, from 0.
     pub number: u8,
     /// Where it went.
-    pub node: NodeId,
+    pub endpoint: EndpointId,
     /// How it ended.
-    pub ending: Ending,
+    pub outcome: AttemptOutcome,
     /// How long since it was sent.
-    pub took: Duration,
+    pub elapsed: Duration,
     /// The request is over, by this or before it.
-    pub over: bool,
+    pub request_complete: bool,
     /// Units served for the volume everywhere in a finished period, in parts of the plan's rate.
-    pub used: Option<f64>,
+    pub volume_usage: Option<f64>,
     /// Units this node's shard served the volume through other hosts since its last answer here.
-    pub elsewhere: f64,
+    pub units_elsewhere: f64,
     /// The node's figures, where some came along.
-    pub load: Load,
+    pub load_report: LoadReport,
 }
 
 /// What other hosts say, as far as it bears on what is sent; it replaces what they said before.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Hearsay {
+pub struct PeerGossip {
     /// Nodes that fail elsewhere are held back until then.
-    pub holds: Vec<(NodeId, Duration)>,
+    pub held_back_until: Vec<(EndpointId, Duration)>,
     /// Units that others sent a cold node within the window that the rules name.
-    pub spent: Vec<(NodeId, f64)>,
+    pub units_sent: Vec<(EndpointId, f64)>,
     /// Units a second that others are asked for, for a volume, and when that was seen.
     pub demand: Vec<(VolumeId, f64, Duration)>,
 }
@@ -377,48 +379,48 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list of nodes.
-    List {
+    EndpointList {
         /// What it holds.
-        kind: ListKind,
+        kind: EndpointListKind,
         /// Its lines.
-        lines: Vec<NodeLine>,
+        lines: Vec<EndpointUpdate>,
     },
     /// A request came in.
     Request(Request),
     /// The answer to a streamed request has begun; its deadline no longer counts.
-    Streaming(RequestId),
+    ResponseStreaming(RequestId),
     /// The first bytes of the answer to its last attempt are there.
-    Began(RequestId),
+    ResponseStarted(RequestId),
     /// The body of a request goes out as its client sends it, or its last byte has gone.
-    Body {
+    RequestBody {
         /// Whose.
         request: RequestId,
         /// It is on its way.
         moves: bool,
     },
     /// An attempt ended.
-    Attempt(Attempt),
+    AttemptEnded(EndedAttempt),
     /// The settings from now on; numbers of classes and plans mean what they meant, and there may be more.
     Settings(Box<Settings>),
     /// This process has so much of every budget; another one of the same host has the rest.
-    Part(f64),
+    BudgetShare(f64),
     /// The client left; no answer is owed any more.
-    Left(RequestId),
+    ClientLeft(RequestId),
     /// A timer is due.
     Timer,
     /// What other hosts say.
-    Hearsay(Hearsay),
+    Gossip(PeerGossip),
     /// A probe came back.
-    Probed {
+    HealthChecked {
         /// Which node.
-        node: NodeId,
+        node: EndpointId,
         /// It answered.
         ok: bool,
         /// Its figures.
-        load: Load,
+        load: LoadReport,
     },
     /// Another host's message.
-    Told {
+    PeerMessage {
         /// Which host.
         from: u16,
         /// What it said.
@@ -434,12 +436,12 @@
         /// Whose.
         request: RequestId,
         /// Where.
-        node: NodeId,
+        node: EndpointId,
         /// Time-out; 0: when the client gives up.
         timeout: Duration,
     },
     /// Final answer: turned away, a retry is harmless.
-    Refuse {
+    Reject {
         /// Which request.
         request: RequestId,
         /// How long its client should stay away; 0: no advice.
@@ -458,13 +460,13 @@
         number: u8,
     },
     /// Bring [`Event::Timer`] at or after this time.
-    Wake(Duration),
+    SetTimer(Duration),
     /// Probe a node.
-    Probe(NodeId),
+    HealthCheck(EndpointId),
     /// Close idle connections to a node.
-    CloseIdle(NodeId),
+    CloseIdle(EndpointId),
     /// Send a message to another host, or to all.
-    Tell {
+    SendPeerMessage {
         /// To which; `None`: all.
         to: Option<u16>,
         /// What.
@@ -473,7 +475,7 @@
     /// A line for the log.
     Log(String),
     /// Subscribe to changes of the list, or end that.
-    Watch(bool),
+    WatchEndpointList(bool),
     /// Ask for the whole list once.
-    Fetch,
+    FetchEndpointList,
 }
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -1,6 +1,6 @@
 //! The list of disk boxes in discovery's form.
 
-use crate::interface::{ListKind, Readiness};
+use crate::interface::{EndpointListKind, Readiness};
 use crate::json::{self, Fault, Look};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 
 /// One disk box as listed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Member {
+pub struct EndpointRecord {
     /// Its name, alike at every initiator.
     pub id: String,
     /// Where this initiator reaches it; a removed one needs none.
@@ -26,26 +26,26 @@
 
 /// A report on the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Members {
+pub struct EndpointList {
     /// The list's version.
     pub revision: u64,
     /// The whole list, or what changed.
-    pub kind: ListKind,
+    pub kind: EndpointListKind,
     /// The entries.
-    pub entries: Vec<Member>,
+    pub entries: Vec<EndpointRecord>,
 }
 
 /// Reads one report, and what is wrong with entries that are passed over; the text is used as a workplace.
-pub fn read(text: &mut [u8]) -> Result<(Members, Vec<Fault>), Fault> {
+pub fn read(text: &mut [u8]) -> Result<(EndpointList, Vec<Fault>), Fault> {
     let value = json::parse(text)?;
     from(Look::object(&value, "the list")?)
 }
 
 /// A report from an object already read. One bad entry must not keep the others from counting: it is passed over
 /// and named. Of entries with the same id the last counts.
-pub fn from(list: Look) -> Result<(Members, Vec<Fault>), Fault> {
-    let kind = if list.at("complete").yes()? { ListKind::Full } else { ListKind::Changes };
-    let (mut entries, mut faults): (BTreeMap<String, Member>, _) = (BTreeMap::new(), Vec::new());
+pub fn from(list: Look) -> Result<(EndpointList, Vec<Fault>), Fault> {
+    let kind = if list.at("complete").yes()? { EndpointListKind::Full } else { EndpointListKind::Delta };
+    let (mut entries, mut faults): (BTreeMap<String, EndpointRecord>, _) = (BTreeMap::new(), Vec::new());
     for entry in list.at("members").list()? {
         match member(entry) {
             Err(fault) => faults.push(fault),
@@ -56,11 +56,11 @@
         }
     }
     let entries = entries.into_values().collect();
-    Ok((Members { revision: list.at("revision").whole()?, kind, entries }, faults))
+    Ok((EndpointList { revision: list.at("revision").whole()?, kind, entries }, faults))
 }
 
 /// One entry; a fault names it.
-pub fn member(entry: Look) -> Result<Member, Fault> {
+pub fn member(entry: Look) -> Result<EndpointRecord, Fault> {
     let id = entry.at("id").text()?;
     if id.is_empty() {
         return Err("a member of the list has no id".into());
@@ -68,19 +68,19 @@
     with_id(entry, id).map_err(|why| format!("member {id}: {why}"))
 }
 
-fn with_id(entry: Look, id: &str) -> Result<Member, Fault> {
+fn with_id(entry: Look, id: &str) -> Result<EndpointRecord, Fault> {
     let readiness = match entry.at("phase").text()? {
         "up" => Readiness::Ready,
         "draining" => Readiness::Draining,
-        "removed" => Readiness::Gone,
+        "removed" => Readiness::Removed,
         other => return Err(format!("'{other}' is not a phase")),
     };
     let address = match entry.at("host_port").text()? {
-        "" if readiness == Readiness::Gone => None,
+        "" if readiness == Readiness::Removed => None,
         text => Some(text.parse().map_err(|_| format!("'{text}' is not an address and port"))?),
     };
     let up_since = entry.at("up_since_ms").whole()?;
-    Ok(Member {
+    Ok(EndpointRecord {
         id: id.into(),
         address,
         zone: entry.at("locality").text()?.into(),
--- a/crates/core/src/memo.rs
+++ b/crates/core/src/memo.rs
@@ -3,9 +3,9 @@
 
 /// A message between two hosts about the units of a limited volume.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Memo {
+pub enum UnitsMessage {
     /// A host that lacks units asks the volume's home for some.
-    Ask {
+    Request {
         /// The volume.
         volume: u64,
         /// Its plan, by number.
@@ -16,7 +16,7 @@
         number: u32,
     },
     /// The home's answer.
-    Give {
+    Grant {
         /// The volume.
         volume: u64,
         /// How many units may be spent.
@@ -26,12 +26,12 @@
     },
 }
 
-impl Memo {
+impl UnitsMessage {
     /// As bytes, 17 or 19 of them.
     pub fn bytes(&self) -> Vec<u8> {
         let (volume, units, number, plan) = match *self {
-            Memo::Ask { volume, plan, units, number } => (volume, units, number, Some(plan)),
-            Memo::Give { volume, units, number } => (volume, units, number, None),
+            UnitsMessage::Request { volume, plan, units, number } => (volume, units, number, Some(plan)),
+            UnitsMessage::Grant { volume, units, number } => (volume, units, number, None),
         };
         let mut bytes = vec![u8::from(plan.is_some())];
         bytes.extend(volume.to_le_bytes());
@@ -42,15 +42,17 @@
     }
 
     /// From bytes; `None` where they are no such message.
-    pub fn parse(bytes: &[u8]) -> Option<Memo> {
+    pub fn parse(bytes: &[u8]) -> Option<UnitsMessage> {
         let (head, plan) = bytes.split_at_checked(17)?;
         let volume = u64::from_le_bytes(head[1..9].try_into().ok()?);
         let units = f64::from(f32::from_le_bytes(head[9..13].try_into().ok()?));
         let number = u32::from_le_bytes(head[13..17].try_into().ok()?);
         match (head[0], plan) {
             _ if !units.is_finite() || units <= 0.0 => None,
-            (0, []) => Some(Memo::Give { volume, units, number }),
-            (1, &[a, b]) => Some(Memo::Ask { volume, plan: u16::from_le_bytes([a, b]), units, number }),
+            (0, []) => Some(UnitsMessage::Grant { volume, units, number }),
+            (1, &[a, b]) => {
+                Some(UnitsMessage::Request { volume, plan: u16::from_le_bytes([a, b]), units, number })
+            }
             _ => None,
         }
     }
--- a/crates/core/src/notice.rs
+++ b/crates/core/src/notice.rs
@@ -1,31 +1,31 @@
 //! What the core wants the operators to know, as values: a host gives them their form.
 
-use crate::broker::Tally;
-use crate::interface::ListKind;
-use crate::members::Member;
+use crate::broker::RequestCounters;
+use crate::interface::EndpointListKind;
+use crate::members::EndpointRecord;
 use std::time::Duration;
 
 /// One thing to be told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Notice {
+pub enum OperatorEvent {
     /// A box as the list now has it.
-    Listed {
+    EndpointListed {
         /// The list's version.
         revision: u64,
         /// What the report held.
-        kind: ListKind,
+        kind: EndpointListKind,
         /// The entry.
-        member: Member,
+        member: EndpointRecord,
     },
     /// Entries of the same list beside those, which are not told one by one.
-    ListedBeside {
+    EndpointsNotListed {
         /// The list's version.
         revision: u64,
         /// How many.
         more: usize,
     },
     /// What a predecessor left has been taken over.
-    Inherited {
+    HandoverRestored {
         /// The version of its list.
         revision: u64,
         /// How many boxes it named.
@@ -36,24 +36,24 @@
         drained: bool,
     },
     /// An operator took a box out.
-    Suspended(String),
+    EndpointSuspended(String),
     /// An operator gave a box back; it counts as just started.
-    Resumed(String),
+    EndpointResumed(String),
     /// Clients are to go elsewhere, by hand.
-    Drained,
+    ClientsDrained,
     /// Clients are taken again, by hand.
-    Activated,
+    ClientsAccepted,
     /// Counts since the start.
-    SoFar {
+    Counters {
         /// What became of requests, by class.
-        classes: Vec<(String, Tally)>,
+        classes: Vec<(String, RequestCounters)>,
         /// How many attempts ended in which way.
         ends: Vec<(String, u64)>,
         /// Requests without a final answer.
         open: usize,
     },
     /// What peers say of a box has come to mean something else.
-    Advised {
+    AdviceChanged {
         /// The box.
         id: String,
         /// It gets nothing new, by their word.
@@ -64,12 +64,12 @@
         started_ago: Option<Duration>,
     },
     /// Some of what a peer told was not taken.
-    Refused {
+    PeerReportsRejected {
         /// Who told it.
         from: String,
         /// Facts out of range, or first-hand in another's name.
         unsound: usize,
     },
     /// A line of the scheduler's.
-    Decided(String),
+    SchedulerMessage(String),
 }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -18,31 +18,31 @@
     let tries = limits.at("try-limit").whole()? as u32;
     let (hosts, rank) = fleet(top)?;
     Ok(Settings {
-        hosts,
+        initiators: hosts,
         rank,
         zone: top.at("my-zone").whole()? as u16,
         zones: top.at("zones").texts()?,
-        step: top.at("step").span()?,
-        list_on_request: top.at("membership-mode").text()? == "on_request",
+        min_batch_interval: top.at("step").span()?,
+        endpoint_list_polled: top.at("membership-mode").text()? == "on_request",
         classes: top.at("lanes").list()?.into_iter().map(|c| class(c, tries)).collect::<Result<_, _>>()?,
         plans: top.at("plans").list()?.into_iter().map(plan).collect::<Result<_, _>>()?,
         rules: rules(top.at("invariants"))?,
-        try_limit: tries,
-        second_copies: limits.at("second-copies").yes()?,
-        peers: limits.at("peers").yes()?,
-        probes: limits.at("probes").yes()?,
-        cancels: limits.at("cancelling").yes()?,
-        retry_after_top: limits.at("max-retry-after").span()?,
-        cold_bears: domain.at("cold-bears").real()?,
-        keepalive: limits.at("keepalive").span()?,
+        max_attempts: tries,
+        hedging_allowed: limits.at("second-copies").yes()?,
+        peer_messages_allowed: limits.at("peers").yes()?,
+        health_checks_allowed: limits.at("probes").yes()?,
+        cancellation_allowed: limits.at("cancelling").yes()?,
+        max_retry_after: limits.at("max-retry-after").span()?,
+        slow_start_units: domain.at("cold-bears").real()?,
+        keep_alive_timeout: limits.at("keepalive").span()?,
         connect_timeout: limits.at("connect-timeout").span()?,
-        open_top: limits.at("open-requests").whole()? as usize,
-        load_fields: top.at("report").at("fields").texts()?,
+        max_open_requests: limits.at("open-requests").whole()? as usize,
+        load_report_fields: top.at("report").at("fields").texts()?,
         meter_period: domain.at("meter-period").span()?,
-        unit_mean: domain.at("unit-mean").real()?,
-        units_top: domain.at("units-top").real()?,
-        share_worth: domain.at("share-worth").real()?,
-        spare_worth: domain.at("beyond-share").real()?,
+        mean_request_units: domain.at("unit-mean").real()?,
+        max_request_units: domain.at("units-top").real()?,
+        within_share_weight: domain.at("share-worth").real()?,
+        beyond_share_weight: domain.at("beyond-share").real()?,
     })
 }
 
@@ -62,26 +62,26 @@
     }
 }
 
-fn class(lane: Look, tries: u32) -> Result<Class, Fault> {
-    Ok(Class {
+fn class(lane: Look, tries: u32) -> Result<RequestClass, Fault> {
+    Ok(RequestClass {
         name: lane.at("name").text()?.into(),
-        aim: lane.at("aim").span()?,
+        latency_objective: lane.at("aim").span()?,
         deadline: lane.at("deadline").span()?,
-        late_worth: lane.at("late-worth").real()?,
-        value: lane.at("value").real()?,
-        effect: match lane.at("idempotency").text()? {
-            "idempotent" => Effect::Safe,
-            "deduplicated" => Effect::Keyed,
-            _ => Effect::Unsafe,
+        late_weight: lane.at("late-worth").real()?,
+        priority_weight: lane.at("value").real()?,
+        idempotency: match lane.at("idempotency").text()? {
+            "idempotent" => Idempotency::Idempotent,
+            "deduplicated" => Idempotency::Keyed,
+            _ => Idempotency::NotIdempotent,
         },
-        group: match lane.at("group").text()? {
-            "all" => Group::All,
-            "zone" => Group::Zone,
-            _ => Group::Shard,
+        dedup_scope: match lane.at("group").text()? {
+            "all" => DedupScope::All,
+            "zone" => DedupScope::Zone,
+            _ => DedupScope::Shard,
         },
-        memory: lane.at("memory-span").span()?,
+        dedup_window: lane.at("memory-span").span()?,
         ordered: lane.at("keep-order").yes()?,
-        tries,
+        max_attempts: tries,
         retired: false,
     })
 }
@@ -100,16 +100,16 @@
     })
 }
 
-fn rules(rules: Look) -> Result<Rules, Fault> {
-    Ok(Rules {
-        ask_within: rules.at("ask-within").span()?,
-        start_capacity: rules.at("start-capacity").real()?,
-        warm_up: rules.at("warm-up").span()?,
-        overload: rules.at("overload-factor").real()?,
-        tip_after: rules.at("tip-after").span()?,
-        order_rest: rules.at("order-pause").span()?,
-        budget_span: rules.at("look-back").span()?,
-        budget_free: rules.at("extra-free").number()?,
-        budget_share: rules.at("further-ratio").number()?,
+fn rules(rules: Look) -> Result<SharedRules, Fault> {
+    Ok(SharedRules {
+        notified_within: rules.at("ask-within").span()?,
+        slow_start_capacity: rules.at("start-capacity").real()?,
+        slow_start_duration: rules.at("warm-up").span()?,
+        overload_factor: rules.at("overload-factor").real()?,
+        overload_window: rules.at("tip-after").span()?,
+        ordering_pause: rules.at("order-pause").span()?,
+        retry_budget_window: rules.at("look-back").span()?,
+        retry_budget_minimum: rules.at("extra-free").number()?,
+        retry_budget_ratio: rules.at("further-ratio").number()?,
     })
 }
--- a/crates/core/src/starts.rs
+++ b/crates/core/src/starts.rs
@@ -34,7 +34,7 @@
 
 /// What turns listed starts into the core's time.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Starts {
+pub struct StartTimes {
     /// This machine's wall clock, as last read.
     wall: Option<Reading>,
     /// The fleet's clock showed this, or more.
@@ -43,7 +43,7 @@
     heard_at: Option<Duration>,
 }
 
-impl Starts {
+impl StartTimes {
     /// The wall clock shows this now. Where it was stepped, what older starts say of the fleet's clock is void.
     pub fn read_wall_clock(&mut self, at: Duration, shown: Duration) {
         let stepped = self.wall.is_some_and(|last| last.later(at).abs_diff(shown) > STEP_LEAST);
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -52,14 +52,14 @@
     pub(crate) aim_at: Duration,
     pub(crate) due: Duration,
     /// Where and when each attempt went, and whether its outcome is still to come.
-    pub(crate) attempts: Vec<(NodeId, Duration, bool)>,
+    pub(crate) attempts: Vec<(EndpointId, Duration, bool)>,
     pub(crate) out: u32,
     pub(crate) over: bool,
     pub(crate) queued: bool,
     pub(crate) drawn: bool,
     pub(crate) arrived: bool, // An attempt has come to its box, or broke and can come no more.
     pub(crate) streaming: bool,
-    pub(crate) may_have_run: Option<(NodeId, Duration)>, // The first attempt that may have run.
+    pub(crate) may_have_run: Option<(EndpointId, Duration)>, // The first attempt that may have run.
 }
 
 /// The requests of one key of the ordered classes, as taken.
@@ -82,10 +82,12 @@
 
 /// What a host has learnt and spent, for the process that takes its place.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Learnt {
-    pub(crate) started: Duration,
+pub struct SchedulerSnapshot {
+    #[serde(rename = "started")]
+    pub(crate) started_at: Duration,
     pub(crate) volumes: Vec<(VolumeId, Volume)>,
-    pub(crate) nodes: Vec<(NodeId, Node)>,
+    #[serde(rename = "nodes")]
+    pub(crate) endpoints: Vec<(EndpointId, Node)>,
 }
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -120,7 +122,7 @@
 
 impl Job {
     /// Where and when the first attempt went that may have run or may still run.
-    pub(crate) fn first_run(&self) -> Option<(NodeId, Duration)> {
+    pub(crate) fn first_run(&self) -> Option<(EndpointId, Duration)> {
         self.may_have_run.or(self.attempts.iter().find(|a| a.2).map(|a| (a.0, a.1)))
     }
 }
--- a/crates/lab/src/hollow/initiator.rs
+++ b/crates/lab/src/hollow/initiator.rs
@@ -5,7 +5,7 @@
 use rand::SeedableRng;
 use shaletack::hearsay::Totals;
 use shaletack::peers::observer;
-use shaletack::{broker, notice::Notice, operator::Operator};
+use shaletack::{broker, notice::OperatorEvent, operator::Operator};
 use shaletack_knowledge::Observer;
 use shaletack_peers::frame::{self, Message, HEAD, SPREADS};
 use shaletack_peers::membership::{self, Membership, Peer, DATAGRAM_MOST};
@@ -154,7 +154,7 @@
         news,
         ledger,
     });
-    hollow.core(broker::Input::List(operator.boxes.clone()));
+    hollow.core(broker::Input::EndpointList(operator.boxes.clone()));
     for to in set.join.clone() {
         spawn_local(hollow.clone().ask(to));
     }
@@ -204,7 +204,7 @@
                         self.members(membership::Input::Woke).await;
                     }
                     if due(&self.wakes[1]) {
-                        self.core(broker::Input::Woke);
+                        self.core(broker::Input::TimerFired);
                     }
                     if due(&self.wakes[2]) {
                         self.spread(spread::Input::Woke).await;
@@ -261,7 +261,7 @@
         for effect in effects {
             match effect {
                 spread::Effect::Send(to, bytes) => self.send(to, &bytes).await,
-                spread::Effect::Learnt(told) => self.core(broker::Input::Learnt(told)),
+                spread::Effect::Learnt(told) => self.core(broker::Input::GossipMerged(told)),
                 spread::Effect::Totals(totals) => {
                     // Nothing is cold here: all that is summed is demand.
                     let demand =
@@ -269,7 +269,7 @@
                             Key::Demand(volume) => Some((volume, others, age)),
                             _ => None,
                         });
-                    self.core(broker::Input::Totals(Totals {
+                    self.core(broker::Input::PeerTotals(Totals {
                         demand: demand.collect(),
                         ..Totals::default()
                     }));
@@ -284,11 +284,11 @@
     fn core(&self, input: broker::Input) {
         for effect in self.broker.borrow_mut().step(Instant::now(), input) {
             match effect {
-                broker::Effect::Wake(at) => self.wakes[1].set(Some(at)),
-                broker::Effect::Log(Notice::Advised { id, stopped: true, .. }) => {
+                broker::Effect::SetTimer(at) => self.wakes[1].set(Some(at)),
+                broker::Effect::Log(OperatorEvent::AdviceChanged { id, stopped: true, .. }) => {
                     self.tell(What::Stopped(id))
                 }
-                broker::Effect::Say(told) => self.said.borrow_mut().push(spread::Input::Say(told)),
+                broker::Effect::Broadcast(told) => self.said.borrow_mut().push(spread::Input::Say(told)),
                 // It has no clients, so nothing is sent or answered.
                 _ => {}
             }
@@ -307,7 +307,7 @@
     }
 
     fn frame(&self, trip: Duration) -> Vec<u8> {
-        frame::encode(&self.me, trip, self.broker.borrow().tell_peers(Instant::now()))
+        frame::encode(&self.me, trip, self.broker.borrow().peer_reports(Instant::now()))
     }
 
     async fn ask(self: Rc<Self>, to: SocketAddr) {
@@ -353,7 +353,7 @@
             facts.retain(|told| !told.what.is_amount());
         }
         let trip = trip.min(EXCHANGE);
-        self.core(broker::Input::Told(from.clone(), trip, facts.clone()));
+        self.core(broker::Input::PeerReports(from.clone(), trip, facts.clone()));
         self.spread(spread::Input::Exchanged(from, trip, facts)).await;
     }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,8 +1,8 @@
 //! What an initiator is told at its start.
 
-use crate::interface::{ListKind, Settings};
+use crate::interface::{EndpointListKind, Settings};
 use crate::json::{self, Fault, Look};
-use crate::members::{self, Members};
+use crate::members::{self, EndpointList};
 use crate::settings;
 use std::net::SocketAddr;
 
@@ -24,7 +24,7 @@
     /// How much memory the process may hold, in MiB; 0: not stated.
     pub memory_mb: u64,
     /// The list of disk boxes as last had, perhaps old.
-    pub known: Members,
+    pub known: EndpointList,
     /// What is wrong with entries of that list that do not count.
     pub passed_over: Vec<Fault>,
     /// The scheduler's settings.
@@ -56,8 +56,11 @@
     if !top.at("settings").at("balancers").is_there() {
         return Err("settings.balancers: the number of initiators is missing".into());
     }
-    if settings.hosts > 1 && !top.at("settings").at("rank").is_there() {
-        return Err(format!("settings.rank: which of {} initiators this is, is missing", settings.hosts));
+    if settings.initiators > 1 && !top.at("settings").at("rank").is_there() {
+        return Err(format!(
+            "settings.rank: which of {} initiators this is, is missing",
+            settings.initiators
+        ));
     }
     if settings.classes.is_empty() || settings.plans.is_empty() {
         return Err("the settings name no classes or no plans".into());
@@ -65,18 +68,18 @@
     if let Some(class) = settings.classes.iter().find(|c| c.name.is_empty() || c.deadline.is_zero()) {
         return Err(format!("settings.lanes: '{}' has no name, or no deadline above 0", class.name));
     }
-    if settings.try_limit == 0 {
+    if settings.max_attempts == 0 {
         return Err("settings.limits.try-limit: it has to be a number above 0".into());
     }
     let (mut known, passed_over) = members::from(top.at("known"))?;
-    known.kind = ListKind::Cached;
+    known.kind = EndpointListKind::Cached;
     let sockets = top.at("limits").at("sockets").whole()? as usize;
     if sockets > 0 && sockets < FEWEST_SOCKETS {
         return Err(format!("limits.sockets: {sockets} are too few, {FEWEST_SOCKETS} are needed"));
     }
     let sockets = if sockets == 0 { 1024 } else { sockets };
-    if settings.open_top == 0 {
-        settings.open_top = (sockets as f64 * CLIENTS_PART * OPEN_PART) as usize;
+    if settings.max_open_requests == 0 {
+        settings.max_open_requests = (sockets as f64 * CLIENTS_PART * OPEN_PART) as usize;
     }
     let seed = top.at("seed").text()?;
     Ok(Config {
