--- a/src/etcd.rs
+++ b/src/etcd.rs
@@ -3,9 +3,9 @@
 //! Each key below the prefix is a box's id, its value the box's entry in discovery's form.
 
 use crate::broker::Input;
-use crate::interface::{ListKind, Readiness};
+use crate::interface::{EndpointListKind, Readiness};
 use crate::json::{self, Look};
-use crate::members::{self, Member, Members};
+use crate::members::{self, EndpointList, EndpointRecord};
 use crate::operator::Etcd;
 use crate::runtime::host::Host;
 use crate::runtime::objects::{self, Objects};
@@ -105,7 +105,7 @@
     let top = Look::object(&value, "the answer")?;
     let entries = top.at("kvs").list()?.into_iter().filter_map(|kv| entry(kv, etcd)).collect();
     let revision = number(top.at("header").at("revision"))?;
-    host.feed(Input::List(Members { revision, kind: ListKind::Full, entries }));
+    host.feed(Input::EndpointList(EndpointList { revision, kind: EndpointListKind::Full, entries }));
     Ok(revision)
 }
 
@@ -119,7 +119,7 @@
 }
 
 /// A key's box; one that can't be read is passed over, for the others' sake.
-fn entry(kv: Look, etcd: &Etcd) -> Option<Member> {
+fn entry(kv: Look, etcd: &Etcd) -> Option<EndpointRecord> {
     let read = || {
         let decode = |name| STANDARD.decode(kv.at(name).text()?).map_err(|e| format!("{name}: {e}"));
         let (key, mut value) = (decode("key")?, decode("value")?);
@@ -140,10 +140,10 @@
     id.filter(|id| !id.is_empty()).map(String::from).ok_or("a key that names no box".into())
 }
 
-fn removed(kv: Look, etcd: &Etcd) -> Option<Member> {
+fn removed(kv: Look, etcd: &Etcd) -> Option<EndpointRecord> {
     let key = STANDARD.decode(kv.at("key").text().ok()?).ok()?;
     let (id, zone) = (id_of(&key, etcd).ok()?, String::new());
-    Some(Member { id, address: None, zone, shard: 0, readiness: Readiness::Gone, up_since: None })
+    Some(EndpointRecord { id, address: None, zone, shard: 0, readiness: Readiness::Removed, up_since: None })
 }
 
 async fn watch(host: &Host, client: &Client, etcd: &Etcd, patience: Duration, revision: &mut u64) -> Over {
@@ -194,15 +194,19 @@
     // What tells of its creation alone bears a revision whose events may still come.
     let at = number(result.at("header").at("revision")).map_err(broken)?;
     if result.at("created").yes().map_err(broken)? {
-        return Ok((at == *revision).then_some(Input::Current));
+        return Ok((at == *revision).then_some(Input::EndpointListCurrent));
     }
     let events = result.at("events").list().map_err(broken)?;
     let change = |event: Look| match event.at("type").text() {
         Ok("DELETE") => removed(event.at("kv"), etcd),
         _ => entry(event.at("kv"), etcd),
     };
-    let entries: Vec<Member> = events.into_iter().filter_map(change).collect();
+    let entries: Vec<EndpointRecord> = events.into_iter().filter_map(change).collect();
     *revision = at.max(*revision);
-    let members = Members { revision: *revision, kind: ListKind::Changes, entries };
-    Ok(Some(if members.entries.is_empty() { Input::Current } else { Input::List(members) }))
+    let members = EndpointList { revision: *revision, kind: EndpointListKind::Delta, entries };
+    Ok(Some(if members.entries.is_empty() {
+        Input::EndpointListCurrent
+    } else {
+        Input::EndpointList(members)
+    }))
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,8 +5,8 @@
 use shaletack::broker::{Broker, Clock, Input};
 use shaletack::config::{self, Config};
 use shaletack::etcd;
-use shaletack::interface::{ListKind, Settings};
-use shaletack::members::Members;
+use shaletack::interface::{EndpointListKind, Settings};
+use shaletack::members::EndpointList;
 use shaletack::nbd;
 use shaletack::net::front::{self, Traces};
 use shaletack::net::handover::{self, Identity, Inheritance, Link, Will};
@@ -320,7 +320,7 @@
     let me = operator.peers.as_ref().map(peers::observer);
     let seed = RandomState::new().build_hasher().finish();
     let host = start(operator.settings.clone(), seed, fresh_clock(), me.clone());
-    host.feed(Input::List(operator.boxes.clone()));
+    host.feed(Input::EndpointList(operator.boxes.clone()));
     let follow = |host: Host, etcd| actix_rt::spawn(etcd::follow(host, etcd)).abort_handle();
     let mut list = operator.etcd.clone();
     let mut task = list.clone().map(|etcd| follow(host.clone(), etcd));
@@ -341,7 +341,7 @@
     let put = move |new: Operator| {
         info!("the operator's file is read again: the list of boxes counts from now on");
         if new.etcd.is_none() {
-            core.feed(Input::List(Members { kind: ListKind::Full, ..new.boxes }));
+            core.feed(Input::EndpointList(EndpointList { kind: EndpointListKind::Full, ..new.boxes }));
         }
         if let Some(among) = told.clone() {
             let version = new.version;
@@ -433,14 +433,14 @@
     let host = start(settings, seed, inherited.unwrap_or_else(fresh_clock), None);
     info!(name, boxes = known.entries.len(), revision = known.revision, "starts");
     passed_over.iter().for_each(|why| warn!(%why, "an entry of the list is passed over"));
-    host.feed(Input::List(known));
+    host.feed(Input::EndpointList(known));
     // On a port that the system chooses nobody can follow this process.
     let alone = me.is_none();
     let me = me.unwrap_or_else(|| Identity { name: name.clone(), clients: listen });
     let link = Link::new(host.clone(), me, &std::env::temp_dir());
     let (traces, ready) = (Rc::new(RefCell::new(Traces::default())), Rc::new(Cell::new(false)));
     if let Some(Inheritance { will, stream, .. }) = heir {
-        host.feed(Input::Inherit(Box::new(will.legacy), handover::HALF));
+        host.feed(Input::Restore(Box::new(will.legacy), handover::HALF));
         traces.borrow_mut().inherit(will.traces);
         link.keep(stream);
     }
@@ -470,7 +470,7 @@
     let (core, text) = (host.clone(), in_force.clone());
     let put = move |new: Config| {
         let classes: Vec<&str> = new.settings.classes.iter().map(|c| c.name.as_str()).collect();
-        let (discovery, classes, tries) = (new.discovery, classes.join(", "), new.settings.try_limit);
+        let (discovery, classes, tries) = (new.discovery, classes.join(", "), new.settings.max_attempts);
         info!(%discovery, classes, attempts = tries, "the configuration is read again");
         watch.move_to(discovery);
         core.feed(Input::Settings(Box::new(new.settings)));
@@ -491,7 +491,7 @@
     };
     let (core, ids) = (host.clone(), traces.clone());
     let will = move || Will {
-        legacy: core.look(|broker| broker.legacy(Instant::now(), handover::HALF)),
+        legacy: core.look(|broker| broker.snapshot(Instant::now(), handover::HALF)),
         traces: ids.borrow().all(),
         text: String::from_utf8_lossy(&text.borrow()).into_owned(),
     };
--- a/src/nbd/boxes.rs
+++ b/src/nbd/boxes.rs
@@ -1,8 +1,8 @@
 //! Attempts at disk boxes, as an NBD client.
 
 use super::codec::*;
-use crate::broker::{News, Reply};
-use crate::ending::End;
+use crate::broker::{AttemptProgress, AttemptResult};
+use crate::ending::TransportOutcome;
 use crate::runtime::host::{Errand, Tell};
 use crate::runtime::sockets::{connect, end_of_connect, Uninterrupted};
 use bytes::Bytes;
@@ -91,7 +91,7 @@
         }
     }
 
-    async fn link(&self, to: SocketAddr) -> Result<Link, End> {
+    async fn link(&self, to: SocketAddr) -> Result<Link, TransportOutcome> {
         if let Some(link) = self.take(to) {
             return Ok(link);
         }
@@ -99,28 +99,30 @@
             let connected = connect(to, self.connect_timeout).await;
             let stream = connected.map_err(|why| end_of_connect(&why))?;
             let _ = stream.set_nodelay(true);
-            Link::handshake(stream, &self.export).await.map_err(|_| End::HandshakeFailed)
+            Link::handshake(stream, &self.export).await.map_err(|_| TransportOutcome::HandshakeFailed)
         };
-        tokio::time::timeout(self.connect_timeout, open).await.unwrap_or(Err(End::ConnectTimedOut))
+        tokio::time::timeout(self.connect_timeout, open)
+            .await
+            .unwrap_or(Err(TransportOutcome::ConnectTimedOut))
     }
 }
 
 impl Errand for Piece {
-    fn attempt(&self, to: SocketAddr, _wait: Duration, tell: Tell) -> LocalBoxFuture<'static, Reply> {
+    fn attempt(&self, to: SocketAddr, _wait: Duration, tell: Tell) -> LocalBoxFuture<'static, AttemptResult> {
         let piece = self.clone();
         async move {
             let mut link = match piece.boxes.link(to).await {
                 Ok(link) => link,
-                Err(end) => return Reply::none(end),
+                Err(end) => return AttemptResult::none(end),
             };
-            tell(News::Writes);
+            tell(AttemptProgress::WriteStarted);
             match link.exchange(&piece).await {
                 Ok((end, body)) => {
                     piece.boxes.put(to, link);
-                    Reply { body, ..Reply::none(end) }
+                    AttemptResult { body, ..AttemptResult::none(end) }
                 }
                 // Dropped with the link: what may still come on it belongs to nobody.
-                Err(end) => Reply::none(end),
+                Err(end) => AttemptResult::none(end),
             }
         }
         .boxed_local()
@@ -180,16 +182,16 @@
     }
 
     /// One request and its whole reply; an error is the end of the connection.
-    async fn exchange(&mut self, piece: &Piece) -> Result<(End, Bytes), End> {
+    async fn exchange(&mut self, piece: &Piece) -> Result<(TransportOutcome, Bytes), TransportOutcome> {
         // A flush may go over another connection; where that does not cover this one's writes, they do not wait.
         let alone = self.flags & has::MULTI_CONN == 0;
         let stable = (piece.fua || alone) && piece.command == cmd::WRITE;
         if piece.command == cmd::FLUSH && self.flags & has::FLUSH == 0 {
-            return Ok((End::Whole, Bytes::new())); // Such a box has nothing that is not on stable storage.
+            return Ok((TransportOutcome::Complete, Bytes::new())); // Such a box has nothing that is not on stable storage.
         }
         let fua = stable && self.flags & has::FUA != 0;
         let (end, body) = self.command(piece.command, fua, piece.offset, piece.length, &piece.data).await?;
-        if end == End::Whole && stable && !fua && self.flags & has::FLUSH != 0 {
+        if end == TransportOutcome::Complete && stable && !fua && self.flags & has::FLUSH != 0 {
             return self.command(cmd::FLUSH, false, 0, 0, &Bytes::new()).await;
         }
         Ok((end, body))
@@ -202,25 +204,25 @@
         offset: u64,
         length: u32,
         data: &Bytes,
-    ) -> Result<(End, Bytes), End> {
+    ) -> Result<(TransportOutcome, Bytes), TransportOutcome> {
         self.cookie += 1;
         let flags = if fua { flag::FUA } else { 0 };
         let mut out = Request { flags, command, cookie: self.cookie, offset, length }.bytes();
         out.extend_from_slice(data);
-        self.stream.write_all(&out).await.map_err(|_| End::BrokeWriting)?;
-        let magic = self.stream.read_u32().await.map_err(|_| End::BrokeWaiting)?;
+        self.stream.write_all(&out).await.map_err(|_| TransportOutcome::LostWhileWriting)?;
+        let magic = self.stream.read_u32().await.map_err(|_| TransportOutcome::LostAwaitingResponse)?;
         let want = if command == cmd::READ { length } else { 0 };
         let reply = match magic {
             SIMPLE_MAGIC if !(self.structured && command == cmd::READ) => self.simple(want).await,
             CHUNK_MAGIC if self.structured => self.chunks(offset, want).await,
             _ => Err(strange("not a reply")),
         };
-        let (error, body) = reply.map_err(|_| End::HalfAnswer)?;
+        let (error, body) = reply.map_err(|_| TransportOutcome::TruncatedResponse)?;
         Ok(match error {
-            0 => (End::Whole, body.into()),
+            0 => (TransportOutcome::Complete, body.into()),
             // It is stopping, and says so of what changes nothing: another box may be asked.
-            errno::SHUTDOWN if command != cmd::WRITE => (End::TurnedAway, Bytes::new()),
-            _ => (End::BoxError, Bytes::new()),
+            errno::SHUTDOWN if command != cmd::WRITE => (TransportOutcome::Rejected, Bytes::new()),
+            _ => (TransportOutcome::EndpointError, Bytes::new()),
         })
     }
 
--- a/src/nbd/front.rs
+++ b/src/nbd/front.rs
@@ -2,7 +2,7 @@
 
 use super::boxes::{Boxes, Piece};
 use super::codec::*;
-use crate::broker::{Answer, Ask};
+use crate::broker::{Answer, IncomingRequest};
 use crate::operator::{Export, Operator};
 use crate::runtime::gate::{Closing, Gate};
 use crate::runtime::host::Host;
@@ -67,7 +67,7 @@
     let settings = &operator.settings;
     let or = |span: Duration, other: Duration| if span.is_zero() { other } else { span };
     let connect = or(settings.connect_timeout, Duration::from_millis(250));
-    let idle = or(settings.keepalive, Duration::from_secs(5)) * 6 / 10;
+    let idle = or(settings.keep_alive_timeout, Duration::from_secs(5)) * 6 / 10;
     let closing = Closing::default();
     // A client's connection may have several to boxes in use.
     let most = (operator.sockets / 4).max(1);
@@ -368,7 +368,7 @@
         }
         let operator = &self.shared.operator;
         let largest =
-            (operator.settings.units_top.max(1.0) as u64).saturating_mul(operator.unit_bytes.into());
+            (operator.settings.max_request_units.max(1.0) as u64).saturating_mul(operator.unit_bytes.into());
         let (mut at, end) = (request.offset, request.offset + u64::from(request.length));
         let mut parts = Vec::new();
         for extent in &self.export.extents {
@@ -392,16 +392,16 @@
         };
         let region = part.at / u64::from(operator.large_from);
         let patience = operator.settings.classes.get(class as usize).map_or(Duration::ZERO, |c| c.deadline);
-        let ask = Ask {
+        let ask = IncomingRequest {
             class,
             volume: self.export.volume,
             plan: self.export.plan,
-            hosts: self.export.hosts,
+            initiators: self.export.hosts,
             key: 1 + (region ^ self.export.volume.rotate_left(24)) % (u64::MAX - 1),
             shard: Some(part.shard),
             units: f64::from(part.length.div_ceil(operator.unit_bytes).max(1)),
-            patience,
-            repeat: false,
+            time_remaining: patience,
+            client_retry: false,
         };
         let from = part.skip as usize;
         let data = if data.is_empty() { Bytes::new() } else { data.slice(from..from + part.length as usize) };
@@ -492,7 +492,7 @@
                         whole[part.skip as usize..][..piece.len()].copy_from_slice(&piece);
                     }
                 }
-                Answer::Refused(after) => {
+                Answer::Rejected(after) => {
                     refused = refused.map(|(_, most): (u64, Duration)| (offset, most.max(after)));
                     refused = refused.or(Some((offset, after)));
                 }
--- a/src/net/boxes.rs
+++ b/src/net/boxes.rs
@@ -1,8 +1,8 @@
 //! Attempts at disk boxes, over HTTP with awc.
 
 use super::stream::{BoxStream, Counted, Idling, Manner, NEWS, UNTIL};
-use crate::broker::{News, Reply};
-use crate::ending::End;
+use crate::broker::{AttemptProgress, AttemptResult};
+use crate::ending::TransportOutcome;
 use crate::interface::Settings;
 use crate::runtime::host::{Errand, Host, Tell};
 use crate::runtime::sockets::{address_of, connect, end_of_connect};
@@ -71,7 +71,7 @@
     fn of(set: &Settings) -> Self {
         let or = |span: Duration, default| if span.is_zero() { default } else { span };
         // A connection idle for as long as the box keeps it would be closed under the next request.
-        let idle = or(set.keepalive * 6 / 10, Duration::from_secs(5));
+        let idle = or(set.keep_alive_timeout * 6 / 10, Duration::from_secs(5));
         Times { idle, connect: or(set.connect_timeout, Duration::from_millis(250)) }
     }
 }
@@ -225,7 +225,7 @@
                 None => upload.next().await,
             };
             if next.is_none() {
-                tell(News::BodyWent);
+                tell(AttemptProgress::BodySent);
             }
             Some((next?, (upload, None, tell)))
         })
@@ -268,7 +268,7 @@
 }
 
 impl Errand for Passed {
-    fn attempt(&self, to: SocketAddr, wait: Duration, tell: Tell) -> LocalBoxFuture<'static, Reply> {
+    fn attempt(&self, to: SocketAddr, wait: Duration, tell: Tell) -> LocalBoxFuture<'static, AttemptResult> {
         let (boxes, began) = (self.boxes.clone(), Instant::now());
         let (method, uri) = (self.method.clone(), format!("http://{to}{}", self.target));
         let (trace, key) = (self.trace.clone(), self.key.clone());
@@ -277,7 +277,7 @@
         let writes = Rc::new(Cell::new(false));
         let wrote = writes.clone();
         let tell: Rc<Tell> = Rc::new(Box::new(move |news| {
-            writes.set(writes.get() || news == News::Writes);
+            writes.set(writes.get() || news == AttemptProgress::WriteStarted);
             tell(news);
         }));
         let news = tell.clone();
@@ -299,7 +299,7 @@
                 Carried::Whole(body) => (request.send_body(body), None),
                 Carried::None => (request.send(), None),
                 Carried::Moving(upload) => {
-                    tell(News::BodyMoves);
+                    tell(AttemptProgress::BodyStreaming);
                     let stream = upload.clone().stream(tell.clone());
                     let sent = match upload.stated {
                         Some(length) => request.send_body(SizedStream::new(length, stream)),
@@ -311,13 +311,13 @@
             let reply = match while_it_moves(sent, upload.as_deref()).await {
                 Ok(response) => read(response, permit, &rest, bare).await,
                 // Of a request whose last byte was never handed on nothing has run.
-                Err(SendRequestError::Body(_)) => Reply::none(End::CalledOff),
+                Err(SendRequestError::Body(_)) => AttemptResult::none(TransportOutcome::Cancelled),
                 Err(SendRequestError::Send(_)) if upload.as_ref().is_some_and(|u| !u.went.get()) => {
-                    Reply::none(End::BrokeEarly)
+                    AttemptResult::none(TransportOutcome::LostBeforeRequest)
                 }
-                Err(error) => Reply::none(end_of(&error)),
+                Err(error) => AttemptResult::none(end_of(&error)),
             };
-            Reply { spent: upload.is_some_and(|u| u.is_spent()), ..reply }
+            AttemptResult { body_consumed: upload.is_some_and(|u| u.is_spent()), ..reply }
         };
         // A place and a connection together take no longer than the settings give a connection: repeats by key are
         // sent while the first is remembered.
@@ -326,7 +326,7 @@
             match tokio::time::timeout(connect, &mut attempt).await {
                 Ok(reply) => reply,
                 Err(_) if wrote.get() => attempt.await,
-                Err(_) => Reply::none(End::ConnectTimedOut),
+                Err(_) => AttemptResult::none(TransportOutcome::ConnectTimedOut),
             }
         }
         .boxed_local()
@@ -354,19 +354,19 @@
 
 /// How an exchange without an answer ended. awc says `Disconnected` where the connection ended after the
 /// request as well, so that proves nothing of what ran.
-fn end_of(error: &SendRequestError) -> End {
+fn end_of(error: &SendRequestError) -> TransportOutcome {
     match error {
-        SendRequestError::Connect(ConnectError::Disconnected) => End::BrokeWaiting,
-        SendRequestError::Connect(ConnectError::Timeout) => End::ConnectTimedOut,
+        SendRequestError::Connect(ConnectError::Disconnected) => TransportOutcome::LostAwaitingResponse,
+        SendRequestError::Connect(ConnectError::Timeout) => TransportOutcome::ConnectTimedOut,
         SendRequestError::Connect(ConnectError::Io(why)) => end_of_connect(why),
-        SendRequestError::Connect(_) | SendRequestError::Url(_) => End::Unreachable,
-        SendRequestError::Send(_) => End::BrokeWriting,
-        SendRequestError::Timeout => End::Silent,
+        SendRequestError::Connect(_) | SendRequestError::Url(_) => TransportOutcome::Unreachable,
+        SendRequestError::Send(_) => TransportOutcome::LostWhileWriting,
+        SendRequestError::Timeout => TransportOutcome::TimedOut,
         SendRequestError::Response(ParseError::Io(why)) if why.kind() != std::io::ErrorKind::InvalidData => {
-            End::BrokeWaiting
+            TransportOutcome::LostAwaitingResponse
         }
-        SendRequestError::Response(_) => End::SpoiltAnswer,
-        _ => End::BrokeWaiting,
+        SendRequestError::Response(_) => TransportOutcome::MalformedResponse,
+        _ => TransportOutcome::LostAwaitingResponse,
     }
 }
 
@@ -381,7 +381,7 @@
     permit: Option<OwnedSemaphorePermit>,
     rest: &RefCell<Option<Rest>>,
     bare: bool,
-) -> Reply
+) -> AttemptResult
 where
     S: Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin + 'static,
 {
@@ -396,15 +396,17 @@
     let used = figure(header("X-Iops-Used"), 100.0 * USED_MOST).map(|percent| percent / 100.0);
     let elsewhere = figure(header("X-Rho"), ELSEWHERE_MOST).unwrap_or(0.0);
     let end = match response.status() {
-        StatusCode::OK => End::Whole,
-        StatusCode::INTERNAL_SERVER_ERROR => End::BoxError,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => End::TurnedAway,
-        _ => End::Strange,
+        StatusCode::OK => TransportOutcome::Complete,
+        StatusCode::INTERNAL_SERVER_ERROR => TransportOutcome::EndpointError,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => {
+            TransportOutcome::Rejected
+        }
+        _ => TransportOutcome::ProtocolViolation,
     };
     if stated.is_some_and(|n| n > BODIES_MOST) {
-        return Reply::none(End::UnboundedAnswer);
+        return AttemptResult::none(TransportOutcome::UnboundedResponse);
     }
-    let held = |stated: u64| end != End::Whole || stated <= BODY_MOST as u64;
+    let held = |stated: u64| end != TransportOutcome::Complete || stated <= BODY_MOST as u64;
     let whole = |stated: u64, came: usize| came as u64 >= stated;
     let (mut body, since) = (BytesMut::new(), Instant::now());
     loop {
@@ -419,31 +421,43 @@
             });
             break;
         }
-        let open = ends && end == End::Whole;
+        let open = ends && end == TransportOutcome::Complete;
         let wait = if open && !body.is_empty() { HELD.saturating_sub(since.elapsed()) } else { STALLED };
         match tokio::time::timeout(wait, response.next()).await {
             Ok(Some(Ok(chunk))) => {
                 body.extend_from_slice(&chunk);
             }
             Ok(None) if stated.is_none() => break,
-            Ok(None) => return Reply::none(End::HalfAnswer),
+            Ok(None) => return AttemptResult::none(TransportOutcome::TruncatedResponse),
             Ok(Some(Err(PayloadError::Io(why)))) if why.kind() != std::io::ErrorKind::InvalidData => {
-                return Reply::none(End::HalfAnswer)
+                return AttemptResult::none(TransportOutcome::TruncatedResponse)
             }
             Err(_) if wait < STALLED => {}
-            Ok(Some(Err(_))) | Err(_) => return Reply::none(End::SpoiltAnswer),
+            Ok(Some(Err(_))) | Err(_) => return AttemptResult::none(TransportOutcome::MalformedResponse),
         }
         // What is larger goes on past the core from its first bytes on.
         let long = open && !body.is_empty() && since.elapsed() >= HELD;
         if stated.is_some_and(|n| !held(n)) || body.len() > BODY_MOST || long {
-            if end != End::Whole {
-                return Reply::none(End::UnboundedAnswer);
+            if end != TransportOutcome::Complete {
+                return AttemptResult::none(TransportOutcome::UnboundedResponse);
             }
             let (first, body) = (Some(body.freeze()), response.boxed_local());
             rest.replace(Some(Rest { stated, first, came: 0, body, _permit: permit }));
-            return Reply { end, body: Bytes::new(), used, elsewhere, spent: false };
+            return AttemptResult {
+                transport: end,
+                body: Bytes::new(),
+                volume_usage: used,
+                units_elsewhere: elsewhere,
+                body_consumed: false,
+            };
         }
     }
-    let body = if end == End::Whole { body.freeze() } else { Bytes::new() };
-    Reply { end, body, used, elsewhere, spent: false }
+    let body = if end == TransportOutcome::Complete { body.freeze() } else { Bytes::new() };
+    AttemptResult {
+        transport: end,
+        body,
+        volume_usage: used,
+        units_elsewhere: elsewhere,
+        body_consumed: false,
+    }
 }
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -3,7 +3,7 @@
 use super::boxes::{Boxes, Carried, Passed, Rest, Upload, BODIES_MOST, BODY_MOST, IDEMPOTENCY_KEY};
 use super::client::ClientStream;
 use super::crowd::{Crowd, Line};
-use crate::broker::{Answer, Ask, Broker};
+use crate::broker::{Answer, Broker, IncomingRequest};
 use crate::interface::VolumeId;
 use crate::runtime::gate::{Closing, Gate};
 use crate::runtime::host::{Host, Passing};
@@ -176,10 +176,10 @@
         let Some((mut ask, trace, key)) = understood else {
             return turned_away(&line.0, StatusCode::BAD_REQUEST);
         };
-        if !self.traces.borrow_mut().take(&trace, self.host.settings().longest()) {
+        if !self.traces.borrow_mut().take(&trace, self.host.settings().longest_deadline()) {
             return turned_away(&line.0, StatusCode::CONFLICT);
         }
-        ask.patience = ask.patience.saturating_sub(waited);
+        ask.time_remaining = ask.time_remaining.saturating_sub(waited);
         let target = request.uri().path_and_query().map_or("/", |p| p.as_str()).to_owned();
         let upload = match &body {
             Carried::Moving(upload) => Some(upload.clone()),
@@ -212,7 +212,7 @@
                 Some(rest) => passed_on(rest, (line, self.host.passes())),
                 None => Response::build(StatusCode::OK).body(body).map_into_boxed_body(),
             },
-            Answer::Refused(after) => {
+            Answer::Rejected(after) => {
                 let mut refusal = Response::build(StatusCode::SERVICE_UNAVAILABLE);
                 refusal.insert_header(("Retry-After", format!("{:.3}", after.as_secs_f64())));
                 refusal.body(()).map_into_boxed_body()
@@ -276,7 +276,7 @@
 
 /// The request in the core's terms, its trace id and its key, if any; `None` where it is malformed. So is a
 /// request of a keyed class without its one key: no box could drop its repeat.
-fn understand(request: &Request, core: &Broker) -> Option<(Ask, String, Option<HeaderValue>)> {
+fn understand(request: &Request, core: &Broker) -> Option<(IncomingRequest, String, Option<HeaderValue>)> {
     let headers = request.headers();
     let key_header = repeat_key(headers)?;
     if ![Method::GET, Method::HEAD, Method::PUT].contains(request.method()) {
@@ -297,17 +297,17 @@
     let shard: i64 = placed("shard")?.parse().ok()?;
     let units = number(placed("units")?)?;
     let hosts = number(placed("hosts")?)?;
-    let fits = units > 0.0 && (settings.units_top <= 0.0 || units <= settings.units_top);
-    let ask = Ask {
+    let fits = units > 0.0 && (settings.max_request_units <= 0.0 || units <= settings.max_request_units);
+    let ask = IncomingRequest {
         class,
         volume: hex(placed("volume")?)?,
         plan: core.plan(plan)?,
-        hosts: Some(hosts).filter(|hosts| fits && (1.0..=65536.0).contains(hosts))?,
+        initiators: Some(hosts).filter(|hosts| fits && (1.0..=65536.0).contains(hosts))?,
         key: hex(key)?,
         shard: if shard == -1 { None } else { Some(u16::try_from(shard).ok()?) },
         units,
-        patience,
-        repeat: text(headers, "X-Second-Try").is_some_and(|v| v == "1"),
+        time_remaining: patience,
+        client_retry: text(headers, "X-Second-Try").is_some_and(|v| v == "1"),
     };
     let id = text(headers, "X-Trace-Id")?;
     let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -4,7 +4,7 @@
 //! together once. Only a process of the same user, name and clients' address is given anything: another customer's
 //! initiator may have the same name, and must not get this one's list, volumes or configuration.
 
-use crate::broker::{Input, Legacy, Order};
+use crate::broker::{CoreSnapshot, Input, OperatorCommand};
 use crate::runtime::host::Host;
 use crate::runtime::sockets::Uninterrupted;
 use serde::{Deserialize, Serialize};
@@ -95,7 +95,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Will {
     /// What its core knows.
-    pub legacy: Legacy,
+    pub legacy: CoreSnapshot,
     /// Ids of requests, and how long ago each was taken.
     pub traces: Vec<(Duration, String)>,
     /// The text of the configuration in force.
@@ -120,7 +120,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 enum Message {
     /// An operator's, under a number for its answer.
-    Order(u64, Order),
+    Order(u64, OperatorCommand),
     /// It was carried out, or not.
     Done(u64, bool),
     /// What the receiver may spend of every budget from now on.
@@ -311,7 +311,7 @@
         };
         let messages = matches!(reply, Reply::Will(_)).then(|| {
             self.0.taken.set(true);
-            self.0.host.feed(Input::Part(HALF));
+            self.0.host.feed(Input::BudgetShare(HALF));
             self.connect()
         });
         let line = simd_json::serde::to_string(&reply).ok()? + "\n";
@@ -320,7 +320,7 @@
         if !matches!(sent, Ok(Ok(()))) {
             self.0.peer.take();
             self.0.taken.set(false);
-            self.0.host.feed(Input::Part(1.0));
+            self.0.host.feed(Input::BudgetShare(1.0));
             return None;
         }
         info!("a successor has started: it and this process share every budget");
@@ -385,7 +385,7 @@
                     let _ = waiting.send(done);
                 }
             }
-            Ok(Message::Part(part)) => self.0.host.feed(Input::Part(part)),
+            Ok(Message::Part(part)) => self.0.host.feed(Input::BudgetShare(part)),
             Err(fault) => warn!(why = %fault, "the other process sent what can't be read"),
         }
     }
@@ -394,7 +394,7 @@
         self.0.peer.take();
         self.0.taken.set(false);
         self.0.waiting.borrow_mut().clear();
-        self.0.host.feed(Input::Part(1.0));
+        self.0.host.feed(Input::BudgetShare(1.0));
         info!("the other process is gone: this one has every budget alone");
     }
 
@@ -404,7 +404,7 @@
     }
 
     /// An operator's word to the other process: whether that carried it out in time.
-    pub async fn tell(&self, order: Order) -> bool {
+    pub async fn tell(&self, order: OperatorCommand) -> bool {
         let number = self.0.last.get() + 1;
         self.0.last.set(number);
         let (done, answered) = oneshot::channel();
@@ -417,7 +417,7 @@
 
     /// This process leaves and its successor goes on: most of every budget is the other's from now on.
     pub fn leave(&self) {
-        self.0.host.feed(Input::Part(LEAVES));
+        self.0.host.feed(Input::BudgetShare(LEAVES));
         self.send(Message::Part(1.0 - LEAVES));
     }
 }
--- a/src/net/management.rs
+++ b/src/net/management.rs
@@ -1,7 +1,7 @@
 //! The operators' address: one call on each connection, beside the clients' front and never behind its gate.
 
 use super::handover::Link;
-use crate::broker::Order;
+use crate::broker::OperatorCommand;
 use crate::runtime::host::Host;
 use crate::runtime::sockets::Uninterrupted;
 use actix_http::body::BoxBody;
@@ -29,7 +29,7 @@
     /// Whether this process takes clients.
     Ready,
     /// A change of the core.
-    Order(Order),
+    Order(OperatorCommand),
 }
 
 /// A connection's mark that its call has come whole.
@@ -46,10 +46,10 @@
     let parts: Vec<&str> = path.split('/').skip(1).collect();
     let (call, wants) = match parts[..] {
         ["v1", "readyz"] => (Call::Ready, Method::GET),
-        ["v1", "targets", id, "suspend"] => (Call::Order(Order::Suspend(id.into())), Method::POST),
-        ["v1", "targets", id, "resume"] => (Call::Order(Order::Resume(id.into())), Method::POST),
-        ["v1", "initiator", "drain"] => (Call::Order(Order::Drain), Method::POST),
-        ["v1", "initiator", "activate"] => (Call::Order(Order::Activate), Method::POST),
+        ["v1", "targets", id, "suspend"] => (Call::Order(OperatorCommand::Suspend(id.into())), Method::POST),
+        ["v1", "targets", id, "resume"] => (Call::Order(OperatorCommand::Resume(id.into())), Method::POST),
+        ["v1", "initiator", "drain"] => (Call::Order(OperatorCommand::Drain), Method::POST),
+        ["v1", "initiator", "activate"] => (Call::Order(OperatorCommand::Activate), Method::POST),
         _ => return Err(StatusCode::NOT_FOUND),
     };
     if *method == wants {
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -3,7 +3,7 @@
 //! awc takes a 1xx answer for the final one, and drops without a word what it read past an answer's end, so
 //! that the rest of it would be read as the next request's answer. Both are kept from it here.
 
-use crate::broker::News;
+use crate::broker::AttemptProgress;
 use crate::runtime::host::Tell;
 use crate::runtime::sockets::Uninterrupted;
 use actix_rt::net::{ActixStream, Ready};
@@ -333,7 +333,7 @@
                     if !self.begun && self.held.get(FIRST_DIGIT).is_some_and(|digit| *digit != b'1') {
                         self.begun = true;
                         // Where nobody waits for that there is nothing to tell.
-                        let _ = NEWS.try_with(|tell| tell(News::Began));
+                        let _ = NEWS.try_with(|tell| tell(AttemptProgress::ResponseStarted));
                     }
                 }
             }
@@ -477,7 +477,7 @@
             self.begun = false;
             self.bare = bytes.starts_with(b"HEAD ");
             self.idle = self.since.map(|since| since.elapsed());
-            let _ = NEWS.try_with(|tell| tell(News::Writes));
+            let _ = NEWS.try_with(|tell| tell(AttemptProgress::WriteStarted));
             self.stamp = Stamp::of(bytes);
         }
         let this = &mut *self;
--- a/src/net/watch.rs
+++ b/src/net/watch.rs
@@ -1,9 +1,9 @@
 //! The watch of discovery: the list as it changes, followed for as long as the program runs.
 
-use crate::asking::{Asking, Over, TOLD};
+use crate::asking::{CallEnd, EndpointListPoll, TOLD};
 use crate::broker::Input;
-use crate::interface::ListKind;
-use crate::members::{self, Members};
+use crate::interface::EndpointListKind;
+use crate::members::{self, EndpointList};
 use crate::runtime::host::Host;
 use crate::runtime::objects::Objects;
 use crate::runtime::sockets::http_client;
@@ -63,7 +63,7 @@
 
     /// Waits until the agent has said a first word, where it answers at once.
     pub async fn first_word(&self) {
-        if self.host.look(|broker| broker.settings().list_on_request) {
+        if self.host.look(|broker| broker.settings().endpoint_list_polled) {
             return;
         }
         if tokio::time::timeout(FIRST_WORD, self.spoke.notified()).await.is_err() {
@@ -86,7 +86,7 @@
             host: self.host.clone(),
             agent: self.agent,
             heard: self.heard.clone(),
-            asking: Asking::new(self.seed),
+            asking: EndpointListPoll::new(self.seed),
             refused: None,
             is_refused: false,
             listed: Rc::default(),
@@ -101,7 +101,7 @@
 fn go_blind(host: &Host, heard: &Heard, agent: SocketAddr) {
     if !heard.stale.replace(true) {
         warn!(%agent, "discovery has refused all calls for 6 s: nothing new is sent until it lists");
-        host.feed(Input::Stale(true));
+        host.feed(Input::EndpointListStale(true));
     }
 }
 
@@ -110,7 +110,7 @@
     host: Host,
     agent: SocketAddr,
     heard: Rc<Heard>,
-    asking: Asking,
+    asking: EndpointListPoll,
     /// Since when its calls bring no list, from the first that was refused on.
     refused: Option<Instant>,
     /// The last call was refused: discovery can be reached.
@@ -143,11 +143,11 @@
     }
 
     /// Silence between two refusals is no list either, but it proves nothing by itself: it may be an outage.
-    fn note(&mut self, over: Over, now: Instant) {
+    fn note(&mut self, over: CallEnd, now: Instant) {
         if self.listed.replace(false) {
             self.refused = None;
         }
-        self.is_refused = over == Over::Refused;
+        self.is_refused = over == CallEnd::Refused;
         if self.is_refused {
             self.refused.get_or_insert(now);
         }
@@ -155,7 +155,7 @@
 
     /// From when on nothing new is sent: refusals have gone on for so long by then that changes count as told.
     fn blind_at(&self) -> Option<Instant> {
-        let is_asked = self.host.settings().list_on_request && !self.heard.stale.get();
+        let is_asked = self.host.settings().endpoint_list_polled && !self.heard.stale.get();
         self.refused.filter(|_| is_asked && self.is_refused).map(|since| since + TOLD)
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// The same while a call is out.
-    async fn watch_until_over(&mut self, client: &Client) -> (Over, String) {
+    async fn watch_until_over(&mut self, client: &Client) -> (CallEnd, String) {
         let (blind_at, listed) = (self.blind_at(), self.listed.clone());
         let (host, heard, agent) = (self.host.clone(), self.heard.clone(), self.agent);
         let mut watching = std::pin::pin!(self.watch_once(client));
@@ -186,41 +186,42 @@
     }
 
     /// Follows the list until that ends: how, and why.
-    async fn watch_once(&mut self, client: &Client) -> (Over, String) {
+    async fn watch_once(&mut self, client: &Client) -> (CallEnd, String) {
         let revision = self.heard.revision.get();
         let url = format!("http://{}/catalog/members?stream=1&index={revision}", self.agent);
         let settings = self.host.settings();
-        let patience = Asking::patience(&settings);
+        let patience = EndpointListPoll::patience(&settings);
         let response = match tokio::time::timeout(patience, client.get(url).send()).await {
             Ok(Ok(response)) if response.status().is_success() => response,
-            Ok(Ok(response)) => return (Over::Refused, format!("answered {}", response.status())),
-            Ok(Err(error)) => return (Over::Broke, format!("could not be asked: {error}")),
-            Err(_) => return (Over::GivenUp, "no answer".into()),
+            Ok(Ok(response)) => return (CallEnd::Refused, format!("answered {}", response.status())),
+            Ok(Err(error)) => return (CallEnd::Broke, format!("could not be asked: {error}")),
+            Err(_) => return (CallEnd::GivenUp, "no answer".into()),
         };
-        let (mut objects, mut first) = (Objects::new(response), Some(Asking::first_word(&settings)));
+        let (mut objects, mut first) =
+            (Objects::new(response), Some(EndpointListPoll::first_word(&settings)));
         loop {
             // What an agent holds it tells at once: a head and no more is as good as none.
-            let next = objects.next(Asking::silence());
+            let next = objects.next(EndpointListPoll::silence());
             let next = match first.take() {
                 Some(first) => tokio::time::timeout(first, next).await,
                 None => Ok(next.await),
             };
             let object = match next {
                 Ok(Ok(object)) => object,
-                Ok(Err(why)) => return (Over::Broke, why.to_string()),
-                Err(_) => return (Over::GivenUp, "a head and nothing behind it".into()),
+                Ok(Err(why)) => return (CallEnd::Broke, why.to_string()),
+                Err(_) => return (CallEnd::GivenUp, "a head and nothing behind it".into()),
             };
             match object {
-                None => self.host.feed(Input::Current),
+                None => self.host.feed(Input::EndpointListCurrent),
                 Some(mut text) => {
                     if let Err(why) = self.read(&mut text) {
-                        return (Over::Broke, why);
+                        return (CallEnd::Broke, why);
                     }
                 }
             }
             if self.heard.stale.replace(false) {
                 info!(agent = %self.agent, "discovery lists again");
-                self.host.feed(Input::Stale(false));
+                self.host.feed(Input::EndpointListStale(false));
             }
             drop(self.replaced.take());
             self.listed.set(true);
@@ -236,11 +237,11 @@
 
     /// Two watches may be open while discovery moves, and the newer may lag: what is older than what is known is none
     /// of its news.
-    fn take(&self, members: Members) -> Result<(), String> {
+    fn take(&self, members: EndpointList) -> Result<(), String> {
         let known = self.heard.revision.get();
         if members.revision < known && self.heard.at.get().elapsed() < SET_BACK {
             return match members.kind {
-                ListKind::Changes => Ok(()),
+                EndpointListKind::Delta => Ok(()),
                 _ => Err(format!("its list is of revision {}, and {known} is known", members.revision)),
             };
         }
@@ -249,7 +250,7 @@
         }
         self.heard.revision.set(members.revision);
         self.heard.at.set(Instant::now());
-        self.host.feed(Input::List(members));
+        self.host.feed(Input::EndpointList(members));
         Ok(())
     }
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -3,9 +3,9 @@
 
 pub mod records;
 
-use crate::interface::{Class, Effect, ListKind, Plan, Readiness, Settings, VolumeId};
+use crate::interface::{EndpointListKind, Idempotency, Plan, Readiness, RequestClass, Settings, VolumeId};
 use crate::json::Fault;
-use crate::members::{Member, Members};
+use crate::members::{EndpointList, EndpointRecord};
 use records::{DiskBox, File, Phase};
 use shaletack_writeback::Unsettled;
 use std::collections::btree_map::Entry;
@@ -117,7 +117,7 @@
     /// The exports.
     pub exports: Vec<Export>,
     /// The boxes, as they are at the start.
-    pub boxes: Members,
+    pub boxes: EndpointList,
     /// Where the boxes' list is followed, if anywhere.
     pub etcd: Option<Etcd>,
     /// The version of this configuration, where it names one.
@@ -212,7 +212,7 @@
             sockets: file.sockets,
             version: file.version,
             exports,
-            boxes: Members { revision: 0, kind: ListKind::Cached, entries },
+            boxes: EndpointList { revision: 0, kind: EndpointListKind::Cached, entries },
             etcd: etcd.and_then(|(address, prefix)| Some(Etcd { address: address?, prefix })),
             peers: peers.and_then(|(name, listen, join, region, zone)| {
                 Some(Peers { name, listen: listen?, join, region, zone })
@@ -253,13 +253,14 @@
 
 /// Commands find their class by what the settings say of it, not by its name: NBD knows reads, large ones, and
 /// writes.
-fn classes(lanes: &[Class], writes: Vec<bool>, faults: &mut Vec<Fault>) -> Option<Classes> {
+fn classes(lanes: &[RequestClass], writes: Vec<bool>, faults: &mut Vec<Fault>) -> Option<Classes> {
     if !writes.is_empty() && writes.len() != lanes.len() {
         let counts = format!("{} entries for {} lanes", writes.len(), lanes.len());
         faults.push(format!("/settings/domain/changes-data: {counts}"));
         return None;
     }
-    let changes = |at: &usize| writes.get(*at).copied().unwrap_or(lanes[*at].effect != Effect::Safe);
+    let changes =
+        |at: &usize| writes.get(*at).copied().unwrap_or(lanes[*at].idempotency != Idempotency::Idempotent);
     let (writers, readers): (Vec<usize>, Vec<usize>) = (0..lanes.len()).partition(changes);
     let names =
         |of: &[usize]| of.iter().map(|at| format!("'{}'", lanes[*at].name)).collect::<Vec<_>>().join(", ");
@@ -275,13 +276,14 @@
             return None;
         }
     };
-    if lanes[write].effect == Effect::Keyed {
+    if lanes[write].idempotency == Idempotency::Keyed {
         let why = "NBD carries no key by which boxes could drop a repeat: 'at_most_once', or 'idempotent'";
         faults.push(format!("/settings/lanes/{write}/idempotency: {why}"));
     }
-    let (Some(read), Some(large_read)) =
-        (readers.iter().min_by_key(|at| lanes[**at].aim), readers.iter().max_by_key(|at| lanes[**at].aim))
-    else {
+    let (Some(read), Some(large_read)) = (
+        readers.iter().min_by_key(|at| lanes[**at].latency_objective),
+        readers.iter().max_by_key(|at| lanes[**at].latency_objective),
+    ) else {
         faults.push("/settings/lanes: no class reads".into());
         return None;
     };
@@ -311,7 +313,7 @@
                 reserve: *reserve,
                 limit: *limit,
                 burst: *burst,
-                tolerance: if *limit > 0.0 { (burst * 0.1).max(settings.units_top) } else { 0.0 },
+                tolerance: if *limit > 0.0 { (burst * 0.1).max(settings.max_request_units) } else { 0.0 },
                 weight: *weight,
                 price: 1.0,
                 retired: false,
@@ -329,23 +331,23 @@
     all
 }
 
-fn boxes(list: &[DiskBox], faults: &mut Vec<Fault>) -> Vec<Member> {
+fn boxes(list: &[DiskBox], faults: &mut Vec<Fault>) -> Vec<EndpointRecord> {
     let mut names = BTreeSet::new();
     let mut members = Vec::new();
     for (b, entry) in list.iter().enumerate() {
         let readiness = match entry.phase {
             Phase::Up => Readiness::Ready,
             Phase::Draining => Readiness::Draining,
-            Phase::Removed => Readiness::Gone,
+            Phase::Removed => Readiness::Removed,
         };
         let address = entry.host_port.parse().ok();
-        if address.is_none() && !(entry.host_port.is_empty() && readiness == Readiness::Gone) {
+        if address.is_none() && !(entry.host_port.is_empty() && readiness == Readiness::Removed) {
             faults.push(format!("/boxes/{b}/host_port: '{}' is not an address and port", entry.host_port));
         }
         if !names.insert(&entry.id) {
             faults.push(format!("/boxes/{b}/id: '{}' stands twice", entry.id));
         }
-        members.push(Member {
+        members.push(EndpointRecord {
             id: entry.id.clone(),
             address,
             zone: entry.locality.clone(),
--- a/src/operator/records.rs
+++ b/src/operator/records.rs
@@ -1,7 +1,7 @@
 //! The operator's file as typed records: what may stand in it, with its bounds. Their JSON Schema is what
 //! `shaletack schema` prints and what a file is checked against before anything is read from it.
 
-use crate::interface::{Class, Effect, Group, Rules, Settings};
+use crate::interface::{self, DedupScope, RequestClass, Settings, SharedRules};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::time::Duration;
@@ -431,55 +431,55 @@
     fn from(set: Scheduling) -> Settings {
         let span = Duration::from_nanos;
         let Scheduling { limits, domain, invariants, .. } = set;
-        let class = |lane: Lane| Class {
+        let class = |lane: Lane| RequestClass {
             name: lane.name,
-            aim: span(lane.aim),
+            latency_objective: span(lane.aim),
             deadline: span(lane.deadline),
-            late_worth: lane.late_worth,
-            value: lane.value,
-            effect: match lane.idempotency {
-                Idempotency::Idempotent => Effect::Safe,
-                Idempotency::Deduplicated => Effect::Keyed,
-                Idempotency::AtMostOnce => Effect::Unsafe,
+            late_weight: lane.late_worth,
+            priority_weight: lane.value,
+            idempotency: match lane.idempotency {
+                Idempotency::Idempotent => interface::Idempotency::Idempotent,
+                Idempotency::Deduplicated => interface::Idempotency::Keyed,
+                Idempotency::AtMostOnce => interface::Idempotency::NotIdempotent,
             },
-            group: match lane.group {
-                Dropping::All => Group::All,
-                Dropping::Zone => Group::Zone,
-                Dropping::Shard | Dropping::Cell => Group::Shard,
+            dedup_scope: match lane.group {
+                Dropping::All => DedupScope::All,
+                Dropping::Zone => DedupScope::Zone,
+                Dropping::Shard | Dropping::Cell => DedupScope::Shard,
             },
-            memory: span(lane.memory_span),
+            dedup_window: span(lane.memory_span),
             ordered: lane.keep_order,
-            tries: limits.try_limit,
+            max_attempts: limits.try_limit,
             retired: false,
         };
         Settings {
-            hosts: set.balancers,
+            initiators: set.balancers,
             rank: set.rank,
             zone: set.my_zone,
             zones: set.zones,
-            step: span(set.step),
-            list_on_request: set.membership_mode == Membership::OnRequest,
+            min_batch_interval: span(set.step),
+            endpoint_list_polled: set.membership_mode == Membership::OnRequest,
             classes: set.lanes.into_iter().map(class).collect(),
-            rules: Rules {
-                start_capacity: invariants.start_capacity,
-                warm_up: span(invariants.warm_up),
-                overload: invariants.overload_factor,
-                tip_after: span(invariants.tip_after),
-                ..Rules::default()
+            rules: SharedRules {
+                slow_start_capacity: invariants.start_capacity,
+                slow_start_duration: span(invariants.warm_up),
+                overload_factor: invariants.overload_factor,
+                overload_window: span(invariants.tip_after),
+                ..SharedRules::default()
             },
-            try_limit: limits.try_limit,
-            second_copies: limits.second_copies,
-            cancels: limits.cancelling,
-            retry_after_top: span(limits.max_retry_after),
-            cold_bears: domain.cold_bears,
-            keepalive: span(limits.keepalive),
+            max_attempts: limits.try_limit,
+            hedging_allowed: limits.second_copies,
+            cancellation_allowed: limits.cancelling,
+            max_retry_after: span(limits.max_retry_after),
+            slow_start_units: domain.cold_bears,
+            keep_alive_timeout: span(limits.keepalive),
             connect_timeout: span(limits.connect_timeout),
-            open_top: limits.open_requests,
+            max_open_requests: limits.open_requests,
             meter_period: span(domain.meter_period),
-            unit_mean: domain.unit_mean,
-            units_top: domain.units_top,
-            share_worth: domain.share_worth,
-            spare_worth: domain.beyond_share,
+            mean_request_units: domain.unit_mean,
+            max_request_units: domain.units_top,
+            within_share_weight: domain.share_worth,
+            beyond_share_weight: domain.beyond_share,
             ..Settings::default()
         }
     }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -8,7 +8,7 @@
 mod exchange;
 
 use crate::broker;
-use crate::hearsay::{Amounts, Totals};
+use crate::hearsay::{Contribution, Totals};
 use crate::operator;
 use crate::runtime::host::Host;
 use crate::runtime::sockets;
@@ -152,7 +152,7 @@
     /// What an exchange tells.
     fn told(&self) -> Vec<Told> {
         let now = Instant::now();
-        self.0.host.look(|broker| broker.tell_peers(now))
+        self.0.host.look(|broker| broker.peer_reports(now))
     }
 
     async fn ask(&self, to: SocketAddr) -> bool {
@@ -178,7 +178,7 @@
             facts.retain(|told| !told.what.is_amount());
         }
         let trip = trip.min(EXCHANGE);
-        self.0.host.feed(broker::Input::Told(from.clone(), trip, facts.clone()));
+        self.0.host.feed(broker::Input::PeerReports(from.clone(), trip, facts.clone()));
         self.spread(spread::Input::Exchanged(from, trip, facts)).await;
     }
 
@@ -192,10 +192,10 @@
                     // As with membership: what is lost is found by the next digest.
                     let _ = inner.udp.send_to(&bytes, to).await;
                 }
-                spread::Effect::Learnt(told) => inner.host.feed(broker::Input::Learnt(told)),
+                spread::Effect::Learnt(told) => inner.host.feed(broker::Input::GossipMerged(told)),
                 spread::Effect::Totals(totals) => {
                     let totals = self.totals(totals);
-                    inner.host.feed(broker::Input::Totals(totals));
+                    inner.host.feed(broker::Input::PeerTotals(totals));
                 }
                 spread::Effect::InForce(report) => {
                     let InForce { version, have, of, since } = report;
@@ -250,7 +250,7 @@
     /// What this process adds to the sums, from now on.
     async fn add(&self) {
         let now = Instant::now();
-        let Amounts { demand, spent } = self.0.host.look(|broker| broker.amounts(now));
+        let Contribution { demand, spent } = self.0.host.look(|broker| broker.contribution(now));
         let mut cold = BTreeMap::new();
         let mut amounts: Vec<(Key, u64)> =
             demand.into_iter().map(|(volume, rate)| (Key::Demand(volume), rate)).collect();
--- a/src/runtime/gate.rs
+++ b/src/runtime/gate.rs
@@ -186,7 +186,7 @@
             after(stopped_at, IDLE_CLOSES).await;
             closing.tell();
         }
-        let longest = host.settings().longest();
+        let longest = host.settings().longest_deadline();
         let done = || count.below(|| 1);
         let mut whole = tokio::time::timeout(longest + LAST_ANSWERS, done()).await.is_ok();
         if !whole {
--- a/src/runtime/host.rs
+++ b/src/runtime/host.rs
@@ -1,6 +1,8 @@
 //! Carries out what the core asks for: attempts, answers and waits, all on one thread.
 
-use crate::broker::{Answer, Ask, Broker, Effect, Input, News, Order, Reply};
+use crate::broker::{
+    Answer, AttemptProgress, AttemptResult, Broker, Effect, IncomingRequest, Input, OperatorCommand,
+};
 use crate::interface::{RequestId, Settings};
 use crate::runtime::log;
 use futures_util::future::LocalBoxFuture;
@@ -14,12 +16,12 @@
 use tokio::task::AbortHandle;
 
 /// Told how far an attempt is.
-pub type Tell = Box<dyn Fn(News)>;
+pub type Tell = Box<dyn Fn(AttemptProgress)>;
 
 /// How one front's requests reach a box. Dropping the future closes the connection it uses.
 pub trait Errand {
     /// One attempt, for which the initiator waits so long; `tell` is told how far it is.
-    fn attempt(&self, to: SocketAddr, wait: Duration, tell: Tell) -> LocalBoxFuture<'static, Reply>;
+    fn attempt(&self, to: SocketAddr, wait: Duration, tell: Tell) -> LocalBoxFuture<'static, AttemptResult>;
 }
 
 struct Waiting {
@@ -67,10 +69,10 @@
 
     /// Gives the core an input and carries out what it asks for.
     pub fn feed(&self, input: Input) {
-        if let Input::Part(part) | Input::Inherit(_, part) = &input {
+        if let Input::BudgetShare(part) | Input::Restore(_, part) = &input {
             self.0.part.set(*part);
         }
-        if let Input::List(_) = &input {
+        if let Input::EndpointList(_) = &input {
             // Starts of boxes are told in Unix time.
             let shown = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
             self.carry_out(Input::WallClock(shown));
@@ -82,25 +84,25 @@
         let effects = self.0.broker.borrow_mut().step(Instant::now(), input);
         for effect in effects {
             match effect {
-                Effect::Send { request, number, to, wait } => self.send(request, number, to, wait),
-                Effect::Abort(request, number) => {
+                Effect::StartAttempt { request, number, to, wait } => self.send(request, number, to, wait),
+                Effect::AbortAttempt(request, number) => {
                     if let Some(flight) = self.0.flights.borrow_mut().remove(&(request, number)) {
                         flight.abort();
                     }
                 }
-                Effect::Answer(request, answer) => {
+                Effect::Respond(request, answer) => {
                     if let Some(waiting) = self.0.waiting.borrow_mut().remove(&request) {
                         // Where the client is gone by now nobody reads it.
                         let _ = waiting.answer.send(answer);
                     }
                 }
-                Effect::Wake(at) => {
+                Effect::SetTimer(at) => {
                     if self.0.wake.replace(Some(at)) != Some(at) {
                         self.0.rearm.notify_one();
                     }
                 }
                 Effect::Log(notice) => log::write(&notice),
-                Effect::Say(told) => {
+                Effect::Broadcast(told) => {
                     if let Some(peers) = &*self.0.peers.borrow() {
                         // All of it is said again with the next message of the list: what has no room is not lost.
                         let _ = peers.try_send(told);
@@ -119,24 +121,24 @@
         let Some(errand) = self.0.waiting.borrow().get(&request).map(|w| w.errand.clone()) else { return };
         let host = self.clone();
         let core = self.clone();
-        let tell = Box::new(move |news| core.feed(Input::Went(request, number, news)));
+        let tell = Box::new(move |news| core.feed(Input::AttemptProgressed(request, number, news)));
         let attempt = errand.attempt(to, wait, tell);
         let task = actix_rt::spawn(async move {
             let reply = attempt.await;
             host.0.flights.borrow_mut().remove(&(request, number));
-            host.feed(Input::Ended(request, number, reply));
+            host.feed(Input::AttemptEnded(request, number, reply));
         });
         self.0.flights.borrow_mut().insert((request, number), task.abort_handle());
     }
 
     /// Takes a request and waits for its one final answer; dropping the future says that its client left.
-    pub async fn ask(&self, ask: Ask, errand: Rc<dyn Errand>) -> Answer {
+    pub async fn ask(&self, ask: IncomingRequest, errand: Rc<dyn Errand>) -> Answer {
         let id = self.0.last_id.get() + 1;
         self.0.last_id.set(id);
         let (answer, answered) = oneshot::channel();
         self.0.waiting.borrow_mut().insert(id, Waiting { errand, answer });
         let guard = Leaving { host: self, id };
-        self.feed(Input::Arrived(id, ask));
+        self.feed(Input::RequestArrived(id, ask));
         let answer = answered.await.unwrap_or(Answer::Failed);
         drop(guard);
         answer
@@ -151,7 +153,7 @@
                     () = rearmed => {}
                     () = tokio::time::sleep_until(at.into()) => {
                         self.0.wake.set(None);
-                        self.feed(Input::Woke);
+                        self.feed(Input::TimerFired);
                     }
                 },
             }
@@ -159,13 +161,13 @@
     }
 
     /// Carries out what an operator asks for; no, where it names a box that was never listed.
-    pub fn order(&self, order: Order) -> bool {
-        if let Order::Suspend(id) | Order::Resume(id) = &order {
+    pub fn order(&self, order: OperatorCommand) -> bool {
+        if let OperatorCommand::Suspend(id) | OperatorCommand::Resume(id) = &order {
             if !self.look(|broker| broker.knows(id)) {
                 return false;
             }
         }
-        self.feed(Input::Order(order));
+        self.feed(Input::OperatorCommand(order));
         true
     }
 
@@ -223,7 +225,7 @@
 
     /// Requests without a final answer.
     pub fn open(&self) -> usize {
-        self.0.broker.borrow().open()
+        self.0.broker.borrow().open_requests()
     }
 
     /// Looks at the core.
@@ -249,7 +251,7 @@
 impl Drop for Leaving<'_> {
     fn drop(&mut self) {
         if self.host.0.waiting.borrow_mut().remove(&self.id).is_some() {
-            self.host.feed(Input::Left(self.id));
+            self.host.feed(Input::ClientLeft(self.id));
         }
     }
 }
--- a/src/runtime/log.rs
+++ b/src/runtime/log.rs
@@ -1,7 +1,7 @@
 //! Structured events for the operators, on standard error: text or JSON, and bounded, so that a flood can't
 //! fill what keeps the log. What the bound drops is counted in an event of its own.
 
-use crate::notice::Notice;
+use crate::notice::OperatorEvent;
 use std::io;
 use std::str::FromStr;
 use std::sync::Mutex;
@@ -97,35 +97,40 @@
 }
 
 /// Gives the core's notices their form.
-pub fn write(notice: &Notice) {
+pub fn write(notice: &OperatorEvent) {
     match notice {
-        Notice::Listed { revision, kind, member } => {
+        OperatorEvent::EndpointListed { revision, kind, member } => {
             let at = member.address.map(tracing::field::display);
             let up_since = member.up_since.map(|t| t.as_secs_f64());
             let (standing, shard) = (member.readiness, member.shard);
             info!(id = member.id, ?standing, shard, at, up_since, revision, ?kind, "list");
         }
-        Notice::ListedBeside { revision, more } => info!(more, revision, "list: others changed as well"),
-        Notice::Inherited { revision, boxes, suspended, drained } => {
+        OperatorEvent::EndpointsNotListed { revision, more } => {
+            info!(more, revision, "list: others changed as well")
+        }
+        OperatorEvent::HandoverRestored { revision, boxes, suspended, drained } => {
             info!(boxes, revision, suspended, drained, "inherited");
         }
-        Notice::Suspended(id) => info!(id, "suspended by hand"),
-        Notice::Resumed(id) => info!(id, "resumed by hand, cold"),
-        Notice::Drained => info!("drained by hand: clients are to go elsewhere"),
-        Notice::Activated => info!("activated by hand: clients are taken again"),
-        Notice::SoFar { classes, ends, open } => {
+        OperatorEvent::EndpointSuspended(id) => info!(id, "suspended by hand"),
+        OperatorEvent::EndpointResumed(id) => info!(id, "resumed by hand, cold"),
+        OperatorEvent::ClientsDrained => info!("drained by hand: clients are to go elsewhere"),
+        OperatorEvent::ClientsAccepted => info!("activated by hand: clients are taken again"),
+        OperatorEvent::Counters { classes, ends, open } => {
             for (class, t) in classes {
-                let (taken, served, refused, failed, left) = (t.taken, t.served, t.refused, t.failed, t.left);
+                let (taken, served, refused, failed, left) =
+                    (t.taken, t.served, t.rejected, t.failed, t.client_left);
                 info!(class, taken, served, refused, failed, left, "so far");
             }
             let ends: Vec<String> = ends.iter().map(|(end, count)| format!("{end} {count}")).collect();
             info!(open, attempts = ends.join(", "), "so far");
         }
-        Notice::Advised { id, stopped, held, started_ago } => {
+        OperatorEvent::AdviceChanged { id, stopped, held, started_ago } => {
             let started_ago_ms = started_ago.map(|ago| ago.as_millis() as u64);
             info!(id, stopped, held, started_ago_ms, "advice on a box");
         }
-        Notice::Refused { from, unsound } => warn!(from, unsound, "a peer told what can't be taken"),
-        Notice::Decided(line) => debug!("{line}"),
+        OperatorEvent::PeerReportsRejected { from, unsound } => {
+            warn!(from, unsound, "a peer told what can't be taken")
+        }
+        OperatorEvent::SchedulerMessage(line) => debug!("{line}"),
     }
 }
--- a/src/runtime/sockets.rs
+++ b/src/runtime/sockets.rs
@@ -1,6 +1,6 @@
 //! Sockets where a system call fails for a moment: what such a failure says, and what goes on after it.
 
-use crate::ending::End;
+use crate::ending::TransportOutcome;
 use actix_rt::net::{ActixStream, Ready};
 use actix_service::fn_service;
 use actix_tls::connect::{ConnectError, ConnectInfo, Connection};
@@ -64,11 +64,11 @@
 }
 
 /// How an attempt ended whose connection could not be begun or did not come up.
-pub fn end_of_connect(error: &io::Error) -> End {
+pub fn end_of_connect(error: &io::Error) -> TransportOutcome {
     if is_local(error) {
-        End::NoDescriptor
+        TransportOutcome::NoDescriptor
     } else {
-        End::Unreachable
+        TransportOutcome::Unreachable
     }
 }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -188,41 +188,45 @@
 fn provision(record: Cut, tail: &[u8], now: Duration) -> Result<Hosted, Fault> {
     let text = record.part(11, tail, 1)?;
     let settings = settings::read(&mut text.to_vec()).map_err(Fault)?;
-    let fields = settings.load_fields.clone();
+    let fields = settings.load_report_fields.clone();
     Ok(Hosted { scheduler: Scheduler::new(settings, record.u64(3), now), fields })
 }
 
 fn event(code: u8, record: Cut, tail: &[u8], fields: &[String]) -> Result<Event, Fault> {
     Ok(match code {
-        2 => Event::Streaming(record.u64(3)),
-        3 => Event::Attempt(Attempt {
+        2 => Event::ResponseStreaming(record.u64(3)),
+        3 => Event::AttemptEnded(EndedAttempt {
             request: record.u64(3),
             number: record.u8(11),
-            node: record.u32(12),
-            ending: ending(record.u8(16))?,
-            took: record.span(17),
-            over: record.u8(25) != 0,
-            used: record.u16(26).checked_sub(1).map(|percent| f64::from(percent) / 100.0),
-            elsewhere: f64::from(record.u16(28)),
-            load: load(record, 30, fields)?,
+            endpoint: record.u32(12),
+            outcome: ending(record.u8(16))?,
+            elapsed: record.span(17),
+            request_complete: record.u8(25) != 0,
+            volume_usage: record.u16(26).checked_sub(1).map(|percent| f64::from(percent) / 100.0),
+            units_elsewhere: f64::from(record.u16(28)),
+            load_report: load(record, 30, fields)?,
         }),
         4 => Event::Timer,
-        5 => Event::Probed { node: record.u32(3), ok: record.u8(7) == 0, load: load(record, 16, fields)? },
-        6 => Event::Told { from: record.u16(3), bytes: record.part(5, tail, 1)?.to_vec() },
+        5 => Event::HealthChecked {
+            node: record.u32(3),
+            ok: record.u8(7) == 0,
+            load: load(record, 16, fields)?,
+        },
+        6 => Event::PeerMessage { from: record.u16(3), bytes: record.part(5, tail, 1)?.to_vec() },
         7 => Event::Request(Request {
             id: record.u64(3),
-            hosts: record.f32(11),
+            initiators: record.f32(11),
             class: record.u16(15),
             key: record.u64(17),
             shard: shard(record.f32(25)),
             volume: record.u64(29),
-            repeat: record.u16(37) & 2 != 0,
-            patience: record.span(39),
+            client_retry: record.u16(37) & 2 != 0,
+            time_remaining: record.span(39),
             units: record.f32(47),
             plan: record.u16(51),
         }),
-        9 => Event::List { kind: list_kind(record.u8(11))?, lines: lines(record, tail)? },
-        10 => Event::Left(record.u64(3)),
+        9 => Event::EndpointList { kind: list_kind(record.u8(11))?, lines: lines(record, tail)? },
+        10 => Event::ClientLeft(record.u64(3)),
         code => return fault(format!("{code} is not the code of an event")),
     })
 }
@@ -231,64 +235,64 @@
     (0.0..65536.0).contains(&number).then_some(number as u16)
 }
 
-fn ending(code: u8) -> Result<Ending, Fault> {
+fn ending(code: u8) -> Result<AttemptOutcome, Fault> {
     Ok(match code {
-        0 => Ending::Served,
-        5 => Ending::Error,
-        11 => Ending::TurnedAway,
-        110 => Ending::TimedOut,
-        111 => Ending::NoConnection,
-        104 => Ending::Broken,
-        125 => Ending::Cancelled,
-        114 => Ending::Void,
+        0 => AttemptOutcome::Served,
+        5 => AttemptOutcome::Error,
+        11 => AttemptOutcome::Rejected,
+        110 => AttemptOutcome::TimedOut,
+        111 => AttemptOutcome::ConnectFailed,
+        104 => AttemptOutcome::ConnectionLost,
+        125 => AttemptOutcome::Cancelled,
+        114 => AttemptOutcome::NotSent,
         code => return fault(format!("{code} is not the code of an outcome")),
     })
 }
 
-fn list_kind(code: u8) -> Result<ListKind, Fault> {
+fn list_kind(code: u8) -> Result<EndpointListKind, Fault> {
     Ok(match code {
-        0 => ListKind::Changes,
-        1 => ListKind::Failed,
-        2 => ListKind::Cached,
-        3 => ListKind::Full,
+        0 => EndpointListKind::Delta,
+        1 => EndpointListKind::Failed,
+        2 => EndpointListKind::Cached,
+        3 => EndpointListKind::Full,
         code => return fault(format!("{code} is not a kind of list")),
     })
 }
 
-fn lines(record: Cut, tail: &[u8]) -> Result<Vec<NodeLine>, Fault> {
+fn lines(record: Cut, tail: &[u8]) -> Result<Vec<EndpointUpdate>, Fault> {
     let part = record.part(12, tail, LINE)?;
     part.chunks_exact(LINE).map(|line| node_line(Cut(line))).collect()
 }
 
-fn node_line(line: Cut) -> Result<NodeLine, Fault> {
-    Ok(NodeLine {
-        node: line.u32(0),
+fn node_line(line: Cut) -> Result<EndpointUpdate, Fault> {
+    Ok(EndpointUpdate {
+        endpoint: line.u32(0),
         zone: line.u16(4),
         shard: line.u16(8),
         readiness: match line.u8(10) {
-            0 => Readiness::Gone,
+            0 => Readiness::Removed,
             1 => Readiness::Ready,
             2 => Readiness::Draining,
             code => return fault(format!("{code} is not a node's readiness")),
         },
-        born: line.span(15),
-        start: 0,
+        started_at: line.span(15),
+        start_id: 0,
     })
 }
 
-fn load(record: Cut, at: usize, fields: &[String]) -> Result<Load, Fault> {
+fn load(record: Cut, at: usize, fields: &[String]) -> Result<LoadReport, Fault> {
     let count = record.u8(at) as usize;
     if count > 4 {
         return fault("a load report holds more than four values");
     }
-    let mut load = Load::default();
+    let mut load = LoadReport::default();
     for (i, field) in fields.iter().take(count).enumerate() {
         let value = Some(record.f32(at + 1 + 4 * i)).filter(|v| v.is_finite() && *v >= 0.0);
         match field.as_str() {
             "recent_ms" => load.service_ms = value,
-            "backlog" => load.queue = value,
-            "utilization" => load.busy = value,
-            "outstanding" => load.held = value,
+            "backlog" => load.queued = value,
+            "utilization" => load.utilization = value,
+            "outstanding" => load.in_flight = value,
             _ => {}
         }
     }
@@ -314,7 +318,7 @@
                 put(11, &nanos(*timeout));
                 put(19, &node.to_le_bytes());
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 put(0, &[2]);
                 put(3, &request.to_le_bytes());
                 put(11, &nanos(*retry_after));
@@ -328,11 +332,11 @@
                 put(3, &request.to_le_bytes());
                 put(11, &[*number]);
             }
-            Action::Wake(at) => {
+            Action::SetTimer(at) => {
                 put(0, &[5]);
                 put(11, &nanos(*at));
             }
-            Action::Probe(node) => {
+            Action::HealthCheck(node) => {
                 put(0, &[6]);
                 put(3, &node.to_le_bytes());
             }
@@ -340,7 +344,7 @@
                 put(0, &[7]);
                 put(3, &node.to_le_bytes());
             }
-            Action::Tell { to, bytes } => {
+            Action::SendPeerMessage { to, bytes } => {
                 put(0, &[8]);
                 put(3, &to.unwrap_or(u16::MAX).to_le_bytes());
                 put(5, &span(&mut self.tail, bytes));
@@ -349,11 +353,11 @@
                 put(0, &[9]);
                 put(3, &span(&mut self.tail, line.as_bytes()));
             }
-            Action::Watch(on) => {
+            Action::WatchEndpointList(on) => {
                 put(0, &[11]);
                 put(3, &[u8::from(*on)]);
             }
-            Action::Fetch => put(0, &[12]),
+            Action::FetchEndpointList => put(0, &[12]),
         }
         self.records.extend_from_slice(&cell);
     }
--- a/src/writeback/mod.rs
+++ b/src/writeback/mod.rs
@@ -7,7 +7,7 @@
 mod files;
 pub mod offline;
 
-use crate::broker::{Answer, Ask};
+use crate::broker::{Answer, IncomingRequest};
 use crate::nbd::boxes::{Boxes, Piece};
 use crate::nbd::codec::cmd;
 use crate::operator::{Export, Operator, WriteBack};
@@ -227,16 +227,16 @@
         let patience =
             inner.host.settings().classes.get(class as usize).map_or(Duration::ZERO, |c| c.deadline);
         let length = data.len() as u32;
-        let ask = Ask {
+        let ask = IncomingRequest {
             class,
             volume: export.volume,
             plan: export.plan,
-            hosts: export.hosts,
+            initiators: export.hosts,
             key: id,
             shard: Some(shard),
             units: f64::from(length.div_ceil(inner.operator.unit_bytes).max(1)),
-            patience,
-            repeat: false,
+            time_remaining: patience,
+            client_retry: false,
         };
         let (boxes, data) = (inner.boxes.clone(), if command == cmd::WRITE { data } else { Bytes::new() });
         // On stable storage at the box before it leaves the log.
@@ -251,7 +251,7 @@
             let proof = match attempt.await {
                 Answer::Served(_) => Proof::Ran,
                 // Refused is said only of what provably never ran.
-                Answer::Refused(after) => {
+                Answer::Rejected(after) => {
                     tokio::time::sleep(after).await;
                     Proof::NeverRan
                 }
@@ -268,7 +268,7 @@
         actix_rt::spawn(async move {
             let bytes = match attempt.await {
                 Answer::Served(bytes) => Some(bytes),
-                Answer::Refused(_) | Answer::Failed => None,
+                Answer::Rejected(_) | Answer::Failed => None,
             };
             keeper.feed(Input::ReadBack(id, bytes));
         });
