--- a/src/main.rs
+++ b/src/main.rs
@@ -9,7 +9,7 @@
 use shaletack::members::EndpointList;
 use shaletack::nbd;
 use shaletack::net::front::{self, Traces};
-use shaletack::net::handover::{self, Identity, Inheritance, Link, Will};
+use shaletack::net::handover::{self, HandoverLink, HandoverState, Identity, ReceivedHandover};
 use shaletack::net::{boxes, management, watch};
 use shaletack::operator::{self, Operator};
 use shaletack::peers::{self, Peers};
@@ -392,20 +392,23 @@
         (None, Err(_)) => std::env::var("ROUTER_LISTEN").ok().and_then(|at| at.parse().ok()),
     };
     let me = name.zip(clients).map(|(name, clients)| Identity { name, clients });
-    let heir = match &me {
-        Some(me) => handover::ask(me, &std::env::temp_dir()).await.map_err(|why| why.to_string())?,
+    let predecessor = match &me {
+        Some(me) => {
+            handover::request_state(me, &std::env::temp_dir()).await.map_err(|why| why.to_string())?
+        }
         None => None,
     };
-    let (config, file) = match (loaded, &heir) {
+    let (config, file) = match (loaded, &predecessor) {
         // The predecessor turned such a file down, and serves by the one before.
-        (Err(fault), Some(Inheritance { will, .. })) => {
+        (Err(fault), Some(ReceivedHandover { state, .. })) => {
             warn!(why = %fault, "the new configuration is not used; the predecessor's is");
-            let config = config::read(&mut will.text.clone().into_bytes(), |name| std::env::var(name).ok())?;
+            let config =
+                config::read(&mut state.configuration.clone().into_bytes(), |name| std::env::var(name).ok())?;
             (config, file.or_else(|| std::env::var("ROUTER_CONFIG").ok()).ok_or(fault)?)
         }
         (loaded, _) => loaded?,
     };
-    run(config, file, signals, held, me, heir).await
+    run(config, file, signals, held, me, predecessor).await
 }
 
 async fn run(
@@ -414,7 +417,7 @@
     (mut term, hangup): (Signal, Signal),
     held: Option<std::net::TcpListener>,
     me: Option<Identity>,
-    heir: Option<Inheritance>,
+    predecessor: Option<ReceivedHandover>,
 ) -> Result<(), String> {
     let Config {
         name,
@@ -429,7 +432,7 @@
         settings,
         text,
     } = config;
-    let inherited = heir.as_ref().and_then(|heir| heir.will.legacy.clock(heir.received));
+    let inherited = predecessor.as_ref().and_then(|given| given.state.core.clock(given.received_at));
     let host = start(settings, seed, inherited.unwrap_or_else(fresh_clock), None);
     info!(name, boxes = known.entries.len(), revision = known.revision, "starts");
     passed_over.iter().for_each(|why| warn!(%why, "an entry of the list is passed over"));
@@ -437,17 +440,17 @@
     // On a port that the system chooses nobody can follow this process.
     let alone = me.is_none();
     let me = me.unwrap_or_else(|| Identity { name: name.clone(), clients: listen });
-    let link = Link::new(host.clone(), me, &std::env::temp_dir());
+    let link = HandoverLink::new(host.clone(), me, &std::env::temp_dir());
     let (traces, ready) = (Rc::new(RefCell::new(Traces::default())), Rc::new(Cell::new(false)));
-    if let Some(Inheritance { will, stream, .. }) = heir {
-        host.feed(Input::Restore(Box::new(will.legacy), handover::HALF));
-        traces.borrow_mut().inherit(will.traces);
-        link.keep(stream);
+    if let Some(ReceivedHandover { state, stream, .. }) = predecessor {
+        host.feed(Input::Restore(Box::new(state.core), handover::SHARED_BUDGET));
+        traces.borrow_mut().inherit(state.request_ids);
+        link.follow_predecessor(stream);
     }
     // Operators' calls have descriptors of their own, whatever the clients hold.
     let mut rest = sockets.saturating_sub(SPARE_SOCKETS);
     if let Some(place) = management {
-        rest = rest.saturating_sub(management::PLACES);
+        rest = rest.saturating_sub(management::MAX_CALLS);
         let calls = sockets::listen(place).await.map_err(|e| format!("management at {place}: {e}"))?;
         let place = calls.local_addr().map_err(|e| format!("management at {place}: {e}"))?;
         info!(at = %place, "operators' calls are taken");
@@ -490,16 +493,16 @@
         mb => ((mb.saturating_sub(BASE_MB) << 20) / CONNECTION_BYTES).max(16) as usize,
     };
     let (core, ids) = (host.clone(), traces.clone());
-    let will = move || Will {
-        legacy: core.look(|broker| broker.snapshot(Instant::now(), handover::HALF)),
-        traces: ids.borrow().all(),
-        text: String::from_utf8_lossy(&text.borrow()).into_owned(),
+    let state = move || HandoverState {
+        core: core.look(|broker| broker.snapshot(Instant::now(), handover::SHARED_BUDGET)),
+        request_ids: ids.borrow().all(),
+        configuration: String::from_utf8_lossy(&text.borrow()).into_owned(),
     };
     if !alone {
-        link.open(will);
+        link.accept_successors(state);
     }
     ready.set(true);
-    let succeeded = Rc::new(move || link.is_shared().then(|| link.leave()).is_some());
+    let succeeded = Rc::new(move || link.is_connected().then(|| link.yield_budgets()).is_some());
     let front = front::Front { host, boxes, most: (rest - rest / 4).min(room), traces, succeeded };
     front::serve(front, listener, async move {
         term.recv().await;
--- a/src/runtime/host.rs
+++ b/src/runtime/host.rs
@@ -160,14 +160,14 @@
         }
     }
 
-    /// Carries out what an operator asks for; no, where it names a box that was never listed.
-    pub fn order(&self, order: OperatorCommand) -> bool {
-        if let OperatorCommand::Suspend(id) | OperatorCommand::Resume(id) = &order {
+    /// Carries out an operator's command; false where it names an endpoint that was never listed.
+    pub fn command(&self, command: OperatorCommand) -> bool {
+        if let OperatorCommand::Suspend(id) | OperatorCommand::Resume(id) = &command {
             if !self.look(|broker| broker.knows(id)) {
                 return false;
             }
         }
-        self.feed(Input::OperatorCommand(order));
+        self.feed(Input::OperatorCommand(command));
         true
     }
 
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -7,7 +7,7 @@
 use shaletack::ending::TransportOutcome;
 use shaletack::interface::Settings;
 use shaletack::net::boxes::{Boxes, Carried, Passed};
-use shaletack::net::handover::{self, Identity, Link, Will};
+use shaletack::net::handover::{self, HandoverLink, HandoverState, Identity};
 use shaletack::net::watch::Watch;
 use shaletack::runtime::host::Errand;
 use std::cell::Cell;
@@ -386,26 +386,36 @@
     Identity { name: name.into(), clients: clients.parse().unwrap() }
 }
 
-fn will() -> Will {
-    Will { legacy: Default::default(), traces: vec![(Duration::from_secs(1), "t".into())], text: "{}".into() }
+fn state() -> HandoverState {
+    HandoverState {
+        core: Default::default(),
+        request_ids: vec![(Duration::from_secs(1), "t".into())],
+        configuration: "{}".into(),
+    }
 }
 
 /// The socket was named by the initiator's name alone: two customers' initiators of one name took over each other's list
 /// and configuration. And whoever connected and said nothing kept the true successor waiting until that gave up.
 #[test]
-fn a_will_goes_to_a_process_of_the_same_initiator_alone() {
+fn state_is_handed_only_to_a_process_of_the_same_initiator() {
     story(async {
-        let (folder, me) = (folder("wills"), initiator("n.3", "127.0.0.1:5000"));
+        let (folder, me) = (folder("states"), initiator("n.3", "127.0.0.1:5000"));
         let host = host(
             &operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)]).settings,
         );
-        let link = Link::new(host.clone(), me.clone(), &folder);
-        link.open(will);
+        let link = HandoverLink::new(host.clone(), me.clone(), &folder);
+        link.accept_successors(state);
         let path = me.socket(&folder);
         until(|| path.exists()).await;
         // Another clients' address is another socket; one whose name looks the same there meets, and is told why not.
-        assert!(handover::ask(&initiator("n.3", "127.0.0.2:5000"), &folder).await.unwrap().is_none());
-        assert!(handover::ask(&initiator("n_3", "127.0.0.1:5000"), &folder).await.unwrap().is_none());
+        assert!(handover::request_state(&initiator("n.3", "127.0.0.2:5000"), &folder)
+            .await
+            .unwrap()
+            .is_none());
+        assert!(handover::request_state(&initiator("n_3", "127.0.0.1:5000"), &folder)
+            .await
+            .unwrap()
+            .is_none());
         let answer = async |said: &str| {
             let mut stream = BufReader::new(UnixStream::connect(&path).await.unwrap());
             stream.write_all(said.as_bytes()).await.unwrap();
@@ -417,7 +427,7 @@
             .await
             .contains("version"));
         assert!(answer("shaletack heir 1\n").await.contains("its hello"));
-        assert_eq!((host.part(), link.is_shared()), (1.0, false));
+        assert_eq!((host.part(), link.is_connected()), (1.0, false));
         // Some that say nothing, or half a line, and stay.
         let mut silent = Vec::new();
         for said in ["", "", "{\"version\":2,"] {
@@ -426,30 +436,31 @@
             silent.push(stream);
         }
         let start = Instant::now();
-        let given = handover::ask(&me, &folder).await.unwrap().expect("the will");
-        let (given, stream) = (given.will, given.stream);
+        let given = handover::request_state(&me, &folder).await.unwrap().expect("the state");
+        let (given, stream) = (given.state, given.stream);
         assert!(start.elapsed() < Duration::from_millis(250), "{:?}", start.elapsed());
-        assert_eq!((given.traces.len(), host.part()), (1, 0.5));
-        // A third one waits while two share, and gets its will once the second has ended.
-        let third = async { handover::ask(&me, &folder).await.unwrap().is_some() };
+        assert_eq!((given.request_ids.len(), host.part()), (1, 0.5));
+        // A third one waits while two share, and gets its state once the second has ended.
+        let third = async { handover::request_state(&me, &folder).await.unwrap().is_some() };
         let ends = async {
             tokio::time::sleep(Duration::from_millis(300)).await;
             drop(stream);
         };
         assert!(futures_util::future::join(third, ends).await.0);
         until(|| host.part() == 1.0).await;
-        let _second = handover::ask(&me, &folder).await.unwrap().expect("the will");
-        let refused = handover::ask(&me, &folder).await.expect_err("a third one may not start").to_string();
+        let _second = handover::request_state(&me, &folder).await.unwrap().expect("the state");
+        let refused =
+            handover::request_state(&me, &folder).await.expect_err("a third one may not start").to_string();
         assert!(refused.contains("end the older one"), "{refused}");
     });
 }
 
-/// A predecessor that dies in the middle of its will, or right behind it, before it said how the budgets are shared.
+/// A predecessor that dies in the middle of handing over its state, or right behind it, before it said how the budgets are shared.
 #[test]
 fn a_predecessor_that_dies_leaves_its_successor_every_budget() {
     story(async {
         let (folder, me) = (folder("dies"), initiator("n3", "127.0.0.1:5000"));
-        let whole = format!("{{\"Will\":{}}}\n", serde_json::to_string(&will()).unwrap());
+        let whole = format!("{{\"Will\":{}}}\n", serde_json::to_string(&state()).unwrap());
         for (said, given) in [(&whole[..whole.len() / 2], false), (&whole[..], true)] {
             let _ = std::fs::remove_file(me.socket(&folder));
             let listener = UnixListener::bind(me.socket(&folder)).unwrap();
@@ -458,43 +469,43 @@
                 let _ = stream.read(&mut [0; 4096]).await.unwrap();
                 stream.write_all(said.as_bytes()).await.unwrap();
             };
-            let (asked, ()) = futures_util::future::join(handover::ask(&me, &folder), dies).await;
+            let (asked, ()) = futures_util::future::join(handover::request_state(&me, &folder), dies).await;
             let asked = asked.unwrap();
             assert_eq!(asked.is_some(), given);
-            let Some(handover::Inheritance { will, stream, .. }) = asked else { continue };
+            let Some(handover::ReceivedHandover { state, stream, .. }) = asked else { continue };
             let host = host(
                 &operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)])
                     .settings,
             );
-            host.feed(Input::Restore(Box::new(will.legacy), handover::HALF));
+            host.feed(Input::Restore(Box::new(state.core), handover::SHARED_BUDGET));
             assert_eq!(host.part(), 0.5);
-            Link::new(host.clone(), me.clone(), &folder).keep(stream);
+            HandoverLink::new(host.clone(), me.clone(), &folder).follow_predecessor(stream);
             until(|| host.part() == 1.0).await;
         }
     });
 }
 
-/// What operators ask while a will is on its way stands in it or goes behind it: a successor that did not hear of a box's
+/// What operators ask while the state is on its way stands in it or goes behind it: a successor that did not hear of a box's
 /// being taken out would send to it.
 #[test]
-fn an_operators_word_while_a_will_is_on_its_way_reaches_the_successor() {
+fn an_operators_command_during_the_hand_over_reaches_the_successor() {
     story(async {
         let (folder, me) = (folder("words"), initiator("n3", "127.0.0.1:5000"));
         let nowhere = "127.0.0.1:9".parse().unwrap();
         let host = host(&operator(&[(nowhere, 0), (nowhere, 1)]).settings);
-        let link = Link::new(host.clone(), me.clone(), &folder);
+        let link = HandoverLink::new(host.clone(), me.clone(), &folder);
         // More than a socket holds: its reader has to come for it.
         let traces: Vec<_> = (0..60_000).map(|n| (Duration::from_secs(1), format!("{n:016x}"))).collect();
-        link.open(move || Will { traces: traces.clone(), ..will() });
+        link.accept_successors(move || HandoverState { request_ids: traces.clone(), ..state() });
         let path = me.socket(&folder);
         until(|| path.exists()).await;
         let mut stream = BufReader::new(UnixStream::connect(&path).await.unwrap());
         let hello = "{\"version\":2,\"me\":{\"name\":\"n3\",\"clients\":\"127.0.0.1:5000\"}}\n";
         stream.write_all(hello.as_bytes()).await.unwrap();
         until(|| host.part() < 1.0).await;
-        // The will is made, and not read.
+        // The state is made, and not read.
         assert!(
-            !link.tell(OperatorCommand::Suspend("s-00000001".into())).await,
+            !link.forward_command(OperatorCommand::Suspend("s-00000001".into())).await,
             "nobody has carried it out yet"
         );
         let mut line = String::new();
@@ -553,12 +564,12 @@
         let boxes = operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)]);
         let host = host(&boxes.settings);
         host.feed(Input::EndpointList(boxes.boxes.clone()));
-        let link = Link::new(host.clone(), me.clone(), &folder);
-        link.open(will);
+        let link = HandoverLink::new(host.clone(), me.clone(), &folder);
+        link.accept_successors(state);
         until(|| me.socket(&folder).exists()).await;
         // A successor that says nothing more: a call waits for it.
-        let _successor = handover::ask(&me, &folder).await.unwrap().expect("the will");
-        until(|| link.is_shared()).await;
+        let _successor = handover::request_state(&me, &folder).await.unwrap().expect("the state");
+        until(|| link.is_connected()).await;
         let (listener, place) = loopback().await;
         let ready = Rc::new(Cell::new(true));
         actix_rt::spawn(shaletack::net::management::serve(host.clone(), link, listener, ready));
@@ -568,7 +579,7 @@
         whole.write_all(call.as_bytes()).await.unwrap();
         until(|| !host.look(|broker| broker.suspended_endpoints()).is_empty()).await;
         let mut silent = Vec::new();
-        for _ in 0..3 * shaletack::net::management::PLACES {
+        for _ in 0..3 * shaletack::net::management::MAX_CALLS {
             silent.push(TcpStream::connect(place).await.unwrap());
         }
         let (head, _) = message(&mut whole).await.expect("an answer");
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::net::*;
 use shaletack::broker::Input;
-use shaletack::net::handover::{Identity, Link};
+use shaletack::net::handover::{HandoverLink, Identity};
 use shaletack::net::management;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 async fn operators(host: &shaletack::runtime::host::Host) -> SocketAddr {
     let (listener, address) = loopback().await;
     let me = Identity { name: "nobody".into(), clients: "127.0.0.1:1".parse().unwrap() };
-    let link = Link::new(host.clone(), me, &std::env::temp_dir());
+    let link = HandoverLink::new(host.clone(), me, &std::env::temp_dir());
     actix_rt::spawn(management::serve(host.clone(), link, listener, Rc::new(Cell::new(true))));
     address
 }
@@ -34,7 +34,7 @@
         let (_, _, host) = http_front(&[]).await;
         let place = operators(&host).await;
         let mut slow = Vec::new();
-        for _ in 0..3 * management::PLACES {
+        for _ in 0..3 * management::MAX_CALLS {
             let mut stream = TcpStream::connect(place).await.unwrap();
             stream.write_all(b"POST /v1/initiator/dr").await.unwrap();
             slow.push(stream);
--- a/tests/handover_format.rs
+++ b/tests/handover_format.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 use shaletack::broker::OperatorCommand;
-use shaletack::net::handover::Will;
+use shaletack::net::handover::HandoverState;
 
 const HANDOVER_STATE: &str = include_str!("fixtures/handover-state.json");
 const OPERATOR_COMMANDS: &str = include_str!("fixtures/operator-commands.json");
@@ -16,7 +16,7 @@
 
 #[test]
 fn the_state_handed_over_by_an_earlier_release_is_read_and_written_alike() {
-    let state: Will = serde_json::from_str(HANDOVER_STATE).unwrap();
+    let state: HandoverState = serde_json::from_str(HANDOVER_STATE).unwrap();
     let written = serde_json::to_string(&state).unwrap();
     assert_eq!(json(&written), json(HANDOVER_STATE));
 }
