--- /dev/null
+++ b/crates/gossip/src/replica.rs
@@ -0,0 +1,80 @@
+//! What this process holds and passes on: observations, membership records, and the updates about them.
+
+use crate::anti_entropy::Record;
+use crate::codec::{Item, MembershipRecord, Refresh};
+use crate::directory::Directory;
+use crate::observations::{is_digested, observation_id};
+use crate::push::{PushQueue, Subject};
+use shaletack_knowledge::{Knowledge, Observer, KEPT};
+use std::time::Duration;
+
+/// The priority of membership records: after everything about endpoints.
+pub(crate) const MEMBER_PRIORITY: u64 = u64::MAX;
+/// The priority of a refresh: that of an endpoint that drains.
+pub(crate) const REFRESH_PRIORITY: u64 = 2;
+
+/// One process's copy of what the fleet knows.
+#[derive(Debug)]
+pub(crate) struct Replica {
+    pub(crate) observations: Knowledge,
+    pub(crate) directory: Directory,
+    pub(crate) updates: PushQueue,
+}
+
+impl Replica {
+    pub(crate) fn new(own: MembershipRecord, now: Duration) -> Self {
+        Replica {
+            observations: Knowledge::default(),
+            directory: Directory::new(own),
+            updates: PushQueue::new(now),
+        }
+    }
+
+    /// This process.
+    pub(crate) fn own_process(&self) -> &Observer {
+        &self.directory.own().process
+    }
+
+    /// What is to be sent about a subject; `None`: nothing any more.
+    pub(crate) fn item(&self, now: Duration, subject: &Subject) -> Option<Item> {
+        match subject {
+            Subject::Observation(topic) => {
+                self.observations.get(topic)?.told(now, self.own_process()).map(Item::Observation)
+            }
+            Subject::Member(address) => self.directory.record(*address).cloned().map(Item::Member),
+            Subject::Refresh(observer) => {
+                let state = self.updates.refresh_state(subject)?;
+                let age = now.saturating_sub(state.seen_at);
+                let record_ids = state.record_ids.clone();
+                let refresh = Refresh { observer: observer.clone(), hops: state.hops, age, record_ids };
+                (age <= KEPT).then_some(Item::Refresh(refresh))
+            }
+        }
+    }
+
+    /// The items of these subjects, the most urgent first.
+    pub(crate) fn items_by_priority(&self, now: Duration, subjects: &[Subject]) -> Vec<Item> {
+        let mut items: Vec<Item> = subjects.iter().filter_map(|subject| self.item(now, subject)).collect();
+        items.sort_by_key(|item| match item {
+            Item::Observation(report) => report.what.need(),
+            Item::Refresh(_) | Item::Member(_) => MEMBER_PRIORITY,
+        });
+        items
+    }
+
+    /// All records that digests cover.
+    pub(crate) fn digest_records(&self, now: Duration) -> Vec<Record> {
+        let observations = self.observations.facts().filter(|observation| is_digested(observation, now));
+        let observations = observations.map(|observation| Record {
+            id: observation_id(observation),
+            subject: Subject::Observation(observation.topic()),
+        });
+        observations.chain(self.directory.digest_records()).collect()
+    }
+
+    /// Drops what is too old.
+    pub(crate) fn expire(&mut self, now: Duration) {
+        self.observations.forget(now, |_| true);
+        self.directory.expire_records(now);
+    }
+}
--- /dev/null
+++ b/crates/gossip/tests/gossip/membership.rs
@@ -0,0 +1,189 @@
+//! Who is sent datagrams, and how a fleet of two releases gets along.
+
+use crate::network::{address, draining, first_hand, process, Network, MILLISECOND, SECOND};
+use rand::RngExt;
+use shaletack_gossip::{Effect, Input};
+use shaletack_knowledge::fact::Topic;
+use shaletack_knowledge::{Fact, Knowledge, Observer, Told, What};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// During an upgrade a fleet holds initiators of the previous release, to which a datagram is noise and a line in the log
+/// each. So nothing is sent to one, and what an exchange with it brings is passed on.
+#[test]
+fn a_member_of_the_previous_release_gets_no_datagram_and_its_reports_are_passed_on() {
+    let mut network = Network::settled(20, 1, 13);
+    let older = SocketAddr::from(([127, 0, 0, 1], 9));
+    for node in 0..20 {
+        network.step(node, Input::MemberUp { address: older, incarnation: 5 });
+        let unconfirmed: Vec<SocketAddr> = network.nodes[node].gossip.unconfirmed_members().collect();
+        assert_eq!(unconfirmed, [older]);
+    }
+    let from = Observer { name: "older".into(), life: 5 };
+    let reports = vec![
+        first_hand(&from, draining("s-1")),
+        first_hand(&from, What::Demand(3, 4000)),
+        Told { hops: 3, by: process(77, 1), ..first_hand(&from, draining("s-2")) },
+    ];
+    network.step(2, Input::Exchanged { from, round_trip: 10 * MILLISECOND, reports });
+    let reached =
+        |network: &Network| network.all_know(&draining("s-1")) && network.all_know(&draining("s-2"));
+    assert!(network.run_until(3 * SECOND, reached));
+    for node in &mut network.nodes {
+        let effects = node.gossip.step(Duration::from_secs(2000), Input::TimerFired);
+        let to_older = |effect: &Effect| matches!(effect, Effect::Send { to, .. } if *to == older);
+        assert!(!effects.iter().any(to_older));
+    }
+    let learned = &network.nodes[2].learned;
+    assert!(learned.is_empty(), "the core took the exchange itself: {learned:?}");
+    network.step(2, Input::SupportConfirmed(older));
+    assert_eq!(network.nodes[2].gossip.unconfirmed_members().count(), 0);
+}
+
+#[test]
+fn the_record_of_a_member_that_is_down_is_dropped_and_that_of_another_incarnation_stays() {
+    let mut network = Network::settled(5, 1, 20);
+    let recorded = |network: &Network| -> Vec<SocketAddr> {
+        network.nodes[0].gossip.membership_records().map(|record| record.address).collect()
+    };
+    network.step(0, Input::MemberDown { address: address(2), incarnation: 7 });
+    assert_eq!(recorded(&network), [address(1), address(2), address(3), address(4)]);
+    network.step(0, Input::MemberDown { address: address(3), incarnation: 1 });
+    assert_eq!(recorded(&network), [address(1), address(2), address(4)]);
+}
+
+const EACH_RELEASE: usize = 15;
+/// The most hops that the previous release takes.
+const PREVIOUS_HOPS: u8 = 3;
+const ROUND_TRIP: Duration = Duration::from_millis(4);
+
+fn older_address(older: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 5000 + older as u16))
+}
+
+fn older_process(older: usize) -> Observer {
+    Observer { name: format!("older{older}"), life: 5 }
+}
+
+/// What a process that exchanges over TCP knows, and what of it it has seen itself.
+#[derive(Clone, Default)]
+struct Exchanger {
+    known: Knowledge,
+    own: Vec<Fact>,
+}
+
+impl Exchanger {
+    fn sees(&mut self, what: &What, by: Observer, seen: Duration) {
+        self.own.push(Fact { what: what.clone(), by, start: 0, hops: 0, seen });
+    }
+
+    fn reports(&self, now: Duration, process: &Observer) -> Vec<Told> {
+        self.known.tell(now, process, self.own.clone())
+    }
+
+    fn takes(&mut self, now: Duration, process: &Observer, from: &Observer, reports: Vec<Told>) {
+        let in_range = reports.iter().all(|report| report.hops <= PREVIOUS_HOPS);
+        assert!(in_range, "the previous release takes no more hops");
+        let (_, refused) = self.known.hear(now, ROUND_TRIP, process, from, reports);
+        assert_eq!(refused.unsound, 0);
+    }
+}
+
+/// A fleet of both releases.
+struct MixedFleet {
+    network: Network,
+    /// The cores of the newer ones, which tell in exchanges.
+    cores: Vec<Exchanger>,
+    older: Vec<Exchanger>,
+}
+
+impl MixedFleet {
+    fn new() -> Self {
+        let mut network = Network::settled(EACH_RELEASE, 1, 20);
+        for node in 0..EACH_RELEASE {
+            for older in 0..EACH_RELEASE {
+                let address = older_address(older);
+                network.step(node, Input::MemberUp { address, incarnation: 5 });
+            }
+        }
+        let exchangers = vec![Exchanger::default(); EACH_RELEASE];
+        MixedFleet { network, cores: exchangers.clone(), older: exchangers }
+    }
+
+    /// The cores take what gossip has learned.
+    fn learn(&mut self) {
+        let now = self.network.now;
+        for (node, core) in self.network.nodes.iter_mut().zip(&mut self.cores) {
+            let clock = node.clock(now);
+            for (_, report) in std::mem::take(&mut node.learned) {
+                core.known.learn(report.heard(clock, Duration::ZERO));
+            }
+        }
+    }
+
+    /// A newer and an older one exchange all they know.
+    fn exchange(&mut self, newer: usize, older: usize) {
+        let now = self.network.now;
+        let node = &self.network.nodes[newer];
+        let (newer_process, clock) = (node.process.clone(), node.clock(now));
+        let older_process = older_process(older);
+        let to_older = self.cores[newer].reports(clock, &newer_process);
+        let to_newer = self.older[older].reports(now, &older_process);
+        self.older[older].takes(now, &older_process, &newer_process, to_older);
+        self.cores[newer].takes(clock, &newer_process, &older_process, to_newer.clone());
+        let exchanged = Input::Exchanged { from: older_process, round_trip: ROUND_TRIP, reports: to_newer };
+        self.network.step(newer, exchanged);
+    }
+
+    /// An older one asks the next member in the order of addresses: newer ones first, then the older ones.
+    fn older_asks(&mut self, older: usize, second: usize) {
+        let asked = (older + second) % (2 * EACH_RELEASE);
+        if asked < EACH_RELEASE {
+            self.exchange(asked, older);
+        } else if asked - EACH_RELEASE != older {
+            let now = self.network.now;
+            let from = older_process(asked - EACH_RELEASE);
+            let reports = self.older[asked - EACH_RELEASE].reports(now, &from);
+            self.older[older].takes(now, &older_process(older), &from, reports);
+        }
+    }
+
+    /// A newer one asks one of those that it can't send datagrams to.
+    fn newer_asks(&mut self, newer: usize) {
+        let unconfirmed = self.network.nodes[newer].gossip.unconfirmed_members().count();
+        assert_eq!(unconfirmed, EACH_RELEASE, "none of them is taken for one that gossips");
+        let drawn = self.network.rng.random_range(0..EACH_RELEASE);
+        self.exchange(newer, drawn);
+    }
+}
+
+/// Half of a fleet is of the previous release, which asks one member a second over TCP and takes reports of three hops at
+/// most. What either half sees comes to all, later than by datagrams, and nobody misreads anybody.
+#[test]
+fn a_fleet_half_of_the_previous_release_still_spreads_observations() {
+    let mut fleet = MixedFleet::new();
+    let (by_newer, by_older) = (draining("s-new"), draining("s-old"));
+    let started = fleet.network.now;
+    fleet.network.observe(3, by_newer.clone());
+    let node = &fleet.network.nodes[3];
+    fleet.cores[3].sees(&by_newer, node.process.clone(), node.clock(started));
+    fleet.older[4].sees(&by_older, older_process(4), started);
+    let mut all_at = None;
+    for second in 0..60 {
+        fleet.network.run(SECOND);
+        fleet.learn();
+        for index in 0..EACH_RELEASE {
+            fleet.older_asks(index, second);
+            fleet.newer_asks(index);
+        }
+        let topic = Topic::Standing("s-new".into());
+        let older_know = fleet.older.iter().all(|older| older.known.get(&topic).is_some());
+        let newer_know = (0..EACH_RELEASE).all(|node| fleet.network.knows(node, &by_older));
+        if older_know && newer_know {
+            all_at = Some(fleet.network.now - started);
+            break;
+        }
+    }
+    let took = all_at.expect("what either half sees is with all");
+    assert!(took < 30 * SECOND, "{took:?}");
+}
--- /dev/null
+++ b/crates/gossip/tests/gossip/network.rs
@@ -0,0 +1,309 @@
+//! Initiators in virtual time, and the network between them.
+
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+use shaletack_gossip::aggregation::{Key, Total};
+use shaletack_gossip::codec::{decode, encode, Body, Item, Message, IP_UDP_HEADER_BYTES, MAX_DATAGRAM_BYTES};
+use shaletack_gossip::{ConfigRollout, Effect, Gossip, Input, Locality};
+use shaletack_knowledge::{Fact, Observer, Standing, Told, What};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+pub const MILLISECOND: Duration = Duration::from_millis(1);
+pub const SECOND: Duration = Duration::from_secs(1);
+
+const FIRST_PORT: u16 = 1000;
+
+pub fn address(node: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + node as u16))
+}
+
+pub fn process(node: usize, incarnation: u64) -> Observer {
+    Observer { name: format!("n{node}"), life: incarnation }
+}
+
+pub fn draining(endpoint: &str) -> What {
+    What::Standing(endpoint.into(), Standing::Draining)
+}
+
+pub fn ready(endpoint: &str) -> What {
+    What::Standing(endpoint.into(), Standing::Ready)
+}
+
+/// What a process has seen itself just now.
+pub fn first_hand(by: &Observer, what: What) -> Told {
+    Told { what, by: by.clone(), start: 0, hops: 0, age: Duration::ZERO }
+}
+
+/// A datagram of that node in its first incarnation.
+pub fn datagram(from: usize, body: Body) -> Input {
+    Input::Datagram { from: address(from), bytes: encode(&Message { from: process(from, 1), body }) }
+}
+
+/// A pushed observation.
+pub fn push_of(report: Told) -> Body {
+    Body::Push(vec![Item::Observation(report)])
+}
+
+/// The messages that one process sends, and to whom.
+pub fn sent_bodies(effects: &[Effect]) -> Vec<(SocketAddr, Body)> {
+    let sent = effects.iter().filter_map(|effect| match effect {
+        Effect::Send { to, bytes } => Some((*to, decode(bytes).expect("an own datagram").body)),
+        _ => None,
+    });
+    sent.collect()
+}
+
+pub struct SentDatagram {
+    pub at: Duration,
+    /// Headers included.
+    pub bytes: usize,
+}
+
+pub struct Node {
+    pub gossip: Gossip,
+    pub process: Observer,
+    locality: Locality,
+    wake_at: Duration,
+    /// Its clock goes faster by this part.
+    clock_skew: f64,
+    pub learned: Vec<(Duration, Told)>,
+    pub sent: Vec<SentDatagram>,
+    pub rejected: Vec<Effect>,
+    pub totals: BTreeMap<Key, Total>,
+    pub rollouts: Vec<(Duration, ConfigRollout)>,
+}
+
+impl Node {
+    fn new(node: usize, incarnation: u64, locality: Locality, seed: u64, now: Duration) -> Self {
+        let process = process(node, incarnation);
+        let clock_skew = if node.is_multiple_of(2) { 1e-3 } else { -1e-3 };
+        let clock = local_clock(now, clock_skew);
+        Node {
+            gossip: Gossip::new(process.clone(), address(node), locality.clone(), seed, clock),
+            process,
+            locality,
+            wake_at: Duration::ZERO,
+            clock_skew,
+            learned: Vec::new(),
+            sent: Vec::new(),
+            rejected: Vec::new(),
+            totals: BTreeMap::new(),
+            rollouts: Vec::new(),
+        }
+    }
+
+    /// Its own clock.
+    pub fn clock(&self, now: Duration) -> Duration {
+        local_clock(now, self.clock_skew)
+    }
+
+    pub fn sent_bytes(&self) -> usize {
+        self.sent.iter().map(|datagram| datagram.bytes).sum()
+    }
+}
+
+fn local_clock(now: Duration, skew: f64) -> Duration {
+    Duration::from_secs(1000) + now.mul_f64(1.0 + skew)
+}
+
+struct InFlight {
+    from: usize,
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+/// What nodes send, in bytes a second.
+pub struct Traffic {
+    pub greatest: f64,
+    pub mean: f64,
+}
+
+pub struct Network {
+    pub now: Duration,
+    pub nodes: Vec<Node>,
+    in_flight: BTreeMap<(Duration, usize), InFlight>,
+    sent_count: usize,
+    pub rng: StdRng,
+    pub loss: f64,
+    pub duplication: f64,
+    /// Nodes for which this differs do not reach each other.
+    pub partition: Option<fn(usize) -> bool>,
+    pub paused: BTreeSet<usize>,
+}
+
+impl Network {
+    /// So many initiators, all known to each other, spread over regions of three zones.
+    fn connected(count: usize, regions: usize, seed: u64) -> Self {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let nodes = (0..count).map(|node| {
+            let (region, zone) = (node % regions, node / regions % 3);
+            let locality = Locality { region: format!("r{region}"), zone: format!("z{zone}") };
+            Node::new(node, 1, locality, rng.random(), Duration::ZERO)
+        });
+        let nodes = nodes.collect();
+        let mut network = Network {
+            now: Duration::ZERO,
+            nodes,
+            in_flight: BTreeMap::new(),
+            sent_count: 0,
+            rng,
+            loss: 0.0,
+            duplication: 0.0,
+            partition: None,
+            paused: BTreeSet::new(),
+        };
+        for to in 0..count {
+            for other in (0..count).filter(|other| *other != to) {
+                network.step(to, Input::MemberUp { address: address(other), incarnation: 1 });
+                network.step(to, Input::SupportConfirmed(address(other)));
+            }
+        }
+        network
+    }
+
+    /// The same, with all membership records known to all.
+    pub fn settled(count: usize, regions: usize, seed: u64) -> Self {
+        let mut network = Self::connected(count, regions, seed);
+        network.run(12 * SECOND);
+        let settled = |node: &&Node| node.gossip.membership_records().count() == count - 1;
+        assert_eq!(network.nodes.iter().filter(settled).count(), count, "all records are with all");
+        network.clear_sent();
+        network
+    }
+
+    fn latency(&self, from: usize, to: usize) -> Duration {
+        match (&self.nodes[from].locality, &self.nodes[to].locality) {
+            (a, b) if a == b => MILLISECOND / 2,
+            (a, b) if a.region == b.region => 2 * MILLISECOND,
+            _ => 60 * MILLISECOND,
+        }
+    }
+
+    pub fn step(&mut self, node: usize, input: Input) {
+        let clock = self.nodes[node].clock(self.now);
+        for effect in self.nodes[node].gossip.step(clock, input) {
+            self.carry_out(node, effect);
+        }
+    }
+
+    fn carry_out(&mut self, index: usize, effect: Effect) {
+        let now = self.now;
+        let node = &mut self.nodes[index];
+        match effect {
+            Effect::Send { to, bytes } => self.send(index, to, bytes),
+            Effect::Learned(reports) => {
+                node.learned.extend(reports.into_iter().map(|report| (now, report)));
+            }
+            Effect::WakeAt(at) => node.wake_at = now + at.saturating_sub(node.clock(now)),
+            Effect::Totals(totals) => node.totals = totals.into_iter().collect(),
+            Effect::ConfigRollout(rollout) => node.rollouts.push((now, rollout)),
+            rejected @ (Effect::DatagramRejected { .. } | Effect::InvalidItems { .. }) => {
+                node.rejected.push(rejected);
+            }
+        }
+    }
+
+    fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
+        assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
+        let sent = SentDatagram { at: self.now, bytes: bytes.len() + IP_UDP_HEADER_BYTES };
+        self.nodes[from].sent.push(sent);
+        let to = usize::from(to.port() - FIRST_PORT);
+        let is_cut = self.partition.is_some_and(|side| side(from) != side(to));
+        let copies = 1 + usize::from(self.rng.random_bool(self.duplication));
+        for _ in 0..copies {
+            if is_cut || self.rng.random_bool(self.loss) || to >= self.nodes.len() {
+                continue;
+            }
+            self.sent_count += 1;
+            let due = self.now + self.latency(from, to) + MILLISECOND.mul_f64(self.rng.random());
+            let datagram = InFlight { from, to, bytes: bytes.clone() };
+            self.in_flight.insert((due, self.sent_count), datagram);
+        }
+    }
+
+    pub fn run(&mut self, time: Duration) {
+        self.run_until(time, |_| false);
+    }
+
+    /// Runs for a time at most, until something is so; whether it is.
+    pub fn run_until(&mut self, time: Duration, done: impl Fn(&Network) -> bool) -> bool {
+        let end = self.now + time;
+        loop {
+            if done(self) {
+                return true;
+            }
+            let next = self.next_event().unwrap_or(end);
+            if next > end {
+                self.now = end;
+                return done(self);
+            }
+            self.now = next.max(self.now + MILLISECOND);
+            self.deliver();
+            self.wake();
+        }
+    }
+
+    fn next_event(&self) -> Option<Duration> {
+        let running = self.nodes.iter().enumerate().filter(|(node, _)| !self.paused.contains(node));
+        let wakes = running.map(|(_, node)| node.wake_at);
+        wakes.chain(self.in_flight.keys().map(|(due, _)| *due).next()).min()
+    }
+
+    fn deliver(&mut self) {
+        while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= self.now) {
+            let InFlight { from, to, bytes } = entry.remove();
+            if !self.paused.contains(&to) {
+                self.step(to, Input::Datagram { from: address(from), bytes });
+            }
+        }
+    }
+
+    fn wake(&mut self) {
+        for node in 0..self.nodes.len() {
+            if self.nodes[node].wake_at <= self.now && !self.paused.contains(&node) {
+                self.step(node, Input::TimerFired);
+            }
+        }
+    }
+
+    /// A node sees something itself.
+    pub fn observe(&mut self, node: usize, what: What) {
+        let report = first_hand(&self.nodes[node].process, what);
+        self.step(node, Input::LocalObservations(vec![report]));
+    }
+
+    pub fn knows(&self, node: usize, what: &What) -> bool {
+        let fact = Fact { what: what.clone(), by: process(0, 0), start: 0, hops: 0, seen: self.now };
+        let known = self.nodes[node].gossip.observations().get(&fact.topic());
+        known.is_some_and(|known| known.what == *what)
+    }
+
+    pub fn all_know(&self, what: &What) -> bool {
+        (0..self.nodes.len()).all(|node| self.knows(node, what))
+    }
+
+    /// What nodes have sent since [`Network::clear_sent`], over that time.
+    pub fn traffic(&self, time: Duration) -> Traffic {
+        let rate = |node: &Node| node.sent_bytes() as f64 / time.as_secs_f64();
+        let rates: Vec<f64> = self.nodes.iter().map(rate).collect();
+        let mean = rates.iter().sum::<f64>() / rates.len() as f64;
+        Traffic { greatest: rates.into_iter().fold(0.0, f64::max), mean }
+    }
+
+    pub fn clear_sent(&mut self) {
+        self.nodes.iter_mut().for_each(|node| node.sent.clear());
+    }
+
+    pub fn restart(&mut self, index: usize, incarnation: u64) {
+        let locality = self.nodes[index].locality.clone();
+        let seed = self.rng.random();
+        self.nodes[index] = Node::new(index, incarnation, locality, seed, self.now);
+        for other in (0..self.nodes.len()).filter(|other| *other != index) {
+            self.step(other, Input::MemberUp { address: address(index), incarnation });
+            let incarnation = self.nodes[other].process.life;
+            self.step(index, Input::MemberUp { address: address(other), incarnation });
+        }
+    }
+}
--- a/crates/spread/tests/wire_fixtures.rs
+++ b/crates/gossip/tests/wire_fixtures.rs
@@ -1,10 +1,10 @@
 //! Initiators of two releases gossip with each other during each upgrade. The files in `fixtures` are datagrams and keys
 //! as the release of 2 December 2026 encodes them: each has to mean the same now, and to be encoded to the same bytes.
 
+use shaletack_gossip::aggregation::{self, Key, KeyRow, Layout, PackedTotal, Page, PageKind, TotalsPage};
+use shaletack_gossip::codec::{decode, encode, Body, Item, MembershipRecord, Message, Refresh};
+use shaletack_gossip::Locality;
 use shaletack_knowledge::{Observer, Standing, Told, What};
-use shaletack_spread::datagram::{decode, encode, Body, Card, Item, Message, Still};
-use shaletack_spread::sums::{self, Key, Layout, Page};
-use shaletack_spread::Place;
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -23,17 +23,22 @@
 
 fn report(what: What, hops: u8) -> Item {
     let (by, start, age) = (process("initiator-1"), 1_764_700_000_123, Duration::new(7, 250_000_000));
-    Item::Fact(Told { what, by, start, hops, age })
+    Item::Observation(Told { what, by, start, hops, age })
 }
 
-fn record(at: &str) -> Item {
-    let place = Place { region: "south".into(), zone: "south-b".into() };
-    Item::Card(Card { who: process("initiator-2"), at: at.parse().unwrap(), place })
+fn record(address: &str) -> Item {
+    let locality = Locality { region: "south".into(), zone: "south-b".into() };
+    Item::Member(MembershipRecord {
+        process: process("initiator-2"),
+        address: address.parse().unwrap(),
+        locality,
+    })
 }
 
 fn refresh() -> Item {
-    let ids = vec![0, 1, 0x8000_0000, u32::MAX];
-    Item::Still(Still { by: process("initiator-3"), hops: 2, age: Duration::from_millis(1500), ids })
+    let record_ids = vec![0, 1, 0x8000_0000, u32::MAX];
+    let age = Duration::from_millis(1500);
+    Item::Refresh(Refresh { observer: process("initiator-3"), hops: 2, age, record_ids })
 }
 
 /// One item of each kind, and of each claim.
@@ -54,51 +59,68 @@
 }
 
 fn page(layout: Layout, amounts: Vec<u16>) -> Page {
-    Page { shard: 15, page: 7, pages: 8, split: 3, seq: 70_000, layout, amounts }
+    Page { shard: 15, page: 7, page_count: 8, split: 3, sequence: 70_000, layout, amounts }
 }
 
 fn full() -> Layout {
-    Layout::Full(vec![([1, 2, 3, 4, 15], 1), ([200, 201, 202, 203, 255], 300)])
+    let row = |key, contributors| KeyRow { key, contributors };
+    Layout::Full(vec![row([1, 2, 3, 4, 15], 1), row([200, 201, 202, 203, 255], 300)])
 }
 
-fn totals() -> sums::Message {
-    let totals = vec![(0, 0), (1023, 1), (u16::MAX, u32::MAX)];
-    sums::Message::Totals { shard: 3, page: 1, seq: 99, age: 200, missing: 513, totals }
+fn totals() -> aggregation::Message {
+    let total = |amount, contributors| PackedTotal { amount, contributors };
+    let totals = vec![total(0, 0), total(1023, 1), total(u16::MAX, u32::MAX)];
+    let (sequence, age_ticks, missing_cells) = (99, 200, 513);
+    aggregation::Message::Totals(TotalsPage { shard: 3, page: 1, sequence, age_ticks, missing_cells, totals })
 }
 
-fn lost(part: bool) -> sums::Message {
-    sums::Message::Lost { part, shard: 9, page: 2 }
+fn layout_unknown(kind: PageKind) -> aggregation::Message {
+    aggregation::Message::LayoutUnknown { kind, shard: 9, page: 2 }
+}
+
+fn digest(token: u32, range_hashes: Vec<u32>) -> Body {
+    Body::Digest { token, range_hashes }
+}
+
+fn differences(token: u32, ranges: u16, record_ids: Vec<u32>) -> Body {
+    Body::Differences { token, ranges, record_ids }
 }
 
 /// Each kind of message in each variant, under the name of its file.
 fn messages() -> Vec<(&'static str, Message)> {
     let named = |body| Message { from: process("initiator-9"), body };
     let nameless = |body| Message { from: process(""), body };
-    let sums = |message| nameless(Body::Sums(message));
+    let sums = |message| nameless(Body::Aggregation(message));
     vec![
-        ("push.bin", named(Body::News(items()))),
-        ("push-empty.bin", named(Body::News(Vec::new()))),
-        ("digest-overall.bin", nameless(Body::Digest(0xdead_beef, vec![0x0102_0304]))),
-        ("digest-ranges.bin", nameless(Body::Digest(7, (0..16).map(|n| n * 0x1111_1111).collect()))),
-        ("differences.bin", nameless(Body::Differs(7, 0x8421, vec![1, 0x1000_0000, 0xf000_0000]))),
-        ("differences-none.bin", nameless(Body::Differs(u32::MAX, 0, Vec::new()))),
-        ("request.bin", nameless(Body::Want(vec![5, 0xffff_ffff]))),
+        ("push.bin", named(Body::Push(items()))),
+        ("push-empty.bin", named(Body::Push(Vec::new()))),
+        ("digest-overall.bin", nameless(digest(0xdead_beef, vec![0x0102_0304]))),
+        ("digest-ranges.bin", nameless(digest(7, (0..16).map(|n| n * 0x1111_1111).collect()))),
+        ("differences.bin", nameless(differences(7, 0x8421, vec![1, 0x1000_0000, 0xf000_0000]))),
+        ("differences-none.bin", nameless(differences(u32::MAX, 0, Vec::new()))),
+        ("request.bin", nameless(Body::Request(vec![5, 0xffff_ffff]))),
         ("records.bin", named(Body::Records(items()))),
-        ("report-full.bin", sums(sums::Message::Tell(page(full(), vec![9, 40_000])))),
-        ("report-unchanged.bin", sums(sums::Message::Tell(page(Layout::Same(0x0a0b_0c0d), vec![1023])))),
-        ("partial-full.bin", sums(sums::Message::Part(page(full(), vec![0, u16::MAX])))),
-        ("partial-unchanged.bin", sums(sums::Message::Part(page(Layout::Same(0), Vec::new())))),
+        ("report-full.bin", sums(aggregation::Message::Report(page(full(), vec![9, 40_000])))),
+        (
+            "report-unchanged.bin",
+            sums(aggregation::Message::Report(page(Layout::Unchanged(0x0a0b_0c0d), vec![1023]))),
+        ),
+        ("partial-full.bin", sums(aggregation::Message::Partial(page(full(), vec![0, u16::MAX])))),
+        (
+            "partial-unchanged.bin",
+            sums(aggregation::Message::Partial(page(Layout::Unchanged(0), Vec::new()))),
+        ),
         ("totals.bin", sums(totals())),
-        ("layout-unknown-report.bin", sums(lost(false))),
-        ("layout-unknown-partial.bin", sums(lost(true))),
+        ("layout-unknown-report.bin", sums(layout_unknown(PageKind::Report))),
+        ("layout-unknown-partial.bin", sums(layout_unknown(PageKind::Partial))),
     ]
 }
 
 fn keys() -> Vec<(&'static str, Key)> {
     vec![
         ("key-demand.bin", Key::Demand(300)),
-        ("key-slow-start-spend.bin", Key::Spent(u64::MAX)),
-        ("key-config-version.bin", Key::InForce(0)),
+        ("key-slow-start-spend.bin", Key::SlowStartSpend(u64::MAX)),
+        ("key-config-version.bin", Key::ConfigVersion(0)),
     ]
 }
 
@@ -120,9 +142,9 @@
         assert_eq!(postcard::to_allocvec(&key).unwrap(), bytes, "{name}");
     }
     let bytes = read("locality.bin");
-    let place = Place { region: "south".into(), zone: "south-b".into() };
-    assert_eq!(postcard::from_bytes::<Place>(&bytes).unwrap(), place);
-    assert_eq!(postcard::to_allocvec(&place).unwrap(), bytes);
+    let locality = Locality { region: "south".into(), zone: "south-b".into() };
+    assert_eq!(postcard::from_bytes::<Locality>(&bytes).unwrap(), locality);
+    assert_eq!(postcard::to_allocvec(&locality).unwrap(), bytes);
 }
 
 #[test]
--- a/crates/lab/src/hollow/initiator.rs
+++ b/crates/lab/src/hollow/initiator.rs
@@ -6,12 +6,13 @@
 use shaletack::hearsay::Totals;
 use shaletack::peers::observer;
 use shaletack::{broker, notice::OperatorEvent, operator::Operator};
+use shaletack_gossip as gossip;
+use shaletack_gossip::aggregation::{Key, Total};
+use shaletack_gossip::codec::MAGIC as GOSSIP_MAGIC;
+use shaletack_gossip::{Gossip, Locality};
 use shaletack_knowledge::Observer;
 use shaletack_peers::frame::{self, Message, HEAD, SPREADS};
 use shaletack_peers::membership::{self, Membership, Peer, DATAGRAM_MOST};
-use shaletack_spread::spread::{self, Spread};
-use shaletack_spread::sums::{Key, Total};
-use shaletack_spread::{datagram, Place};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -118,12 +119,12 @@
     start: Instant,
     udp: UdpSocket,
     membership: RefCell<Membership>,
-    spread: RefCell<Spread>,
+    spread: RefCell<Gossip>,
     broker: RefCell<broker::Broker>,
     /// When membership, core and spread want to be woken.
     wakes: [Cell<Option<Instant>>; 3],
     /// What the core sees, for the spread.
-    said: RefCell<Vec<spread::Input>>,
+    said: RefCell<Vec<gossip::Input>>,
     news: UnboundedSender<News>,
     ledger: Arc<Ledger>,
 }
@@ -137,8 +138,9 @@
     let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let me = Observer { name: format!("h{index}"), ..me };
     let peer = Peer { name: me.name.clone(), life: me.life, epoch: unix.as_millis() as u64, at };
-    let place = Place { region: format!("g{}", index % ZONES / REGION), zone: format!("z{}", index % ZONES) };
-    let spread = Spread::new(me.clone(), at, place, me.life, Duration::ZERO);
+    let place =
+        Locality { region: format!("g{}", index % ZONES / REGION), zone: format!("z{}", index % ZONES) };
+    let spread = Gossip::new(me.clone(), at, place, me.life, Duration::ZERO);
     let core =
         broker::Broker::new(operator.settings.clone(), me.life, broker::Clock::new(start, unix), start);
     let hollow = Rc::new(Hollow {
@@ -168,7 +170,7 @@
         let mut bytes = [0; DATAGRAM_MOST + 1];
         let served = Arc::new(tokio::sync::Semaphore::new(SERVED_MOST));
         let mut adds = tokio::time::interval(ADDED_EVERY);
-        self.spread(spread::Input::Woke).await;
+        self.spread(gossip::Input::TimerFired).await;
         loop {
             let first = self.wakes.iter().filter_map(Cell::get).min();
             tokio::select! {
@@ -176,7 +178,7 @@
                     self.ledger.moved(self.index, 0, self.ledger.places.get(&from), length + UDP_HEAD);
                     let datagram = bytes[..length].to_vec();
                     match datagram.first() {
-                        Some(&datagram::MARK) => self.spread(spread::Input::Datagram(from, datagram)).await,
+                        Some(&GOSSIP_MAGIC) => self.spread(gossip::Input::Datagram { from, bytes: datagram }).await,
                         _ => self.members(membership::Input::Datagram(datagram.into())).await,
                     }
                 },
@@ -192,7 +194,7 @@
                 _ = adds.tick() => {
                     let volumes = self.ledger.volumes.load(Ordering::Relaxed);
                     let amounts = (0..volumes).map(|n| self.uses(n)).collect();
-                    self.spread(spread::Input::Amounts(amounts)).await;
+                    self.spread(gossip::Input::LocalAmounts(amounts)).await;
                 }
                 () = sleep_until(first.unwrap_or_else(Instant::now).into()), if first.is_some() => {
                     let now = Instant::now();
@@ -207,7 +209,7 @@
                         self.core(broker::Input::TimerFired);
                     }
                     if due(&self.wakes[2]) {
-                        self.spread(spread::Input::Woke).await;
+                        self.spread(gossip::Input::TimerFired).await;
                     }
                 }
             }
@@ -238,11 +240,11 @@
                 }
                 membership::Effect::Wake(at) => self.wakes[0].set(Some(self.start + at)),
                 membership::Effect::Up(peer) => {
-                    self.spread(spread::Input::Up(peer.at, peer.life)).await;
+                    self.spread(gossip::Input::MemberUp { address: peer.at, incarnation: peer.life }).await;
                     self.tell(What::Up(peer.name));
                 }
                 membership::Effect::Down(peer) => {
-                    self.spread(spread::Input::Down(peer.at, peer.life)).await;
+                    self.spread(gossip::Input::MemberDown { address: peer.at, incarnation: peer.life }).await;
                     self.tell(What::Down(peer.name));
                 }
                 membership::Effect::Twins(..) | membership::Effect::Bad(_) => self.tell(What::Warned),
@@ -256,13 +258,13 @@
         self.ledger.moved(self.index, 1, self.ledger.places.get(&to), bytes.len() + UDP_HEAD);
     }
 
-    async fn spread(&self, input: spread::Input) {
+    async fn spread(&self, input: gossip::Input) {
         let effects = self.spread.borrow_mut().step(self.start.elapsed(), input);
         for effect in effects {
             match effect {
-                spread::Effect::Send(to, bytes) => self.send(to, &bytes).await,
-                spread::Effect::Learnt(told) => self.core(broker::Input::GossipMerged(told)),
-                spread::Effect::Totals(totals) => {
+                gossip::Effect::Send { to, bytes } => self.send(to, &bytes).await,
+                gossip::Effect::Learned(told) => self.core(broker::Input::GossipMerged(told)),
+                gossip::Effect::Totals(totals) => {
                     // Nothing is cold here: all that is summed is demand.
                     let demand =
                         totals.into_iter().filter_map(|(key, Total { others, age, .. })| match key {
@@ -274,9 +276,11 @@
                         ..Totals::default()
                     }));
                 }
-                spread::Effect::Wake(at) => self.wakes[2].set(Some(self.start + at)),
-                spread::Effect::InForce(_) => {}
-                spread::Effect::Bad(..) | spread::Effect::Unsound(..) => self.tell(What::Warned),
+                gossip::Effect::WakeAt(at) => self.wakes[2].set(Some(self.start + at)),
+                gossip::Effect::ConfigRollout(_) => {}
+                gossip::Effect::DatagramRejected { .. } | gossip::Effect::InvalidItems { .. } => {
+                    self.tell(What::Warned)
+                }
             }
         }
     }
@@ -288,7 +292,9 @@
                 broker::Effect::Log(OperatorEvent::AdviceChanged { id, stopped: true, .. }) => {
                     self.tell(What::Stopped(id))
                 }
-                broker::Effect::Broadcast(told) => self.said.borrow_mut().push(spread::Input::Say(told)),
+                broker::Effect::Broadcast(told) => {
+                    self.said.borrow_mut().push(gossip::Input::LocalObservations(told))
+                }
                 // It has no clients, so nothing is sent or answered.
                 _ => {}
             }
@@ -323,7 +329,7 @@
             let (message, length) = Self::read(&mut stream).await?;
             self.ledger.moved(self.index, 0, other, over_tcp(length, ASKED_PACKETS));
             if message.trip == SPREADS {
-                self.spread(spread::Input::Speaks(to)).await;
+                self.spread(gossip::Input::SupportConfirmed(to)).await;
             }
             self.exchanged(message, sent.elapsed()).await;
             io::Result::Ok(())
@@ -349,12 +355,14 @@
     /// What one that speaks the spread is asked for is in the sums.
     async fn exchanged(&self, message: Message, trip: Duration) {
         let Message { from, mut facts, .. } = message;
-        if message.trip == SPREADS || self.spread.borrow().cards().any(|card| card.who == from) {
+        if message.trip == SPREADS
+            || self.spread.borrow().membership_records().any(|record| record.process == from)
+        {
             facts.retain(|told| !told.what.is_amount());
         }
         let trip = trip.min(EXCHANGE);
         self.core(broker::Input::PeerReports(from.clone(), trip, facts.clone()));
-        self.spread(spread::Input::Exchanged(from, trip, facts)).await;
+        self.spread(gossip::Input::Exchanged { from, round_trip: trip, reports: facts }).await;
     }
 
     /// Members that are not known to speak the spread are asked over TCP.
@@ -362,7 +370,7 @@
         let mut rng = StdRng::seed_from_u64(self.me.life);
         loop {
             sleep(ASKED_EVERY).await;
-            let unmet = self.spread.borrow().unmet().choose(&mut rng);
+            let unmet = self.spread.borrow().unconfirmed_members().choose(&mut rng);
             if let Some(to) = unmet {
                 self.clone().ask(to).await;
             }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -37,7 +37,7 @@
   --seconds     so long is measured while nothing happens, 1 to 600 (30); the rest takes five minutes at most
   --volumes     then, for as long, so many of 1000 are used at each without clients, 0 to 1000 (0)
   --out     where tables and charts go (.)
-  mutants   seeded faults of the spread and the sums, each of which a test has to find; at the project's root
+  mutants   seeded faults of gossip and aggregation, each of which a test has to find; at the project's root
   --only    the mutant of that name alone
   --jobs    so many at once, in builds and tests, from 1 (2)";
 
--- a/crates/lab/src/mutants.rs
+++ b/crates/lab/src/mutants.rs
@@ -1,4 +1,4 @@
-//! Seeded faults of the spread and the sums, put into a copy one at a time: a test has to find each.
+//! Seeded faults of gossip and aggregation, put into a copy one at a time: a test has to find each.
 
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -8,15 +8,15 @@
 use std::sync::mpsc::{channel, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-const TABLE: &str = "crates/spread/tests/mutants.toml";
-const SUITES: [&str; 2] = ["spread", "sums"];
+const TABLE: &str = "crates/gossip/tests/mutants.toml";
+const SUITES: [&str; 2] = ["gossip", "aggregation"];
 /// So many mutants are in the table at least.
 const LEAST: usize = 15;
 /// Tests that run for so long hang; the unchanged crate's may take half of it.
 const HANGS: Duration = Duration::from_secs(180);
 /// The copy's workspace. Its tests are in virtual time: less optimisation changes no verdict.
 const WORKSPACE: &str = "[workspace]\nmembers = [\"crates/*\"]\nresolver = \"2\"\n[workspace.lints]\n\
-    [profile.dev]\ndebug = false\n[profile.dev.package.shaletack-spread]\nopt-level = 1\n";
+    [profile.dev]\ndebug = false\n[profile.dev.package.shaletack-gossip]\nopt-level = 1\n";
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -73,7 +73,7 @@
 /// Builds one test file and runs its tests until one fails; says which one.
 fn suite(work: &Path, suite: &str, jobs: &str, most: Duration) -> Result<Option<String>, String> {
     let mut build = Command::new("cargo");
-    build.args(["test", "--offline", "-p", "shaletack-spread", "--no-run", "-j", jobs, "--test", suite]);
+    build.args(["test", "--offline", "-p", "shaletack-gossip", "--no-run", "-j", jobs, "--test", suite]);
     let built = build.current_dir(work).output().map_err(wrong(work))?;
     let said = String::from_utf8_lossy(&built.stderr);
     let named =
@@ -82,7 +82,7 @@
     let mut tests = Command::new(work.join(program));
     // The same cases in each run; a failed one is not shrunk.
     tests.env("PROPTEST_MAX_SHRINK_ITERS", "0").env("PROPTEST_RNG_SEED", "20261128");
-    tests.args(["--test-threads", jobs]).current_dir(work.join("crates/spread"));
+    tests.args(["--test-threads", jobs]).current_dir(work.join("crates/gossip"));
     let mut child = tests.stdout(Stdio::piped()).stderr(Stdio::null()).spawn().map_err(wrong(work))?;
     let ((lines, heard), begun) = (channel(), Instant::now());
     let out = BufReader::new(child.stdout.take().ok_or("the tests have no output")?);
@@ -106,7 +106,7 @@
 /// All test files, that of the file's own module first.
 fn all(work: &Path, file: &str, jobs: &str, most: Duration) -> Result<Option<String>, String> {
     let mut suites = SUITES;
-    suites.sort_by_key(|suite| !file.ends_with(&format!("{suite}.rs")));
+    suites.sort_by_key(|suite| !file.contains(&format!("/src/{suite}")));
     let found =
         suites.iter().map(|name| suite(work, name, jobs, most)).find(|found| !matches!(found, Ok(None)));
     found.unwrap_or(Ok(None))
@@ -121,7 +121,7 @@
     }
     let folder = tempfile::tempdir().map_err(wrong(&std::env::temp_dir()))?;
     let work = folder.path();
-    for name in ["crates/spread", "crates/knowledge"] {
+    for name in ["crates/gossip", "crates/knowledge"] {
         copy(Path::new(name), &work.join(name))?;
     }
     std::fs::copy("Cargo.lock", work.join("Cargo.lock")).map_err(wrong(work))?;
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -14,13 +14,14 @@
 use shaletack_core::interface::{EndpointListKind, Plan, Readiness, Settings};
 use shaletack_core::members::{EndpointList, EndpointRecord};
 use shaletack_core::notice::OperatorEvent;
+use shaletack_gossip as gossip;
+use shaletack_gossip::aggregation::{Key, Total, ANSWER_BYTES_PER_SECOND, REPORT_BYTES_PER_SECOND};
+use shaletack_gossip::codec::{HEADER_BYTES as GOSSIP_HEADER_BYTES, MAGIC as GOSSIP_MAGIC};
+use shaletack_gossip::limits::{GOSSIP_BURST_BYTES, GOSSIP_BYTES_PER_SECOND};
+use shaletack_gossip::{Gossip, Locality};
 use shaletack_knowledge::{Observer, HOPS_EXCHANGED, HOPS_MOST};
 use shaletack_peers::frame;
 use shaletack_peers::membership::{self, Membership, Peer};
-use shaletack_spread as spread;
-use shaletack_spread::datagram;
-use shaletack_spread::spread::Spread;
-use shaletack_spread::sums::{Key, Total};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
@@ -157,7 +158,7 @@
     /// Boxes that its broker sends nothing to by peers' word.
     pub stopped: BTreeSet<usize>,
     pub membership: Membership,
-    pub spread: Spread,
+    pub spread: Gossip,
     /// What it sends of news and digests, and of sums.
     pub news: Traffic,
     pub sums: Traffic,
@@ -225,8 +226,8 @@
 /// Whether a datagram of the spread's is one of the sums: the last of the kinds, after a head and who sends
 /// it.
 fn is_sum(bytes: &[u8]) -> bool {
-    let name = usize::from(bytes.get(datagram::HEAD).copied().unwrap_or_default());
-    let life = bytes.get(datagram::HEAD + 1 + name..).unwrap_or_default();
+    let name = usize::from(bytes.get(GOSSIP_HEADER_BYTES).copied().unwrap_or_default());
+    let life = bytes.get(GOSSIP_HEADER_BYTES + 1 + name..).unwrap_or_default();
     life.iter().skip_while(|byte| **byte >= 0x80).nth(1) == Some(&5)
 }
 
@@ -297,8 +298,8 @@
         let from = self.rng.random_range(0..self.size.volumes as u64);
         let place = Place::of(i, self.size.regions, self.size.zones);
         let named = |kind: &str, number: usize| format!("{kind}{number}");
-        let stands = spread::Place { region: named("r", place.region), zone: named("z", place.zone) };
-        let spread = Spread::new(me.clone(), address(i), stands, self.rng.random(), Duration::ZERO);
+        let stands = Locality { region: named("r", place.region), zone: named("z", place.zone) };
+        let spread = Gossip::new(me.clone(), address(i), stands, self.rng.random(), Duration::ZERO);
         Hollow {
             place,
             alive: true,
@@ -307,8 +308,8 @@
             traffic: Traffic::default(),
             cpu: [Duration::ZERO; 3],
             spread,
-            news: Traffic::bounded(spread::spread::BYTES + spread::spread::BYTES_BURST),
-            sums: Traffic::bounded(2.0 * (spread::sums::TELLS + spread::sums::ANSWERS)),
+            news: Traffic::bounded(GOSSIP_BYTES_PER_SECOND + GOSSIP_BURST_BYTES),
+            sums: Traffic::bounded(2.0 * (REPORT_BYTES_PER_SECOND + ANSWER_BYTES_PER_SECOND)),
             own: BTreeMap::new(),
             others: BTreeMap::new(),
             stopped: BTreeSet::new(),
@@ -365,7 +366,7 @@
         for i in 0..self.hollows.len() {
             let members: Vec<Peer> = self.hollows[i].membership.peers().cloned().collect();
             for peer in members {
-                self.spread(i, spread::spread::Input::Up(peer.at, peer.life));
+                self.spread(i, gossip::Input::MemberUp { address: peer.at, incarnation: peer.life });
             }
         }
     }
@@ -375,7 +376,7 @@
         let first = Duration::from_nanos(self.rng.random_range(0..ASKED_EVERY.as_nanos() as u64));
         self.at(self.now + first, Event::Turn { at: i, boot });
         if self.arm == Arm::After {
-            self.spread(i, spread::spread::Input::Configured(Some(1)));
+            self.spread(i, gossip::Input::ConfigVersion(Some(1)));
             self.at(self.now + first / 2, Event::Adds { at: i, boot });
         }
         if self.busy {
@@ -476,7 +477,7 @@
             .hollows
             .iter()
             .filter(|h| h.alive && self.arm == Arm::After)
-            .map(|h| h.spread.unmet().count());
+            .map(|h| h.spread.unconfirmed_members().count());
         unmet.sum::<usize>() as f64 / (alive * (alive - 1)).max(1) as f64
     }
 
@@ -530,8 +531,11 @@
                 let again = || (Event::Datagram { to, from, bytes: bytes.clone() }, held(&bytes));
                 if self.hears(to, None, again) {
                     self.count(to, from, bytes.len() + UDP_HEADER);
-                    if self.arm == Arm::After && bytes.first() == Some(&datagram::MARK) {
-                        self.spread(to, spread::spread::Input::Datagram(address(from), bytes.to_vec()));
+                    if self.arm == Arm::After && bytes.first() == Some(&GOSSIP_MAGIC) {
+                        self.spread(
+                            to,
+                            gossip::Input::Datagram { from: address(from), bytes: bytes.to_vec() },
+                        );
                     } else {
                         self.members(to, membership::Input::Datagram(bytes));
                     }
@@ -547,7 +551,7 @@
                     Part::Members => self.members(at, membership::Input::Woke),
                     // Nearly all of these are for requests.
                     Part::Broker => self.broker(at, Input::TimerFired, false),
-                    Part::Spread => self.spread(at, spread::spread::Input::Woke),
+                    Part::Spread => self.spread(at, gossip::Input::TimerFired),
                 }
             }
             Event::Turn { at, boot } => {
@@ -622,10 +626,10 @@
                     let there = self.hollows.get(of).is_some_and(|h| h.alive && h.me.life == peer.life);
                     let troubled = self.now < self.troubled_until || !self.links.joins(i, of);
                     self.seen.taken_for_dead += u64::from(there && !troubled);
-                    self.spread(i, spread::spread::Input::Down(peer.at, peer.life));
+                    self.spread(i, gossip::Input::MemberDown { address: peer.at, incarnation: peer.life });
                 }
                 membership::Effect::Up(peer) => {
-                    self.spread(i, spread::spread::Input::Up(peer.at, peer.life));
+                    self.spread(i, gossip::Input::MemberUp { address: peer.at, incarnation: peer.life });
                 }
                 membership::Effect::Twins(..) => {}
                 membership::Effect::Bad(_) => self.seen.bad += 1,
@@ -634,7 +638,7 @@
     }
 
     /// Gives the spread an input and carries out what it asks for.
-    fn spread(&mut self, i: usize, input: spread::spread::Input) {
+    fn spread(&mut self, i: usize, input: gossip::Input) {
         if self.arm == Arm::Before || !self.talks {
             return;
         }
@@ -643,7 +647,7 @@
         let effects = timed(&mut hollow.cpu[Part::Spread as usize], || hollow.spread.step(now, input));
         for effect in effects {
             match effect {
-                spread::spread::Effect::Send(to, bytes) => {
+                gossip::Effect::Send { to, bytes } => {
                     let hollow = &mut self.hollows[i];
                     if hollow.mute {
                         continue;
@@ -652,8 +656,8 @@
                     traffic.add(self.now, bytes.len() + UDP_HEADER, false);
                     self.send(i, index(to), bytes.into());
                 }
-                spread::spread::Effect::Learnt(told) => self.broker(i, Input::GossipMerged(told), true),
-                spread::spread::Effect::Totals(totals) => {
+                gossip::Effect::Learned(told) => self.broker(i, Input::GossipMerged(told), true),
+                gossip::Effect::Totals(totals) => {
                     self.seen.totals += 1;
                     let mut all = Totals::default();
                     self.hollows[i].others.clear();
@@ -665,9 +669,11 @@
                     }
                     self.broker(i, Input::PeerTotals(all), true);
                 }
-                spread::spread::Effect::Wake(at) => self.wake(i, Part::Spread, at),
-                spread::spread::Effect::InForce(_) => {}
-                spread::spread::Effect::Bad(..) | spread::spread::Effect::Unsound(..) => self.seen.bad += 1,
+                gossip::Effect::WakeAt(at) => self.wake(i, Part::Spread, at),
+                gossip::Effect::ConfigRollout(_) => {}
+                gossip::Effect::DatagramRejected { .. } | gossip::Effect::InvalidItems { .. } => {
+                    self.seen.bad += 1
+                }
             }
         }
     }
@@ -679,7 +685,7 @@
         let amounts = timed(&mut hollow.cpu[Part::Broker as usize], || hollow.broker.contribution(now));
         hollow.own = amounts.demand.iter().copied().collect();
         let keys = amounts.demand.into_iter().map(|(volume, rate)| (Key::Demand(volume), rate));
-        self.spread(i, spread::spread::Input::Amounts(keys.collect()));
+        self.spread(i, gossip::Input::LocalAmounts(keys.collect()));
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Bytes) {
@@ -720,7 +726,7 @@
                 Effect::Log(OperatorEvent::AdviceChanged { id, stopped, .. }) => {
                     self.advised(i, &id, stopped)
                 }
-                Effect::Broadcast(told) => self.spread(i, spread::spread::Input::Say(told)),
+                Effect::Broadcast(told) => self.spread(i, gossip::Input::LocalObservations(told)),
                 Effect::Log(_) | Effect::Respond(..) | Effect::AbortAttempt(..) => {}
             }
         }
@@ -762,7 +768,7 @@
         let hollow = &mut self.hollows[i];
         if self.arm == Arm::After {
             // One that is not known to speak the spread, drawn anew.
-            let unmet: Vec<SocketAddr> = hollow.spread.unmet().collect();
+            let unmet: Vec<SocketAddr> = hollow.spread.unconfirmed_members().collect();
             if !unmet.is_empty() {
                 let drawn = self.rng.random_range(0..unmet.len());
                 self.ask(i, index(unmet[drawn]));
@@ -867,10 +873,14 @@
                     Arm::After => {
                         if message.trip == frame::SPREADS {
                             let at = self.at_of(&from);
-                            self.spread(i, spread::spread::Input::Speaks(at));
+                            self.spread(i, gossip::Input::SupportConfirmed(at));
                         }
                         facts.retain(|told| !told.what.is_amount());
-                        let input = spread::spread::Input::Exchanged(from.clone(), trip, facts.clone());
+                        let input = gossip::Input::Exchanged {
+                            from: from.clone(),
+                            round_trip: trip,
+                            reports: facts.clone(),
+                        };
                         self.spread(i, input);
                     }
                 }
--- a/crates/lab/src/scale/plans.rs
+++ b/crates/lab/src/scale/plans.rs
@@ -7,7 +7,7 @@
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use shaletack_core::interface::Readiness;
-use shaletack_spread::sums::Total;
+use shaletack_gossip::aggregation::Total;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -191,7 +191,7 @@
                 let told = hollow.others.get(volume);
                 *hits.entry(hit(told.map(|t| t.others), &truths) as u64).or_default() += 1;
                 samples += 1;
-                twice += u64::from(told.is_some_and(|t| u64::from(t.count) > used[volume]));
+                twice += u64::from(told.is_some_and(|t| u64::from(t.contributors) > used[volume]));
             }
         }
     }
@@ -206,7 +206,7 @@
         let used = users(&fleet);
         for hollow in fleet.hollows.iter().filter(|h| h.alive) {
             let more = |(volume, told): (&u64, &Total)| {
-                u64::from(told.count) > used.get(volume).copied().unwrap_or_default()
+                u64::from(told.contributors) > used.get(volume).copied().unwrap_or_default()
             };
             of_dead += hollow.others.iter().filter(|told| more(*told)).count();
         }
--- a/crates/peers/src/frame.rs
+++ b/crates/peers/src/frame.rs
@@ -17,7 +17,7 @@
 pub const HEAD: usize = 14;
 const MAGIC: [u8; 4] = *b"STPX";
 /// The round trip in an answer, where nobody measured one and the release before says 0: whoever answers so takes
-/// the spread's datagrams (`shaletack-spread`).
+/// the gossip datagrams (`shaletack-gossip`).
 pub const SPREADS: Duration = Duration::from_nanos(1);
 /// Room for what is not a fact: the teller and the count.
 const ENVELOPE: usize = 256;
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -17,12 +17,13 @@
 pub use exchange::{status, Failure};
 use futures_util::future::join_all;
 use rand::seq::IteratorRandom;
+use shaletack_gossip as gossip;
+use shaletack_gossip::aggregation::{Key, Total};
+use shaletack_gossip::codec::MAGIC as GOSSIP_MAGIC;
+use shaletack_gossip::{ConfigRollout, Gossip, Locality};
 use shaletack_knowledge::{Observer, Told};
 use shaletack_peers::frame::{Message, SPREADS};
 use shaletack_peers::membership::{Effect, Input, Membership, Peer, DATAGRAM_MOST};
-use shaletack_spread::spread::{self, InForce, Spread};
-use shaletack_spread::sums::{Key, Total};
-use shaletack_spread::{datagram, Place};
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
 use std::collections::{BTreeMap, BTreeSet};
@@ -69,7 +70,7 @@
     membership: RefCell<Membership>,
     wake: Cell<Option<Duration>>,
     rearm: Notify,
-    spread: RefCell<Spread>,
+    spread: RefCell<Gossip>,
     spread_wake: Cell<Option<Duration>>,
     spread_rearm: Notify,
     /// Cold boxes and their starts, by their keys in the sums.
@@ -92,8 +93,8 @@
         let epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let peer = Peer { name: me.name.clone(), life: me.life, epoch: epoch.as_millis() as u64, at };
         info!(at = %at, name = me.name, listed = set.join.len(), "listens for peers");
-        let place = Place { region: set.region.clone(), zone: set.zone.clone() };
-        let spread = Spread::new(me.clone(), at, place, drawn(), Duration::ZERO);
+        let place = Locality { region: set.region.clone(), zone: set.zone.clone() };
+        let spread = Gossip::new(me.clone(), at, place, drawn(), Duration::ZERO);
         let (say, said) = mpsc::channel(SAID_MOST);
         host.say_to(say);
         let peers = Peers(Rc::new(Inner {
@@ -159,7 +160,7 @@
         match ask(self, to).await {
             Ok((message, trip)) => {
                 if message.trip == SPREADS {
-                    self.spread(spread::Input::Speaks(to)).await;
+                    self.spread(gossip::Input::SupportConfirmed(to)).await;
                 }
                 self.exchanged(message, trip).await;
                 true
@@ -174,46 +175,51 @@
     /// Takes what an exchange brought. What one that speaks the spread is asked for is in the sums.
     async fn exchanged(&self, message: Message, trip: Duration) {
         let Message { from, mut facts, .. } = message;
-        if message.trip == SPREADS || self.0.spread.borrow().cards().any(|card| card.who == from) {
+        if message.trip == SPREADS
+            || self.0.spread.borrow().membership_records().any(|record| record.process == from)
+        {
             facts.retain(|told| !told.what.is_amount());
         }
         let trip = trip.min(EXCHANGE);
         self.0.host.feed(broker::Input::PeerReports(from.clone(), trip, facts.clone()));
-        self.spread(spread::Input::Exchanged(from, trip, facts)).await;
+        self.spread(gossip::Input::Exchanged { from, round_trip: trip, reports: facts }).await;
     }
 
     /// Gives the spread an input and carries out what it asks for.
-    async fn spread(&self, input: spread::Input) {
+    async fn spread(&self, input: gossip::Input) {
         let inner = &self.0;
         let effects = inner.spread.borrow_mut().step(inner.start.elapsed(), input);
         for effect in effects {
             match effect {
-                spread::Effect::Send(to, bytes) => {
+                gossip::Effect::Send { to, bytes } => {
                     // As with membership: what is lost is found by the next digest.
                     let _ = inner.udp.send_to(&bytes, to).await;
                 }
-                spread::Effect::Learnt(told) => inner.host.feed(broker::Input::GossipMerged(told)),
-                spread::Effect::Totals(totals) => {
+                gossip::Effect::Learned(told) => inner.host.feed(broker::Input::GossipMerged(told)),
+                gossip::Effect::Totals(totals) => {
                     let totals = self.totals(totals);
                     inner.host.feed(broker::Input::PeerTotals(totals));
                 }
-                spread::Effect::InForce(report) => {
-                    let InForce { version, have, of, since } = report;
+                gossip::Effect::ConfigRollout(report) => {
+                    let ConfigRollout { version, applied: have, initiators: of, in_force_for: since } =
+                        report;
                     let since_ms = since.as_millis() as u64;
-                    if report.everywhere() {
+                    if report.is_complete() {
                         info!(version, initiators = of, since_ms, "the configuration is in force everywhere");
                     } else {
                         let missing = of - have;
                         warn!(version, missing, of, since_ms, "the configuration is not in force everywhere");
                     }
                 }
-                spread::Effect::Wake(at) => {
+                gossip::Effect::WakeAt(at) => {
                     if inner.spread_wake.replace(Some(at)) != Some(at) {
                         inner.spread_rearm.notify_one();
                     }
                 }
-                spread::Effect::Bad(from, why) => warn!(%from, %why, "a peer's datagram is not taken"),
-                spread::Effect::Unsound(from, unsound) => {
+                gossip::Effect::DatagramRejected { from, error: why } => {
+                    warn!(%from, %why, "a peer's datagram is not taken")
+                }
+                gossip::Effect::InvalidItems { from, count: unsound } => {
                     warn!(from, unsound, "a peer told what can't be taken");
                 }
             }
@@ -222,27 +228,27 @@
 
     /// The version of the configuration that is in force here from now on; `None`: it names none.
     pub async fn configured(&self, version: Option<u64>) {
-        self.spread(spread::Input::Configured(version)).await;
+        self.spread(gossip::Input::ConfigVersion(version)).await;
     }
 
     /// What an operator is shown, as JSON: who is there, what is known, and how far the configuration is in force.
     fn status(&self) -> serde_json::Value {
         let spread = self.0.spread.borrow();
-        let in_force = spread.in_force(self.0.start.elapsed()).map(|report| {
+        let in_force = spread.config_rollout(self.0.start.elapsed()).map(|report| {
             serde_json::json!({
                 "version": report.version,
-                "have": report.have,
-                "of": report.of,
-                "everywhere": report.everywhere(),
-                "since_ms": report.since.as_millis() as u64,
+                "have": report.applied,
+                "of": report.initiators,
+                "everywhere": report.is_complete(),
+                "since_ms": report.in_force_for.as_millis() as u64,
             })
         });
-        let unmet: Vec<String> = spread.unmet().map(|at| at.to_string()).collect();
+        let unmet: Vec<String> = spread.unconfirmed_members().map(|at| at.to_string()).collect();
         serde_json::json!({
             "name": self.0.me.name,
             "members": self.0.membership.borrow().peers().count(),
             "of_the_release_before": unmet,
-            "facts": spread.known().len(),
+            "facts": spread.observations().len(),
             "configuration": in_force,
         })
     }
@@ -256,11 +262,11 @@
             demand.into_iter().map(|(volume, rate)| (Key::Demand(volume), rate)).collect();
         for (id, start, units) in spent {
             let key = box_key(&id, start);
-            amounts.push((Key::Spent(key), units));
+            amounts.push((Key::SlowStartSpend(key), units));
             cold.insert(key, (id, start));
         }
         *self.0.cold.borrow_mut() = cold;
-        self.spread(spread::Input::Amounts(amounts)).await;
+        self.spread(gossip::Input::LocalAmounts(amounts)).await;
     }
 
     fn totals(&self, totals: Vec<(Key, Total)>) -> Totals {
@@ -269,8 +275,8 @@
         for (key, Total { others, age, .. }) in totals {
             match key {
                 Key::Demand(volume) => all.demand.push((volume, others, age)),
-                Key::InForce(_) => {}
-                Key::Spent(key) => {
+                Key::ConfigVersion(_) => {}
+                Key::SlowStartSpend(key) => {
                     all.spent.extend(cold.get(&key).map(|(id, start)| (id.clone(), *start, others, age)))
                 }
             }
@@ -280,20 +286,20 @@
 
     /// What this process sees goes out; what waits for its moment comes back then.
     async fn keep_spreading(self, mut said: mpsc::Receiver<Vec<Told>>) {
-        self.spread(spread::Input::Woke).await;
+        self.spread(gossip::Input::TimerFired).await;
         let mut adds = tokio::time::interval(ADDED_EVERY);
         loop {
             let at = self.0.spread_wake.get().map(|at| self.0.start + at);
             tokio::select! {
                 told = said.recv() => match told {
-                    Some(told) => self.spread(spread::Input::Say(told)).await,
+                    Some(told) => self.spread(gossip::Input::LocalObservations(told)).await,
                     None => return,
                 },
                 () = self.0.spread_rearm.notified() => {}
                 _ = adds.tick() => self.add().await,
                 () = tokio::time::sleep_until(at.unwrap_or_else(Instant::now).into()), if at.is_some() => {
                     self.0.spread_wake.set(None);
-                    self.spread(spread::Input::Woke).await;
+                    self.spread(gossip::Input::TimerFired).await;
                 }
             }
         }
@@ -314,11 +320,11 @@
                 }
                 Effect::Up(peer) => {
                     info!(name = peer.name, at = %peer.at, "a peer is there");
-                    self.spread(spread::Input::Up(peer.at, peer.life)).await;
+                    self.spread(gossip::Input::MemberUp { address: peer.at, incarnation: peer.life }).await;
                 }
                 Effect::Down(peer) => {
                     info!(name = peer.name, at = %peer.at, "a peer is gone");
-                    self.spread(spread::Input::Down(peer.at, peer.life)).await;
+                    self.spread(gossip::Input::MemberDown { address: peer.at, incarnation: peer.life }).await;
                 }
                 Effect::Twins(one, other) => {
                     let mut places = [one.at.to_string(), other.at.to_string()];
@@ -337,8 +343,8 @@
         let mut bytes = [0; DATAGRAM_MOST + 1];
         loop {
             match self.0.udp.recv_from(&mut bytes).await {
-                Ok((length, from)) if bytes[0] == datagram::MARK && length > 0 => {
-                    self.spread(spread::Input::Datagram(from, bytes[..length].to_vec())).await;
+                Ok((length, from)) if bytes[0] == GOSSIP_MAGIC && length > 0 => {
+                    self.spread(gossip::Input::Datagram { from, bytes: bytes[..length].to_vec() }).await;
                 }
                 Ok((length, _)) => self.feed(Input::Datagram(Bytes::copy_from_slice(&bytes[..length]))).await,
                 // Where nobody hears a datagram the next call may say so: no news.
@@ -368,7 +374,7 @@
         loop {
             tokio::time::sleep(ASKED_EVERY).await;
             let now = self.0.start.elapsed();
-            let unmet = self.0.spread.borrow().to_ask(now).choose(&mut rand::rng());
+            let unmet = self.0.spread.borrow().members_to_ask(now).choose(&mut rand::rng());
             if let Some(at) = unmet {
                 self.ask(at).await;
             }
