--- a/crates/gossip/src/aggregation/amount.rs
+++ b/crates/gossip/src/aggregation/amount.rs
@@ -1,7 +1,7 @@
 //! Amounts on the wire: floats of 11 significant bits in a `u16`, since a page is mostly amounts.
 
-/// The greatest amount that one member or cell can report, in thousandths of a unit a second. It bounds what a false
-/// report does.
+/// The greatest amount that one member or cell can state, in thousandths of a unit a second. It bounds what a false
+/// statement does.
 pub const MAX_AMOUNT: u64 = 1 << 40;
 
 /// Bits of an amount after the leading one.
--- a/crates/gossip/src/aggregation/contributor.rs
+++ b/crates/gossip/src/aggregation/contributor.rs
@@ -1,7 +1,7 @@
-//! The member's side: reports of the own amounts to the owners of the own cell, and the totals that come back.
+//! The member's side: contributions of the own amounts to the owners of the own cell, and the totals that come back.
 //!
-//! Amounts change all the time, and most changes are small. Reporting each would cost more than it tells: while answers
-//! come and nothing changes much, reports are rarer.
+//! Amounts change all the time, and most changes are small. Sending each would cost more than it tells: while answers
+//! come and nothing changes much, contributions are rarer.
 
 use super::amount::{pack_amount, unpack_amount};
 use super::placement::Placement;
@@ -16,16 +16,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Keys that a process reports; of more, those of the greatest amounts.
+/// Keys that a process contributes; of more, those of the greatest amounts.
 pub const MAX_OWN_KEYS: usize = 4096;
 /// How long a total counts after its oldest partial came.
 pub const TOTAL_TTL: Duration = Duration::from_secs(4);
 
-/// Between two reports while amounts change or no answer came, jitter aside.
+/// Between two contributions while amounts change or no answer came, jitter aside.
 const BUSY_INTERVAL: Duration = Duration::from_millis(900);
-/// Between two reports while nothing changes much.
+/// Between two contributions while nothing changes much.
 const QUIET_INTERVAL: Duration = Duration::from_millis(1450);
-/// Between a report that is not answered and its retry. An owner is near.
+/// Between a contribution that is not answered and its retry. An owner is near.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// Retries that follow each other so closely.
 const MAX_RETRIES: u8 = 2;
@@ -35,10 +35,10 @@
 const MAX_QUIET_AGE: Duration = Duration::from_millis(1200);
 /// A change by less than this part of an amount, or of the mean contribution, waits for the quiet interval.
 const NEGLIGIBLE_FRACTION: u64 = 16;
-/// Reports of a page that answers are expected to.
-const MAX_UNANSWERED_REPORTS: usize = 4;
-/// Reports that nothing is left, if nobody answers.
-const MAX_EMPTY_REPORTS: u8 = 3;
+/// Contributions of a page that answers are expected to.
+const MAX_REMEMBERED_CONTRIBUTIONS: usize = 4;
+/// Contributions that nothing is left, if nobody answers.
+const MAX_EMPTY_ROUNDS: u8 = 3;
 
 #[derive(Clone, Copy, Debug)]
 struct OwnAmount {
@@ -63,31 +63,31 @@
     }
 }
 
-/// A report of a page: the own amounts in it are taken off the totals that answer it.
+/// A contribution of a page: the own amounts in it are taken off the totals that answer it.
 #[derive(Clone, Debug)]
-struct SentReport {
+struct SentContribution {
     sequence: u32,
     sent_at: Duration,
     amounts: Vec<u16>,
 }
 
-/// What was reported of one page.
+/// What was contributed of one page.
 #[derive(Clone, Debug)]
-struct ReportedPage {
+struct ContributedPage {
     owner: SocketAddr,
     keys: Vec<ShortKey>,
     needs_full_layout: bool,
-    reports: VecDeque<SentReport>,
+    sent: VecDeque<SentContribution>,
     is_answered: bool,
 }
 
-impl ReportedPage {
+impl ContributedPage {
     fn new(owner: SocketAddr, keys: Vec<ShortKey>) -> Self {
-        ReportedPage { owner, keys, needs_full_layout: true, reports: VecDeque::new(), is_answered: false }
+        ContributedPage { owner, keys, needs_full_layout: true, sent: VecDeque::new(), is_answered: false }
     }
 
     fn last_amounts(&self) -> Option<&Vec<u16>> {
-        self.reports.back().map(|report| &report.amounts)
+        self.sent.back().map(|contribution| &contribution.amounts)
     }
 
     /// The keys in full, or their hash where the owner has them.
@@ -100,62 +100,62 @@
         }
     }
 
-    fn sent(&mut self, report: SentReport) {
+    fn remember(&mut self, contribution: SentContribution) {
         self.needs_full_layout = false;
         self.is_answered = false;
-        self.reports.push_back(report);
-        if self.reports.len() > MAX_UNANSWERED_REPORTS {
-            self.reports.pop_front();
+        self.sent.push_back(contribution);
+        if self.sent.len() > MAX_REMEMBERED_CONTRIBUTIONS {
+            self.sent.pop_front();
         }
     }
 }
 
 #[derive(Clone, Debug, Default)]
-struct ReportedShard {
-    next_report_at: Option<Duration>,
-    /// When the last round of reports began, retries aside.
-    last_report_at: Option<Duration>,
+struct ContributedShard {
+    next_contribution_at: Option<Duration>,
+    /// When the last round of contributions began, retries aside.
+    last_round_at: Option<Duration>,
     retries: u8,
-    empty_reports: u8,
-    pages: BTreeMap<u8, ReportedPage>,
+    empty_rounds: u8,
+    pages: BTreeMap<u8, ContributedPage>,
 }
 
-impl ReportedShard {
-    fn report_by(&mut self, at: Duration) {
-        self.next_report_at = Some(self.next_report_at.map_or(at, |next| next.min(at)));
+impl ContributedShard {
+    fn contribute_by(&mut self, at: Duration) {
+        self.next_contribution_at = Some(self.next_contribution_at.map_or(at, |next| next.min(at)));
     }
 
-    fn reported_pages(&self) -> usize {
+    fn contributed_pages(&self) -> usize {
         self.pages.values().filter(|page| !page.keys.is_empty()).count()
     }
 
     /// Whether the owner is to be told once more that nothing is left.
-    fn needs_empty_report(&self) -> bool {
+    fn needs_empty_round(&self) -> bool {
         let is_pending = self.pages.values().any(|page| !page.keys.is_empty() || !page.is_answered);
-        is_pending && self.empty_reports < MAX_EMPTY_REPORTS
+        is_pending && self.empty_rounds < MAX_EMPTY_ROUNDS
     }
 
     fn end(&mut self) {
         self.pages.clear();
-        self.next_report_at = None;
+        self.next_contribution_at = None;
     }
 
-    /// Sets when the shard is reported next if no answer comes. Whether this is a retry.
+    /// Sets when the shard is sent next if no answer comes. Whether this is a retry.
     fn begin_round(&mut self, now: Duration, owner_is_self: bool, transmitter: &mut Transmitter) -> bool {
         let is_retry = self.retries > 0;
         if !is_retry {
-            self.last_report_at = Some(now);
+            self.last_round_at = Some(now);
         }
         let retry_soon = self.retries < MAX_RETRIES && !owner_is_self;
         self.retries = if retry_soon { self.retries + 1 } else { 0 };
         let interval = if retry_soon { RETRY_INTERVAL } else { BUSY_INTERVAL };
-        self.next_report_at = Some(now + interval + transmitter.jitter());
+        self.next_contribution_at = Some(now + interval + transmitter.jitter());
         is_retry
     }
 }
 
-/// One round of a shard's reports.
-struct ReportRound {
+/// One round of a shard's contributions.
+struct ContributionRound {
     now: Duration,
     shard: usize,
     owner: SocketAddr,
@@ -164,13 +164,13 @@
     is_retry: bool,
 }
 
-/// The own amounts, what was reported of them, and the totals that are known.
+/// The own amounts, what was contributed of them, and the totals that are known.
 #[derive(Debug)]
 pub(super) struct Contributor {
     own_address: SocketAddr,
     amounts: BTreeMap<ShortKey, OwnAmount>,
     totals: BTreeMap<ShortKey, KnownTotal>,
-    shards: Vec<ReportedShard>,
+    shards: Vec<ContributedShard>,
 }
 
 impl Contributor {
@@ -179,20 +179,20 @@
             own_address,
             amounts: BTreeMap::new(),
             totals: BTreeMap::new(),
-            shards: vec![ReportedShard::default(); SHARDS],
+            shards: vec![ContributedShard::default(); SHARDS],
         }
     }
 
     pub(super) fn is_due(&self, now: Duration, shard: usize) -> bool {
-        self.shards[shard].next_report_at.is_some_and(|at| at <= now)
+        self.shards[shard].next_contribution_at.is_some_and(|at| at <= now)
     }
 
-    /// When reports are due, of each shard that has any.
-    pub(super) fn next_report_at(&self) -> impl Iterator<Item = Duration> + '_ {
-        self.shards.iter().filter_map(|shard| shard.next_report_at)
+    /// When contributions are due, of each shard that has any.
+    pub(super) fn next_contribution_at(&self) -> impl Iterator<Item = Duration> + '_ {
+        self.shards.iter().filter_map(|shard| shard.next_contribution_at)
     }
 
-    /// Replaces the own amounts; what changed is reported as soon as the busy interval allows.
+    /// Replaces the own amounts; what changed is sent as soon as the busy interval allows.
     pub(super) fn set_amounts(
         &mut self,
         now: Duration,
@@ -209,14 +209,14 @@
         for number in 0..SHARDS {
             if self.has_changed(number) {
                 let shard = &mut self.shards[number];
-                shard.empty_reports = 0;
+                shard.empty_rounds = 0;
                 let first = now + transmitter.jitter();
-                shard.report_by(shard.last_report_at.map_or(first, |last| now.max(last + BUSY_INTERVAL)));
+                shard.contribute_by(shard.last_round_at.map_or(first, |last| now.max(last + BUSY_INTERVAL)));
             }
         }
     }
 
-    /// After a change of members: a shard whose owner is another one is reported to it soon.
+    /// After a change of members: a shard whose owner is another one is sent to it soon.
     pub(super) fn follow_owners(
         &mut self,
         now: Duration,
@@ -226,13 +226,13 @@
         for (number, shard) in self.shards.iter_mut().enumerate() {
             let owner = placement.own_cell_owner(number);
             if shard.pages.values().any(|page| Some(page.owner) != owner) {
-                shard.report_by(now + transmitter.jitter());
+                shard.contribute_by(now + transmitter.jitter());
             }
         }
     }
 
-    /// A shard's reports that go to its owner now, one for each page. `split`: how the own zone is split.
-    pub(super) fn report(
+    /// A shard's contributions that go to its owner now, one for each page. `split`: how the own zone is split.
+    pub(super) fn contribute(
         &mut self,
         now: Duration,
         shard: usize,
@@ -241,29 +241,31 @@
         transmitter: &mut Transmitter,
     ) -> Vec<Message> {
         let mut pages = self.own_pages(shard);
-        let reported = &mut self.shards[shard];
+        let contributed = &mut self.shards[shard];
         if pages.is_empty() {
-            if !reported.needs_empty_report() {
-                reported.end();
+            if !contributed.needs_empty_round() {
+                contributed.end();
                 return Vec::new();
             }
-            reported.empty_reports += 1;
+            contributed.empty_rounds += 1;
             pages.push(Vec::new());
         }
         let page_count = pages.len();
-        reported.pages.retain(|page, _| usize::from(*page) < page_count);
-        let is_retry = reported.begin_round(now, owner == self.own_address, transmitter);
-        let round = ReportRound { now, shard, owner, split, page_count, is_retry };
+        contributed.pages.retain(|page, _| usize::from(*page) < page_count);
+        let is_retry = contributed.begin_round(now, owner == self.own_address, transmitter);
+        let round = ContributionRound { now, shard, owner, split, page_count, is_retry };
         let pages = pages.into_iter().enumerate();
         pages
-            .filter_map(|(number, amounts)| self.report_page(&round, number as u8, &amounts, transmitter))
+            .filter_map(|(number, amounts)| {
+                self.contribution_of_page(&round, number as u8, &amounts, transmitter)
+            })
             .collect()
     }
 
     /// One page of a round; `None`: it is answered already, or the limiter does not allow it.
-    fn report_page(
+    fn contribution_of_page(
         &mut self,
-        round: &ReportRound,
+        round: &ContributionRound,
         number: u8,
         own: &[(ShortKey, u64)],
         transmitter: &mut Transmitter,
@@ -271,33 +273,33 @@
         let sequence = transmitter.next_sequence();
         let keys: Vec<ShortKey> = own.iter().map(|(key, _)| *key).collect();
         let amounts: Vec<u16> = own.iter().map(|(_, amount)| pack_amount(*amount)).collect();
-        let fresh = ReportedPage::new(round.owner, keys);
+        let fresh = ContributedPage::new(round.owner, keys);
         let pages = &mut self.shards[round.shard].pages;
-        let reported = pages.entry(number).or_insert_with(|| fresh.clone());
-        if reported.owner != fresh.owner || reported.keys != fresh.keys {
-            *reported = fresh;
+        let contributed = pages.entry(number).or_insert_with(|| fresh.clone());
+        if contributed.owner != fresh.owner || contributed.keys != fresh.keys {
+            *contributed = fresh;
         }
-        if round.is_retry && reported.is_answered {
+        if round.is_retry && contributed.is_answered {
             return None;
         }
         let is_remote = round.owner != self.own_address;
-        let report = Message::Report(Page {
+        let contribution = Message::Contribution(Page {
             shard: round.shard as u8,
             page: number,
             page_count: round.page_count as u8,
             split: round.split,
             sequence,
-            layout: reported.layout(reported.needs_full_layout || !is_remote),
+            layout: contributed.layout(contributed.needs_full_layout || !is_remote),
             amounts: amounts.clone(),
         });
-        if is_remote && !transmitter.try_send_to_owner(round.now, &report) {
+        if is_remote && !transmitter.try_send_to_owner(round.now, &contribution) {
             return None;
         }
-        reported.sent(SentReport { sequence, sent_at: round.now, amounts });
-        Some(report)
+        contributed.remember(SentContribution { sequence, sent_at: round.now, amounts });
+        Some(contribution)
     }
 
-    /// Takes the owner's answer to a report.
+    /// Takes the owner's answer to a contribution.
     pub(super) fn receive_totals(
         &mut self,
         from: SocketAddr,
@@ -307,17 +309,19 @@
         let number = usize::from(answer.shard);
         let Some(shard) = self.shards.get_mut(number) else { return };
         let Some(page) = shard.pages.get_mut(&answer.page).filter(|page| page.owner == from) else { return };
-        let reports = &page.reports;
-        let Some(index) = reports.iter().position(|report| report.sequence == answer.sequence) else {
+        let contributions = &page.sent;
+        let Some(index) =
+            contributions.iter().position(|contribution| contribution.sequence == answer.sequence)
+        else {
             return;
         };
         if answer.totals.len() != page.keys.len() {
             return;
         }
-        let is_latest = index + 1 == reports.len();
+        let is_latest = index + 1 == contributions.len();
         let age = AGE_TICK * u32::from(answer.age_ticks);
-        let totals = totals_of_others(page, &reports[index], answer, age);
-        page.reports.drain(..index);
+        let totals = totals_of_others(page, &contributions[index], answer, age);
+        page.sent.drain(..index);
         let is_first_answer = is_latest && !page.is_answered;
         page.is_answered |= is_latest;
         let wanted = totals.into_iter().filter(|(key, _)| self.amounts.contains_key(key));
@@ -327,7 +331,7 @@
         }
     }
 
-    /// Puts off the next report of a shard that is answered, and for longer while it does not change.
+    /// Puts off the next contribution of a shard that is answered, and for longer while it does not change.
     fn schedule_next(&mut self, number: usize, is_young: bool, transmitter: &mut Transmitter) {
         let shard = &self.shards[number];
         let is_answered = shard.pages.values().all(|page| page.is_answered);
@@ -339,7 +343,7 @@
         let shard = &mut self.shards[number];
         let is_done = is_quiet && shard.pages.values().all(|page| page.keys.is_empty());
         shard.retries = 0;
-        shard.next_report_at = shard.last_report_at.filter(|_| !is_done).map(|last| last + interval);
+        shard.next_contribution_at = shard.last_round_at.filter(|_| !is_done).map(|last| last + interval);
     }
 
     /// The owner does not know the keys of a page: the next one goes in full, and soon.
@@ -348,7 +352,7 @@
         let Some(page) = shard.pages.get_mut(&page) else { return };
         if page.owner == owner && !page.needs_full_layout {
             page.needs_full_layout = true;
-            shard.next_report_at = shard.next_report_at.map(|at| at.min(now + FULL_LAYOUT_DELAY));
+            shard.next_contribution_at = shard.next_contribution_at.map(|at| at.min(now + FULL_LAYOUT_DELAY));
         }
     }
 
@@ -368,43 +372,46 @@
         own.collect::<Vec<_>>().chunks(MAX_PAGE_KEYS).map(<[_]>::to_vec).collect()
     }
 
-    /// Whether a shard's amounts differ from the reported ones by more than is negligible.
+    /// Whether a shard's amounts differ from the contributed ones by more than is negligible.
     fn has_changed(&self, number: usize) -> bool {
         let shard = &self.shards[number];
         let own = self.own_pages(number);
-        own.len() != shard.reported_pages()
-            || own.iter().zip(shard.pages.values()).any(|(own, reported)| self.page_changed(own, reported))
+        own.len() != shard.contributed_pages()
+            || own
+                .iter()
+                .zip(shard.pages.values())
+                .any(|(own, contributed)| self.page_changed(own, contributed))
     }
 
-    fn page_changed(&self, own: &[(ShortKey, u64)], reported: &ReportedPage) -> bool {
-        let Some(amounts) = reported.last_amounts().filter(|amounts| amounts.len() == own.len()) else {
+    fn page_changed(&self, own: &[(ShortKey, u64)], contributed: &ContributedPage) -> bool {
+        let Some(amounts) = contributed.last_amounts().filter(|amounts| amounts.len() == own.len()) else {
             return true;
         };
-        let reported = reported.keys.iter().zip(amounts);
-        own.iter().zip(reported).any(|((key, amount), (reported_key, reported_amount))| {
-            key != reported_key || self.amount_changed(key, *amount, unpack_amount(*reported_amount))
+        let contributed = contributed.keys.iter().zip(amounts);
+        own.iter().zip(contributed).any(|((key, amount), (contributed_key, contributed_amount))| {
+            key != contributed_key || self.amount_changed(key, *amount, unpack_amount(*contributed_amount))
         })
     }
 
-    fn amount_changed(&self, key: &ShortKey, amount: u64, reported: u64) -> bool {
+    fn amount_changed(&self, key: &ShortKey, amount: u64, contributed: u64) -> bool {
         let total = self.totals.get(key);
         let mean = total.map_or(0, |total| total.others / u64::from(total.contributors.max(1)));
-        let negligible = reported.max(mean) / NEGLIGIBLE_FRACTION;
-        unpack_amount(pack_amount(amount)).abs_diff(reported) > negligible
+        let negligible = contributed.max(mean) / NEGLIGIBLE_FRACTION;
+        unpack_amount(pack_amount(amount)).abs_diff(contributed) > negligible
     }
 }
 
 /// The totals of an answer without what of this process's own is in them.
 fn totals_of_others(
-    page: &ReportedPage,
-    report: &SentReport,
+    page: &ContributedPage,
+    contribution: &SentContribution,
     answer: &TotalsPage,
     age: Duration,
 ) -> Vec<(ShortKey, KnownTotal)> {
-    // Counted from the report on: an answer that was long on the way is no younger for it.
-    let oldest_at = report.sent_at.saturating_sub(age);
+    // Counted from the contribution on: an answer that was long on the way is no younger for it.
+    let oldest_at = contribution.sent_at.saturating_sub(age);
     let missing_cells = u32::from(answer.missing_cells);
-    let totals = page.keys.iter().zip(&report.amounts).zip(&answer.totals);
+    let totals = page.keys.iter().zip(&contribution.amounts).zip(&answer.totals);
     let totals = totals.map(|((key, own), PackedTotal { amount, contributors })| {
         let others = unpack_amount(*amount).saturating_sub(unpack_amount(*own));
         (*key, KnownTotal { others, contributors: *contributors, oldest_at, missing_cells })
--- a/crates/gossip/src/aggregation/mod.rs
+++ b/crates/gossip/src/aggregation/mod.rs
@@ -6,8 +6,8 @@
 //!
 //! 1. Members are grouped into cells (a small region, a zone, or a slice of a large zone), and keys into shards. In each
 //!    cell each shard has one owner, found by rendezvous hashing ([`placement`]).
-//! 2. A member reports its amounts to the owners of its own cell ([`contributor`]).
-//! 3. An owner sends its cell's partial sums to the owners of the other cells, and answers each report with the totals
+//! 2. A member sends its amounts to the owners of its own cell ([`contributor`]).
+//! 3. An owner sends its cell's partial sums to the owners of the other cells, and answers each contribution with the totals
 //!    of its keys ([`owner`]).
 //!
 //! An owner keeps one contribution for each member and one partial for each other cell. So a message that comes twice, or
@@ -25,7 +25,7 @@
 pub use contributor::{MAX_OWN_KEYS, TOTAL_TTL};
 pub use owner::{CONTRIBUTION_TTL, MAX_STORED_KEYS_PER_SHARD, PARTIAL_TTL};
 pub use placement::{MAX_CELL_MEMBERS, MAX_MEMBERS, MAX_SINGLE_CELL_REGION, WHOLE_REGION_SPLIT};
-pub use transmitter::{ANSWER_BYTES_PER_SECOND, DATAGRAM_OVERHEAD_BYTES, REPORT_BYTES_PER_SECOND};
+pub use transmitter::{ANSWER_BYTES_PER_SECOND, DATAGRAM_OVERHEAD_BYTES, OWNER_BYTES_PER_SECOND};
 pub use wire::{
     encoded_len, shard_of, short_key, Key, KeyRow, Layout, Message, PackedTotal, Page, PageKind, ShortKey,
     TotalsPage, MAX_PAGES, MAX_PAGE_KEYS, SHARDS,
@@ -111,7 +111,7 @@
         let mut out = Vec::new();
         for shard in 0..SHARDS {
             if self.contributor.is_due(now, shard) {
-                self.report(now, shard, &mut out);
+                self.contribute(now, shard, &mut out);
             }
             if self.owner.is_due(now, shard) {
                 self.owner.send_partials(now, shard, &self.placement, &mut self.transmitter, &mut out);
@@ -122,7 +122,11 @@
 
     /// When [`Aggregation::tick`] has something to do; `Duration::MAX`: nothing.
     pub fn wake_at(&self) -> Duration {
-        self.contributor.next_report_at().chain(self.owner.next_partials_at()).min().unwrap_or(Duration::MAX)
+        self.contributor
+            .next_contribution_at()
+            .chain(self.owner.next_partials_at())
+            .min()
+            .unwrap_or(Duration::MAX)
     }
 
     /// Takes a message of a process at that address and of that incarnation; what to answer.
@@ -138,8 +142,15 @@
         let id = SenderId { address: from, incarnation };
         let is_own_cell = sender.cell == *self.placement.own_cell();
         match message {
-            Message::Report(page) if is_own_cell => {
-                self.owner.receive_report(now, id, page, &self.placement, &mut self.transmitter, &mut out);
+            Message::Contribution(page) if is_own_cell => {
+                self.owner.receive_contribution(
+                    now,
+                    id,
+                    page,
+                    &self.placement,
+                    &mut self.transmitter,
+                    &mut out,
+                );
             }
             Message::Partial(page) if !is_own_cell => {
                 self.receive_partial(now, id, sender, page, &mut out);
@@ -150,10 +161,10 @@
             Message::LayoutUnknown { kind: PageKind::Partial, shard, page } => {
                 self.owner.forget_sent_layout(from, sender.cell, shard, page);
             }
-            Message::LayoutUnknown { kind: PageKind::Report, shard, page } => {
+            Message::LayoutUnknown { kind: PageKind::Contribution, shard, page } => {
                 self.contributor.send_full_layout(now, from, shard, page);
             }
-            Message::Report(_) | Message::Partial(_) => {}
+            Message::Contribution(_) | Message::Partial(_) => {}
         }
         out
     }
@@ -186,22 +197,22 @@
         }
     }
 
-    /// Reports the own amounts of a shard to its owner, which may be this process.
-    fn report(&mut self, now: Duration, shard: usize, out: &mut Vec<Envelope>) {
+    /// Sends the own amounts of a shard to its owner, which may be this process.
+    fn contribute(&mut self, now: Duration, shard: usize, out: &mut Vec<Envelope>) {
         let Some(owner) = self.placement.own_cell_owner(shard) else { return };
         let split = self.placement.own_split();
-        let reports = self.contributor.report(now, shard, owner, split, &mut self.transmitter);
+        let contributions = self.contributor.contribute(now, shard, owner, split, &mut self.transmitter);
         if owner == self.placement.own().address {
-            reports.into_iter().for_each(|report| self.report_to_itself(now, report));
+            contributions.into_iter().for_each(|contribution| self.contribute_to_itself(now, contribution));
         } else {
-            out.extend(reports.into_iter().map(|message| Envelope { to: owner, message }));
+            out.extend(contributions.into_iter().map(|message| Envelope { to: owner, message }));
         }
     }
 
-    fn report_to_itself(&mut self, now: Duration, report: Message) {
+    fn contribute_to_itself(&mut self, now: Duration, contribution: Message) {
         let own = self.placement.own();
         let (address, incarnation) = (own.address, own.incarnation);
-        for answer in self.receive(now, address, incarnation, report) {
+        for answer in self.receive(now, address, incarnation, contribution) {
             self.receive(now, address, incarnation, answer.message);
         }
     }
--- a/crates/gossip/src/aggregation/owner.rs
+++ b/crates/gossip/src/aggregation/owner.rs
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Takes a member's report, and answers it with the totals of its keys.
-    pub(super) fn receive_report(
+    /// Takes a member's contribution, and answers it with the totals of its keys.
+    pub(super) fn receive_contribution(
         &mut self,
         now: Duration,
         from: SenderId,
@@ -121,11 +121,11 @@
         let to = from.address;
         let (shard, number, sequence) = (page.shard, page.page, page.sequence);
         let Some(owned) = self.shard_of_page(&page) else { return };
-        match owned.accept_report(now, from, page) {
+        match owned.accept_contribution(now, from, page) {
             PageOutcome::Accepted => {}
             PageOutcome::Ignored => return,
             PageOutcome::LayoutUnknown => {
-                let answer = Message::LayoutUnknown { kind: PageKind::Report, shard, page: number };
+                let answer = Message::LayoutUnknown { kind: PageKind::Contribution, shard, page: number };
                 if transmitter.try_answer(now, &answer) {
                     out.push(Envelope { to, message: answer });
                 }
@@ -215,7 +215,7 @@
 }
 
 impl OwnedShard {
-    fn accept_report(&mut self, now: Duration, from: SenderId, page: Page) -> PageOutcome {
+    fn accept_contribution(&mut self, now: Duration, from: SenderId, page: Page) -> PageOutcome {
         let room = self.expire(now);
         let mut stored = self.contributions.remove(&from.address);
         let outcome = accept_page(&mut stored, now, from, page, room);
--- a/crates/gossip/src/aggregation/transmitter.rs
+++ b/crates/gossip/src/aggregation/transmitter.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Bytes a second that go to owners, and as many at once; headers included.
-pub const REPORT_BYTES_PER_SECOND: f64 = 8_000.0;
+pub const OWNER_BYTES_PER_SECOND: f64 = 8_000.0;
 /// Bytes a second of answers, and as many at once; headers included. Answers are what is left out first.
 pub const ANSWER_BYTES_PER_SECOND: f64 = 12_000.0;
 /// Bytes of a datagram beside its message: IPv4's and UDP's headers (28 bytes), the gossip header and the sender (28).
@@ -19,7 +19,7 @@
 pub(super) struct Transmitter {
     rng: StdRng,
     sequence: u32,
-    reports: RateLimiter,
+    to_owners: RateLimiter,
     answers: RateLimiter,
 }
 
@@ -29,7 +29,7 @@
         Transmitter {
             rng: StdRng::seed_from_u64(seed),
             sequence: 0,
-            reports: limiter(REPORT_BYTES_PER_SECOND),
+            to_owners: limiter(OWNER_BYTES_PER_SECOND),
             answers: limiter(ANSWER_BYTES_PER_SECOND),
         }
     }
@@ -46,7 +46,7 @@
 
     /// Whether a message may go to an owner; its bytes are taken then.
     pub(super) fn try_send_to_owner(&mut self, now: Duration, message: &Message) -> bool {
-        self.reports.try_acquire(now, DATAGRAM_OVERHEAD_BYTES + encoded_len(message))
+        self.to_owners.try_acquire(now, DATAGRAM_OVERHEAD_BYTES + encoded_len(message))
     }
 
     /// Whether an answer may be sent; its bytes are taken then.
--- a/crates/gossip/src/aggregation/wire.rs
+++ b/crates/gossip/src/aggregation/wire.rs
@@ -72,8 +72,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "bool", into = "bool")]
 pub enum PageKind {
-    /// Those of [`Message::Report`].
-    Report,
+    /// Those of [`Message::Contribution`].
+    Contribution,
     /// Those of [`Message::Partial`].
     Partial,
 }
@@ -83,7 +83,7 @@
         if is_partial {
             PageKind::Partial
         } else {
-            PageKind::Report
+            PageKind::Contribution
         }
     }
 }
@@ -103,14 +103,14 @@
     pub contributors: u32,
 }
 
-/// The totals of the keys of one reported page, in its order.
+/// The totals of the keys of one contributed page, in its order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TotalsPage {
     /// The shard.
     pub shard: u8,
     /// Which page of it.
     pub page: u8,
-    /// The sequence number of the report that is answered, which is part of the totals.
+    /// The sequence number of the contribution that is answered, which is part of the totals.
     pub sequence: u32,
     /// How old the oldest partial is, in units of 20 ms.
     pub age_ticks: u8,
@@ -124,10 +124,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// A member's own amounts, to the owner in its cell.
-    Report(Page),
+    Contribution(Page),
     /// A cell's partial sums, to the owners of other cells.
     Partial(Page),
-    /// The answer to a report.
+    /// The answer to a contribution.
     Totals(TotalsPage),
     /// The keys of that page are not known to the receiver of the page: send them in full.
     LayoutUnknown {
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -315,7 +315,9 @@
         // Only what others saw needs the name of who passes it on.
         let name = match body {
             Body::Push(_) | Body::Records(_) => process.name.clone(),
-            _ => String::new(),
+            Body::Digest { .. } | Body::Differences { .. } | Body::Request(_) | Body::Aggregation(_) => {
+                String::new()
+            }
         };
         let bytes = encode(&Message { from: Observer { name, life: process.life }, body });
         let sent = self.anti_entropy.try_acquire(now, bytes.len() + IP_UDP_HEADER_BYTES);
--- a/crates/gossip/tests/aggregation/cost.rs
+++ b/crates/gossip/tests/aggregation/cost.rs
@@ -2,7 +2,7 @@
 
 use crate::network::{Network, SECOND};
 use rand::RngExt;
-use shaletack_gossip::aggregation::{Key, ANSWER_BYTES_PER_SECOND, REPORT_BYTES_PER_SECOND};
+use shaletack_gossip::aggregation::{Key, ANSWER_BYTES_PER_SECOND, OWNER_BYTES_PER_SECOND};
 use std::collections::BTreeMap;
 
 const VOLUMES: u64 = 1000;
@@ -106,7 +106,7 @@
     let mean_bytes_of = |initiators: usize| {
         let Cost { mean_bytes, greatest_bytes, worst_share } = measure(initiators, 9, 100, 0.04);
         assert!(mean_bytes <= 5_500.0, "{initiators}: {mean_bytes}");
-        let most = 2.0 * (REPORT_BYTES_PER_SECOND + ANSWER_BYTES_PER_SECOND);
+        let most = 2.0 * (OWNER_BYTES_PER_SECOND + ANSWER_BYTES_PER_SECOND);
         assert!(greatest_bytes <= most, "{initiators}: {greatest_bytes}");
         assert!(worst_share >= 0.9, "{initiators}: {worst_share}");
         mean_bytes
--- a/crates/gossip/tests/aggregation/failures.rs
+++ b/crates/gossip/tests/aggregation/failures.rs
@@ -36,7 +36,7 @@
 }
 
 /// A rolling upgrade restarts one in four at a time. A restarted process has a new incarnation at an old address, and owners
-/// may still hold what the earlier one reported.
+/// may still hold what the earlier one sent.
 #[test]
 fn an_address_that_restarts_is_counted_once() {
     let mut network = Network::new(27, 9, 17);
@@ -109,7 +109,7 @@
     network.assert_exact();
     network.loss = 1.0;
     network.run(TOTAL_TTL + SECOND / 2);
-    // Only owners know what others reported to them, and that expires as well.
+    // Only owners know what others sent to them, and that expires as well.
     let mut unknown = 0;
     for (reader, key) in network.readings() {
         match network.total(reader, key) {
--- a/crates/gossip/tests/aggregation/ownership.rs
+++ b/crates/gossip/tests/aggregation/ownership.rs
@@ -36,10 +36,10 @@
     }
 }
 
-/// The sum, and the contributors in it, that a member is answered when it reports 10.
+/// The sum, and the contributors in it, that a member is answered when it contributes 10.
 fn answer(aggregation: &mut Aggregation, now: Duration, node: usize, sequence: u32) -> Option<(u64, u32)> {
-    let report = Message::Report(page_of(KEY, sequence, 10));
-    let answers = aggregation.receive(now, address(node), 1, report);
+    let contribution = Message::Contribution(page_of(KEY, sequence, 10));
+    let answers = aggregation.receive(now, address(node), 1, contribution);
     let total = totals_to(&answers, node)?.totals[0];
     Some((unpack_amount(total.amount), total.contributors))
 }
@@ -71,44 +71,44 @@
     }
     let [(owner, incarnation)] = counted[..] else { panic!("{counted:?}") };
     assert_eq!(incarnation, 1);
-    // A member of another zone can't report here.
-    let report = Message::Report(page_of(KEY, 9, 100));
-    assert!(aggregation.receive(200 * SECOND, address(owner), 1, report).is_empty());
+    // A member of another zone can't contribute here.
+    let contribution = Message::Contribution(page_of(KEY, 9, 100));
+    assert!(aggregation.receive(200 * SECOND, address(owner), 1, contribution).is_empty());
 }
 
 /// Pages come late and twice, and a process restarts and counts from the start again.
 #[test]
 fn late_and_doubled_pages_change_nothing() {
-    let report = |sequence, amount| Message::Report(page_of(KEY, sequence, amount));
+    let contribution = |sequence, amount| Message::Contribution(page_of(KEY, sequence, amount));
     let shard = shard_of(short_key(KEY)) as u8;
     let mut aggregation = Aggregation::new(member(0, 1, 0), 1);
     aggregation.set_members(SECOND, vec![member(1, 1, 0)]);
     let total = |answers: &[Envelope]| {
         totals_to(answers, 1).map(|totals| (totals.sequence, unpack_amount(totals.totals[0].amount)))
     };
-    assert_eq!(total(&receive(&mut aggregation, SECOND, 1, report(5, 100))), Some((5, 100)));
-    assert_eq!(receive(&mut aggregation, 2 * SECOND, 1, report(5, 100)), vec![]);
-    assert_eq!(receive(&mut aggregation, 2 * SECOND, 1, report(4, 900)), vec![]);
-    assert_eq!(total(&receive(&mut aggregation, 3 * SECOND, 1, report(6, 200))), Some((6, 200)));
+    assert_eq!(total(&receive(&mut aggregation, SECOND, 1, contribution(5, 100))), Some((5, 100)));
+    assert_eq!(receive(&mut aggregation, 2 * SECOND, 1, contribution(5, 100)), vec![]);
+    assert_eq!(receive(&mut aggregation, 2 * SECOND, 1, contribution(4, 900)), vec![]);
+    assert_eq!(total(&receive(&mut aggregation, 3 * SECOND, 1, contribution(6, 200))), Some((6, 200)));
     // Keys that are not known are asked for, and what came before stays until it expires.
     let unchanged = Page { layout: Layout::Unchanged(1), ..page_of(KEY, 7, 300) };
-    let unknown = Message::LayoutUnknown { kind: PageKind::Report, shard, page: 0 };
+    let unknown = Message::LayoutUnknown { kind: PageKind::Contribution, shard, page: 0 };
     let asked = vec![Envelope { to: address(1), message: unknown }];
-    assert_eq!(receive(&mut aggregation, 4 * SECOND, 1, Message::Report(unchanged)), asked);
+    assert_eq!(receive(&mut aggregation, 4 * SECOND, 1, Message::Contribution(unchanged)), asked);
     // A later incarnation begins anew, also with lower numbers; the earlier one is nobody then.
     aggregation.set_members(4 * SECOND, vec![member(1, 2, 0)]);
-    assert_eq!(total(&receive(&mut aggregation, 5 * SECOND, 2, report(1, 50))), Some((1, 50)));
-    assert_eq!(receive(&mut aggregation, 6 * SECOND, 1, report(9, 900)), vec![]);
-    assert_eq!(total(&receive(&mut aggregation, 7 * SECOND, 2, report(2, 50))), Some((2, 50)));
+    assert_eq!(total(&receive(&mut aggregation, 5 * SECOND, 2, contribution(1, 50))), Some((1, 50)));
+    assert_eq!(receive(&mut aggregation, 6 * SECOND, 1, contribution(9, 900)), vec![]);
+    assert_eq!(total(&receive(&mut aggregation, 7 * SECOND, 2, contribution(2, 50))), Some((2, 50)));
 }
 
-/// A member restarts or dies. What its earlier incarnation reported is in no answer from the moment that membership says so.
+/// A member restarts or dies. What its earlier incarnation sent is in no answer from the moment that membership says so.
 #[test]
 fn a_contribution_is_dropped_at_once_when_membership_has_that_incarnation_no_more() {
     for (later, other) in [(vec![member(1, 2, 0)], "another incarnation"), (vec![], "nobody")] {
         let mut aggregation = Aggregation::new(member(0, 1, 0), 1);
         aggregation.set_members(SECOND, vec![member(1, 1, 0), member(2, 1, 0)]);
-        aggregation.receive(SECOND, address(1), 1, Message::Report(page_of(KEY, 1, 100)));
+        aggregation.receive(SECOND, address(1), 1, Message::Contribution(page_of(KEY, 1, 100)));
         assert_eq!(answer(&mut aggregation, SECOND, 2, 1), Some((110, 2)));
         let now = SECOND + 300 * MILLISECOND;
         aggregation.set_members(now, [vec![member(2, 1, 0)], later].concat());
@@ -150,12 +150,12 @@
     aggregation.set_amounts(now, keys.clone());
     let asked_at = now + 200 * MILLISECOND;
     let out = aggregation.tick(asked_at);
-    let reported = out.iter().find_map(|envelope| match &envelope.message {
-        Message::Report(page) => Some(page),
+    let contributed = out.iter().find_map(|envelope| match &envelope.message {
+        Message::Contribution(page) => Some(page),
         _ => None,
     });
     let Page { shard, page, sequence, amounts, .. } =
-        reported.expect("a shard whose owner is the other").clone();
+        contributed.expect("a shard whose owner is the other").clone();
     let totals = vec![PackedTotal { amount: pack_amount(500), contributors: 2 }; amounts.len()];
     let totals = TotalsPage { shard, page, sequence, age_ticks: 150, missing_cells: 0, totals };
     let answered_at = asked_at + 500 * MILLISECOND;
--- a/crates/gossip/tests/aggregation/totals.rs
+++ b/crates/gossip/tests/aggregation/totals.rs
@@ -76,7 +76,7 @@
     let key = Key::Demand(1);
     network.set_all_amounts(&[(key, 1_000_000)]);
     network.run(6 * SECOND);
-    // 3% each: held back at first, reported with the quiet round all the same.
+    // 3% each: held back at first, sent with the quiet round all the same.
     network.set_all_amounts(&[(key, 1_030_000)]);
     network.run(4 * SECOND);
     for reader in 0..40 {
--- a/crates/gossip/tests/aggregation/validation.rs
+++ b/crates/gossip/tests/aggregation/validation.rs
@@ -6,7 +6,7 @@
 use shaletack_gossip::aggregation::{
     encoded_len, shard_of, short_key, Aggregation, Envelope, Key, KeyRow, Layout, Message, PackedTotal, Page,
     PageKind, ShortKey, TotalsPage, ANSWER_BYTES_PER_SECOND, DATAGRAM_OVERHEAD_BYTES, MAX_AMOUNT,
-    MAX_PAGE_KEYS, REPORT_BYTES_PER_SECOND, SHARDS, WHOLE_REGION_SPLIT,
+    MAX_PAGE_KEYS, OWNER_BYTES_PER_SECOND, SHARDS, WHOLE_REGION_SPLIT,
 };
 use std::time::Duration;
 
@@ -60,7 +60,7 @@
         Message::LayoutUnknown { kind: PageKind::from(is_partial), shard, page }
     });
     prop_oneof![
-        3 => page().prop_map(Message::Report),
+        3 => page().prop_map(Message::Contribution),
         3 => page().prop_map(Message::Partial),
         1 => totals(),
         1 => unknown,
@@ -151,7 +151,7 @@
             sequence += 1;
             let page = random_page(&mut network, sequence);
             let message =
-                if sequence.is_multiple_of(2) { Message::Report(page) } else { Message::Partial(page) };
+                if sequence.is_multiple_of(2) { Message::Contribution(page) } else { Message::Partial(page) };
             let incarnation = network.nodes[FLOODER].incarnation;
             let victim = &mut network.nodes[VICTIM].aggregation;
             answered += bytes_of(&victim.receive(network.now, address(FLOODER), incarnation, message));
@@ -161,7 +161,7 @@
     println!("a flood of 20,000 pages: {answered} bytes of answers in 10 s");
     assert!(answered > 0 && answered as f64 <= 11.0 * ANSWER_BYTES_PER_SECOND, "{answered}");
     let bytes_per_second = network.nodes[VICTIM].bytes as f64 / 16.0;
-    let most = 2.0 * (REPORT_BYTES_PER_SECOND + ANSWER_BYTES_PER_SECOND);
+    let most = 2.0 * (OWNER_BYTES_PER_SECOND + ANSWER_BYTES_PER_SECOND);
     assert!(bytes_per_second <= most, "{bytes_per_second}");
     network.run(10 * SECOND);
     network.assert_exact();
@@ -178,7 +178,7 @@
         for node in 1..40 {
             for shard in 0..SHARDS as u8 {
                 sequence += 1;
-                let report = Message::Report(Page {
+                let contribution = Message::Contribution(Page {
                     shard,
                     page: 0,
                     page_count: 1,
@@ -187,7 +187,7 @@
                     layout: Layout::Full(vec![KeyRow { key: [1, 2, 3, 4, shard], contributors: 1 }]),
                     amounts: vec![1],
                 });
-                answered += bytes_of(&aggregation.receive(now, address(node), 1, report));
+                answered += bytes_of(&aggregation.receive(now, address(node), 1, contribution));
             }
         }
     }
--- a/crates/gossip/tests/wire_fixtures.rs
+++ b/crates/gossip/tests/wire_fixtures.rs
@@ -100,10 +100,10 @@
         ("differences-none.bin", nameless(differences(u32::MAX, 0, Vec::new()))),
         ("request.bin", nameless(Body::Request(vec![5, 0xffff_ffff]))),
         ("records.bin", named(Body::Records(items()))),
-        ("report-full.bin", sums(aggregation::Message::Report(page(full(), vec![9, 40_000])))),
+        ("report-full.bin", sums(aggregation::Message::Contribution(page(full(), vec![9, 40_000])))),
         (
             "report-unchanged.bin",
-            sums(aggregation::Message::Report(page(Layout::Unchanged(0x0a0b_0c0d), vec![1023]))),
+            sums(aggregation::Message::Contribution(page(Layout::Unchanged(0x0a0b_0c0d), vec![1023]))),
         ),
         ("partial-full.bin", sums(aggregation::Message::Partial(page(full(), vec![0, u16::MAX])))),
         (
@@ -111,7 +111,7 @@
             sums(aggregation::Message::Partial(page(Layout::Unchanged(0), Vec::new()))),
         ),
         ("totals.bin", sums(totals())),
-        ("layout-unknown-report.bin", sums(layout_unknown(PageKind::Report))),
+        ("layout-unknown-report.bin", sums(layout_unknown(PageKind::Contribution))),
         ("layout-unknown-partial.bin", sums(layout_unknown(PageKind::Partial))),
     ]
 }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -15,7 +15,7 @@
 use shaletack_core::members::{EndpointList, EndpointRecord};
 use shaletack_core::notice::OperatorEvent;
 use shaletack_gossip as gossip;
-use shaletack_gossip::aggregation::{Key, Total, ANSWER_BYTES_PER_SECOND, REPORT_BYTES_PER_SECOND};
+use shaletack_gossip::aggregation::{Key, Total, ANSWER_BYTES_PER_SECOND, OWNER_BYTES_PER_SECOND};
 use shaletack_gossip::codec::{HEADER_BYTES as GOSSIP_HEADER_BYTES, MAGIC as GOSSIP_MAGIC};
 use shaletack_gossip::limits::{GOSSIP_BURST_BYTES, GOSSIP_BYTES_PER_SECOND};
 use shaletack_gossip::{Gossip, Locality};
@@ -309,7 +309,7 @@
             cpu: [Duration::ZERO; 3],
             spread,
             news: Traffic::bounded(GOSSIP_BYTES_PER_SECOND + GOSSIP_BURST_BYTES),
-            sums: Traffic::bounded(2.0 * (REPORT_BYTES_PER_SECOND + ANSWER_BYTES_PER_SECOND)),
+            sums: Traffic::bounded(2.0 * (OWNER_BYTES_PER_SECOND + ANSWER_BYTES_PER_SECOND)),
             own: BTreeMap::new(),
             others: BTreeMap::new(),
             stopped: BTreeSet::new(),
