--- /dev/null
+++ b/crates/gossip/tests/wire_fixtures.rs
@@ -0,0 +1,157 @@
+//! Initiators of two releases gossip with each other during each upgrade. The files in `fixtures` are datagrams and keys
+//! as the release of 2 December 2026 encodes them: each has to mean the same now, and to be encoded to the same bytes.
+
+use shaletack_gossip::aggregation::{self, Key, KeyRow, Layout, PackedTotal, Page, PageKind, TotalsPage};
+use shaletack_gossip::codec::{decode, encode, Body, Item, MembershipRecord, Message, Refresh};
+use shaletack_gossip::Locality;
+use shaletack_knowledge::{Observer, Standing, Told, What};
+use std::collections::BTreeSet;
+use std::path::PathBuf;
+use std::time::Duration;
+
+fn fixture(name: &str) -> PathBuf {
+    PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures")).join(name)
+}
+
+fn read(name: &str) -> Vec<u8> {
+    std::fs::read(fixture(name)).unwrap_or_else(|why| panic!("{name}: {why}"))
+}
+
+fn process(name: &str) -> Observer {
+    Observer { name: name.into(), life: 0x0123_4567_89ab_cdef }
+}
+
+fn report(what: What, hops: u8) -> Item {
+    let (by, start, age) = (process("initiator-1"), 1_764_700_000_123, Duration::new(7, 250_000_000));
+    Item::Observation(Told { what, by, start, hops, age })
+}
+
+fn record(address: &str) -> Item {
+    let locality = Locality { region: "south".into(), zone: "south-b".into() };
+    Item::Member(MembershipRecord {
+        process: process("initiator-2"),
+        address: address.parse().unwrap(),
+        locality,
+    })
+}
+
+fn refresh() -> Item {
+    let record_ids = vec![0, 1, 0x8000_0000, u32::MAX];
+    let age = Duration::from_millis(1500);
+    Item::Refresh(Refresh { observer: process("initiator-3"), hops: 2, age, record_ids })
+}
+
+/// One item of each kind, and of each claim.
+fn items() -> Vec<Item> {
+    vec![
+        report(What::Standing("endpoint-1".into(), Standing::Ready), 0),
+        report(What::Standing("endpoint-2".into(), Standing::Draining), 1),
+        report(What::Standing("endpoint-3".into(), Standing::Gone), 32),
+        report(What::Failing("endpoint-4".into(), true), 0),
+        report(What::Failing("endpoint-4".into(), false), 0),
+        report(What::Started("endpoint-5".into(), Duration::from_millis(4321)), 3),
+        report(What::Spent("endpoint-6".into(), 123_456), 0),
+        report(What::Demand(77, u64::MAX), 0),
+        record("10.1.2.3:7700"),
+        record("[fd00::1]:7700"),
+        refresh(),
+    ]
+}
+
+fn page(layout: Layout, amounts: Vec<u16>) -> Page {
+    Page { shard: 15, page: 7, page_count: 8, split: 3, sequence: 70_000, layout, amounts }
+}
+
+fn full() -> Layout {
+    let row = |key, contributors| KeyRow { key, contributors };
+    Layout::Full(vec![row([1, 2, 3, 4, 15], 1), row([200, 201, 202, 203, 255], 300)])
+}
+
+fn totals() -> aggregation::Message {
+    let total = |amount, contributors| PackedTotal { amount, contributors };
+    let totals = vec![total(0, 0), total(1023, 1), total(u16::MAX, u32::MAX)];
+    let (sequence, age_ticks, missing_cells) = (99, 200, 513);
+    aggregation::Message::Totals(TotalsPage { shard: 3, page: 1, sequence, age_ticks, missing_cells, totals })
+}
+
+fn layout_unknown(kind: PageKind) -> aggregation::Message {
+    aggregation::Message::LayoutUnknown { kind, shard: 9, page: 2 }
+}
+
+fn digest(token: u32, range_hashes: Vec<u32>) -> Body {
+    Body::Digest { token, range_hashes }
+}
+
+fn differences(token: u32, ranges: u16, record_ids: Vec<u32>) -> Body {
+    Body::Differences { token, ranges, record_ids }
+}
+
+/// Each kind of message in each variant, under the name of its file.
+fn messages() -> Vec<(&'static str, Message)> {
+    let named = |body| Message { from: process("initiator-9"), body };
+    let nameless = |body| Message { from: process(""), body };
+    let sums = |message| nameless(Body::Aggregation(message));
+    vec![
+        ("push.bin", named(Body::Push(items()))),
+        ("push-empty.bin", named(Body::Push(Vec::new()))),
+        ("digest-overall.bin", nameless(digest(0xdead_beef, vec![0x0102_0304]))),
+        ("digest-ranges.bin", nameless(digest(7, (0..16).map(|n| n * 0x1111_1111).collect()))),
+        ("differences.bin", nameless(differences(7, 0x8421, vec![1, 0x1000_0000, 0xf000_0000]))),
+        ("differences-none.bin", nameless(differences(u32::MAX, 0, Vec::new()))),
+        ("request.bin", nameless(Body::Request(vec![5, 0xffff_ffff]))),
+        ("records.bin", named(Body::Records(items()))),
+        ("report-full.bin", sums(aggregation::Message::Contribution(page(full(), vec![9, 40_000])))),
+        (
+            "report-unchanged.bin",
+            sums(aggregation::Message::Contribution(page(Layout::Unchanged(0x0a0b_0c0d), vec![1023]))),
+        ),
+        ("partial-full.bin", sums(aggregation::Message::Partial(page(full(), vec![0, u16::MAX])))),
+        (
+            "partial-unchanged.bin",
+            sums(aggregation::Message::Partial(page(Layout::Unchanged(0), Vec::new()))),
+        ),
+        ("totals.bin", sums(totals())),
+        ("layout-unknown-report.bin", sums(layout_unknown(PageKind::Contribution))),
+        ("layout-unknown-partial.bin", sums(layout_unknown(PageKind::Partial))),
+    ]
+}
+
+fn keys() -> Vec<(&'static str, Key)> {
+    vec![
+        ("key-demand.bin", Key::Demand(300)),
+        ("key-slow-start-spend.bin", Key::SlowStartSpend(u64::MAX)),
+        ("key-config-version.bin", Key::ConfigVersion(0)),
+    ]
+}
+
+#[test]
+fn datagrams_of_the_previous_release_mean_the_same_and_are_encoded_to_the_same_bytes() {
+    for (name, message) in messages() {
+        let bytes = read(name);
+        let decoded = decode(&bytes).unwrap_or_else(|why| panic!("{name}: {why}"));
+        assert_eq!(decoded, message, "{name}");
+        assert_eq!(encode(&decoded), bytes, "{name}");
+    }
+}
+
+#[test]
+fn keys_and_localities_of_the_previous_release_mean_the_same_and_are_encoded_to_the_same_bytes() {
+    for (name, key) in keys() {
+        let bytes = read(name);
+        assert_eq!(postcard::from_bytes::<Key>(&bytes).unwrap(), key, "{name}");
+        assert_eq!(postcard::to_allocvec(&key).unwrap(), bytes, "{name}");
+    }
+    let bytes = read("locality.bin");
+    let locality = Locality { region: "south".into(), zone: "south-b".into() };
+    assert_eq!(postcard::from_bytes::<Locality>(&bytes).unwrap(), locality);
+    assert_eq!(postcard::to_allocvec(&locality).unwrap(), bytes);
+}
+
+#[test]
+fn every_fixture_is_tested() {
+    let files = std::fs::read_dir(fixture("")).unwrap();
+    let files: BTreeSet<String> =
+        files.map(|file| file.unwrap().file_name().into_string().unwrap()).collect();
+    let tested = messages().into_iter().map(|(name, _)| name).chain(keys().into_iter().map(|(name, _)| name));
+    assert_eq!(files, tested.chain(["locality.bin"]).map(str::to_owned).collect());
+}
