--- a/crates/core/src/broker.rs
+++ b/crates/core/src/broker.rs
@@ -2,12 +2,12 @@
 //! [`Input`]; reading, writing and waiting are [`Effect`]s that it asks for. Decisions are the scheduler's.
 
 use crate::choice::Scheduler;
-use crate::ending::TransportOutcome;
-use crate::hearsay::{Contribution, KnownEndpoint, Peers, Totals};
+use crate::endpoint_list::{EndpointList, EndpointRecord};
+use crate::gossip::{Contribution, KnownEndpoint, Peers, Totals};
 use crate::interface::{Idempotency, *};
-use crate::members::{EndpointList, EndpointRecord};
-use crate::notice::OperatorEvent;
-use crate::starts::StartTimes;
+use crate::operator_event::OperatorEvent;
+use crate::outcome::TransportOutcome;
+use crate::start_times::StartTimes;
 use crate::state::SchedulerSnapshot;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/hearsay.rs
+++ b/crates/core/src/gossip.rs
@@ -2,10 +2,10 @@
 //! There is none of this where peers are off.
 
 use crate::choice::Scheduler;
+use crate::endpoint_list::EndpointRecord;
 use crate::interface::{
     AttemptOutcome, EndedAttempt, EndpointId, Event, PeerGossip, Readiness, SharedRules, VolumeId,
 };
-use crate::members::EndpointRecord;
 use shaletack_knowledge::fact::Topic;
 use shaletack_knowledge::{
     demand, spent, weigh, Advice, Fact, Health, Knowledge, Observer, Own, Refused, Standing, Told, What,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,22 +2,22 @@
 //! boxes that hold their data.
 //!
 //! It owns every decision ([`choice`]), the state of every request and box ([`broker`]), what each end of a
-//! connection proves ([`ending`]) and the forms of what it is told ([`members`], [`settings`]).
+//! connection proves ([`outcome`]) and the forms of what it is told ([`endpoint_list`], [`settings`]).
 //!
 //! It never reads or writes, holds no socket and reads no clock: time comes with each input, and what is to be
 //! done goes out as effects. That the crate has no runtime among its dependencies keeps it so.
 
-pub mod asking;
 pub mod broker;
 pub mod choice;
-pub mod ending;
-pub mod hearsay;
+pub mod endpoint_list;
+pub mod endpoint_list_poll;
+pub mod gossip;
 pub mod interface;
 pub mod json;
 mod measure;
-pub mod members;
 pub mod memo;
-pub mod notice;
+pub mod operator_event;
+pub mod outcome;
 pub mod settings;
-pub mod starts;
+pub mod start_times;
 mod state;
--- a/crates/core/src/notice.rs
+++ b/crates/core/src/operator_event.rs
@@ -1,8 +1,8 @@
 //! What the core wants the operators to know, as values: a host gives them their form.
 
 use crate::broker::RequestCounters;
+use crate::endpoint_list::EndpointRecord;
 use crate::interface::EndpointListKind;
-use crate::members::EndpointRecord;
 use std::time::Duration;
 
 /// One thing to be told.
--- a/crates/core/tests/members.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! Lists with faults, and long ones.
 
+use shaletack_core::endpoint_list::read;
 use shaletack_core::interface::Readiness;
-use shaletack_core::members::read;
 
 fn entry(id: &str, cell: &str, phase: &str) -> String {
     format!(r#"{{"id":"{id}","host_port":"10.1.0.1:5000","cell":{cell},"phase":"{phase}","up_since_ms":0}}"#)
--- a/crates/core/tests/asking.rs
+++ b/crates/core/tests/endpoint_list_poll.rs
@@ -1,6 +1,6 @@
 //! Many hosts that ask one service of fixed capacity for the list.
 
-use shaletack_core::asking::{CallEnd, EndpointListPoll};
+use shaletack_core::endpoint_list_poll::{CallEnd, EndpointListPoll};
 use shaletack_core::interface::{Settings, SharedRules};
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/core/tests/peers.rs
+++ b/crates/core/tests/gossip.rs
@@ -3,12 +3,12 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use shaletack_core::broker::*;
-use shaletack_core::ending::TransportOutcome;
+use shaletack_core::endpoint_list::{EndpointList, EndpointRecord};
 use shaletack_core::interface::{
     EndpointListKind, Idempotency, Plan, Readiness, RequestClass, Settings, SharedRules,
 };
-use shaletack_core::members::{EndpointList, EndpointRecord};
-use shaletack_core::notice::OperatorEvent;
+use shaletack_core::operator_event::OperatorEvent;
+use shaletack_core::outcome::TransportOutcome;
 use shaletack_knowledge::{Observer, Standing, Told, What};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/crates/core/tests/starts.rs
+++ b/crates/core/tests/start_times.rs
@@ -1,6 +1,6 @@
 //! Starts of boxes are taken over by a clock that is never stepped, whatever wall clocks do.
 
-use shaletack_core::starts::StartTimes;
+use shaletack_core::start_times::StartTimes;
 use std::time::Duration;
 
 const HOUR: u64 = 3_600_000;
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -5,11 +5,11 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use shaletack_core::broker::{Answer, AttemptResult, Broker, Clock, Effect, IncomingRequest, Input};
-use shaletack_core::ending::TransportOutcome;
+use shaletack_core::endpoint_list::{EndpointList, EndpointRecord};
 use shaletack_core::interface::{
     EndpointListKind, Idempotency, Plan, Readiness, RequestClass, Settings, SharedRules,
 };
-use shaletack_core::members::{EndpointList, EndpointRecord};
+use shaletack_core::outcome::TransportOutcome;
 use shaletack_knowledge::Observer;
 use shaletack_peers::frame;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/lab/src/hollow/initiator.rs
+++ b/crates/lab/src/hollow/initiator.rs
@@ -3,9 +3,9 @@
 use rand::rngs::StdRng;
 use rand::seq::IteratorRandom;
 use rand::SeedableRng;
-use shaletack::hearsay::Totals;
+use shaletack::gossip::Totals;
 use shaletack::peers::observer;
-use shaletack::{broker, notice::OperatorEvent, operator::Operator};
+use shaletack::{broker, operator::Operator, operator_event::OperatorEvent};
 use shaletack_gossip as gossip;
 use shaletack_gossip::aggregation::{Key, Total};
 use shaletack_gossip::codec::MAGIC as GOSSIP_MAGIC;
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,8 +1,8 @@
 //! What an initiator is told at its start.
 
+use crate::endpoint_list::{self, EndpointList};
 use crate::interface::{EndpointListKind, Settings};
 use crate::json::{self, Fault, Look};
-use crate::members::{self, EndpointList};
 use crate::settings;
 use std::net::SocketAddr;
 
@@ -71,7 +71,7 @@
     if settings.max_attempts == 0 {
         return Err("settings.limits.try-limit: it has to be a number above 0".into());
     }
-    let (mut known, passed_over) = members::from(top.at("known"))?;
+    let (mut known, passed_over) = endpoint_list::from(top.at("known"))?;
     known.kind = EndpointListKind::Cached;
     let sockets = top.at("limits").at("sockets").whole()? as usize;
     if sockets > 0 && sockets < FEWEST_SOCKETS {
--- a/src/etcd.rs
+++ b/src/etcd.rs
@@ -3,9 +3,9 @@
 //! Each key below the prefix is a box's id, its value the box's entry in discovery's form.
 
 use crate::broker::Input;
+use crate::endpoint_list::{self, EndpointList, EndpointRecord};
 use crate::interface::{EndpointListKind, Readiness};
 use crate::json::{self, Look};
-use crate::members::{self, EndpointList, EndpointRecord};
 use crate::operator::Etcd;
 use crate::runtime::host::Host;
 use crate::runtime::objects::{self, Objects};
@@ -125,7 +125,7 @@
         let (key, mut value) = (decode("key")?, decode("value")?);
         let id = id_of(&key, etcd)?;
         let entry = json::parse(&mut value)?;
-        let member = members::member(Look::object(&entry, "a box's entry")?)?;
+        let member = endpoint_list::member(Look::object(&entry, "a box's entry")?)?;
         if member.id == id {
             Ok(member)
         } else {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,8 @@
 //! box clients, lists of boxes and the command line.
 
 pub use shaletack_core::{
-    asking, broker, choice, ending, hearsay, interface, json, members, memo, notice, settings,
+    broker, choice, endpoint_list, endpoint_list_poll, gossip, interface, json, memo, operator_event,
+    outcome, settings,
 };
 
 pub mod config;
--- a/src/nbd/boxes.rs
+++ b/src/nbd/boxes.rs
@@ -2,7 +2,7 @@
 
 use super::codec::*;
 use crate::broker::{AttemptProgress, AttemptResult};
-use crate::ending::TransportOutcome;
+use crate::outcome::TransportOutcome;
 use crate::runtime::host::{Errand, Tell};
 use crate::runtime::sockets::{connect, end_of_connect, Uninterrupted};
 use bytes::Bytes;
--- a/src/net/boxes.rs
+++ b/src/net/boxes.rs
@@ -2,8 +2,8 @@
 
 use super::stream::{BoxStream, Counted, Idling, Manner, NEWS, UNTIL};
 use crate::broker::{AttemptProgress, AttemptResult};
-use crate::ending::TransportOutcome;
 use crate::interface::Settings;
+use crate::outcome::TransportOutcome;
 use crate::runtime::host::{Errand, Host, Tell};
 use crate::runtime::sockets::{address_of, connect, end_of_connect};
 use actix_http::body::{BodyStream, SizedStream};
--- a/src/net/watch.rs
+++ b/src/net/watch.rs
@@ -1,9 +1,9 @@
 //! The watch of discovery: the list as it changes, followed for as long as the program runs.
 
-use crate::asking::{CallEnd, EndpointListPoll, TOLD};
 use crate::broker::Input;
+use crate::endpoint_list::{self, EndpointList};
+use crate::endpoint_list_poll::{CallEnd, EndpointListPoll, TOLD};
 use crate::interface::EndpointListKind;
-use crate::members::{self, EndpointList};
 use crate::runtime::host::Host;
 use crate::runtime::objects::Objects;
 use crate::runtime::sockets::http_client;
@@ -230,7 +230,7 @@
     }
 
     fn read(&self, text: &mut [u8]) -> Result<(), String> {
-        let (members, faults) = members::read(text).map_err(|fault| format!("unreadable: {fault}"))?;
+        let (members, faults) = endpoint_list::read(text).map_err(|fault| format!("unreadable: {fault}"))?;
         faults.iter().for_each(|why| warn!(%why, "an entry of the list is passed over"));
         self.take(members)
     }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -3,9 +3,9 @@
 
 pub mod records;
 
+use crate::endpoint_list::{EndpointList, EndpointRecord};
 use crate::interface::{EndpointListKind, Idempotency, Plan, Readiness, RequestClass, Settings, VolumeId};
 use crate::json::Fault;
-use crate::members::{EndpointList, EndpointRecord};
 use records::{DiskBox, File, Phase};
 use shaletack_writeback::Unsettled;
 use std::collections::btree_map::Entry;
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -8,7 +8,7 @@
 mod exchange;
 
 use crate::broker;
-use crate::hearsay::{Contribution, Totals};
+use crate::gossip::{Contribution, Totals};
 use crate::operator;
 use crate::runtime::host::Host;
 use crate::runtime::sockets;
--- a/src/runtime/log.rs
+++ b/src/runtime/log.rs
@@ -1,7 +1,7 @@
 //! Structured events for the operators, on standard error: text or JSON, and bounded, so that a flood can't
 //! fill what keeps the log. What the bound drops is counted in an event of its own.
 
-use crate::notice::OperatorEvent;
+use crate::operator_event::OperatorEvent;
 use std::io;
 use std::str::FromStr;
 use std::sync::Mutex;
--- a/src/runtime/sockets.rs
+++ b/src/runtime/sockets.rs
@@ -1,6 +1,6 @@
 //! Sockets where a system call fails for a moment: what such a failure says, and what goes on after it.
 
-use crate::ending::TransportOutcome;
+use crate::outcome::TransportOutcome;
 use actix_rt::net::{ActixStream, Ready};
 use actix_service::fn_service;
 use actix_tls::connect::{ConnectError, ConnectInfo, Connection};
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -4,11 +4,11 @@
 mod common;
 use common::net::*;
 use shaletack::broker::{Input, OperatorCommand};
-use shaletack::ending::TransportOutcome;
 use shaletack::interface::Settings;
 use shaletack::net::boxes::{Boxes, Carried, Passed};
 use shaletack::net::handover::{self, HandoverLink, HandoverState, Identity};
 use shaletack::net::watch::Watch;
+use shaletack::outcome::TransportOutcome;
 use shaletack::runtime::host::Errand;
 use std::cell::Cell;
 use std::rc::Rc;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,11 +3,11 @@
 
 use proptest::prelude::*;
 use shaletack::broker::*;
-use shaletack::ending::TransportOutcome;
+use shaletack::endpoint_list::{EndpointList, EndpointRecord};
 use shaletack::interface::{
     DedupScope, EndpointListKind, Idempotency, Plan, Readiness, RequestClass, Settings, SharedRules,
 };
-use shaletack::members::{EndpointList, EndpointRecord};
+use shaletack::outcome::TransportOutcome;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use cap::Cap;
 use shaletack::broker::*;
-use shaletack::ending::TransportOutcome;
+use shaletack::endpoint_list::{EndpointList, EndpointRecord};
 use shaletack::interface::{EndpointListKind, Readiness, RequestId, Settings};
-use shaletack::members::{EndpointList, EndpointRecord};
+use shaletack::outcome::TransportOutcome;
 use std::alloc::System;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
