--- /dev/null
+++ b/crates/core/src/broker/peers.rs
@@ -0,0 +1,108 @@
+//! Where peers' reports meet the broker: what comes in, when endpoints are reviewed, and what is broadcast.
+
+use super::effect::Effect;
+use super::endpoints::UpdateContext;
+use super::step::Step;
+use super::Broker;
+use crate::gossip::{Contribution, Peers, Totals};
+use crate::interface::{EndpointListKind, Event};
+use crate::operator_event::OperatorEvent;
+use shaletack_knowledge::{Observer, Told};
+use std::time::{Duration, Instant};
+
+impl Broker {
+    /// What a peer is told in an exchange, most needed first; nothing where there are no peers.
+    pub fn peer_reports(&self, now: Instant) -> Vec<Told> {
+        let now = self.clock.time(now);
+        let Some(peers) = &self.peers else { return Vec::new() };
+        peers.tell(now, &self.endpoints.known(), &self.scheduler)
+    }
+
+    /// What this process adds to the sums over all initiators; nothing where there are no peers.
+    pub fn contribution(&self, now: Instant) -> Contribution {
+        let now = self.clock.time(now);
+        let Some(peers) = &self.peers else { return Contribution::default() };
+        peers.amounts(now, &self.endpoints.known(), &self.scheduler)
+    }
+
+    /// Takes what a peer reported in an exchange.
+    pub(super) fn take_peer_reports(
+        &mut self,
+        from: Observer,
+        round_trip: Duration,
+        reports: Vec<Told>,
+        step: &mut Step,
+    ) {
+        step.review_due = true;
+        let Some(peers) = &mut self.peers else { return };
+        let unsound = peers.hear(step.now, round_trip, &from, reports).unsound;
+        if unsound > 0 {
+            step.log(OperatorEvent::PeerReportsRejected { from: from.name, unsound });
+        }
+    }
+
+    /// Takes reports that were new among the peers.
+    pub(super) fn merge_gossip(&mut self, reports: Vec<Told>, step: &mut Step) {
+        step.review_due = true;
+        if let Some(peers) = &mut self.peers {
+            peers.learn(step.now, reports);
+        }
+    }
+
+    /// Takes the sums over all other initiators.
+    pub(super) fn take_peer_totals(&mut self, totals: Totals, step: &mut Step) {
+        let Some(peers) = &mut self.peers else { return };
+        peers.sum(step.now, totals);
+        let window = self.settings.get().rules.overload_window;
+        step.events.push(Event::Gossip(peers.hearsay(step.now, window, &self.endpoints.known())));
+    }
+
+    /// Keeps what the step's attempts say of their endpoints, for this process and its peers.
+    pub(super) fn observe_attempts(&mut self, step: &mut Step) {
+        let Some(peers) = &mut self.peers else { return };
+        let observed = peers.watch(step.now, &step.events);
+        step.review_due |= observed.failing;
+        step.broadcast_due |= observed.tells;
+    }
+
+    /// Where anything changed, or a piece of advice runs out: weighs what is known of endpoints anew, and tells the
+    /// scheduler what follows. What fails here is held back before it is tried again, as it is at those who hear of it.
+    pub(super) fn review_endpoints(&mut self, step: &mut Step) {
+        let now = step.now;
+        let Some(peers) = &mut self.peers else { return };
+        let expired = peers.changes_at().is_some_and(|at| at <= now);
+        if !step.review_due && !expired {
+            return;
+        }
+        let known = self.endpoints.known();
+        let changes = peers.review(now, &known);
+        let window = self.settings.get().rules.overload_window;
+        let gossip = peers.hearsay(now, window, &known);
+        for change in changes.iter().filter(|change| change.news) {
+            step.log(OperatorEvent::AdviceChanged {
+                id: change.id.clone(),
+                stopped: change.advice.stop_until.is_some(),
+                held: change.advice.hold_until.is_some(),
+                started_ago: change.advice.born.map(|born| now.saturating_sub(born)),
+            });
+        }
+        let context = UpdateContext::new(self.settings.get(), self.peers.as_ref());
+        let updates = changes.iter().filter_map(|change| self.endpoints.update(&change.id, &context));
+        step.events.push(Event::EndpointList { kind: EndpointListKind::Delta, lines: updates.collect() });
+        step.events.push(Event::Gossip(gossip));
+    }
+
+    /// Broadcasts what this process observes, where anything of it may be new to peers.
+    pub(super) fn broadcast(&mut self, step: &mut Step) {
+        let Some(peers) = self.peers.as_mut().filter(|_| step.broadcast_due) else { return };
+        let reports = peers.say(step.now, &self.endpoints.known(), &self.scheduler);
+        if !reports.is_empty() {
+            step.effects.push(Effect::Broadcast(reports));
+        }
+    }
+
+    /// When a piece of advice runs out.
+    pub(super) fn next_review(&self) -> Option<Duration> {
+        self.peers.as_ref().and_then(Peers::changes_at)
+    }
+}
--- /dev/null
+++ b/crates/core/src/broker/requests.rs
@@ -0,0 +1,311 @@
+//! Requests without a final answer and their attempts in flight: who still waits, until when, what became of each attempt,
+//! and which attempts are withdrawn before anything of them is written.
+
+use super::effect::{Answer, Effect};
+use super::input::{AttemptId, AttemptProgress, AttemptResult, IncomingRequest};
+use super::step::Step;
+use crate::counters::Counters;
+use crate::interface::{AttemptOutcome, EndedAttempt, EndpointId, Event, LoadReport, Request, RequestId};
+use crate::outcome::TransportOutcome;
+use bytes::Bytes;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// An answer is given this long before its client stops waiting: the way back takes time as well.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
+/// Retry-After of a request that never ran and whose body can't be sent again.
+const UNREPEATABLE_RETRY_AFTER: Duration = Duration::from_millis(100);
+
+/// A request that no final answer was given to.
+#[derive(Debug)]
+struct OpenRequest {
+    class: u16,
+    units: f64,
+    /// The latest moment of its final answer.
+    deadline: Duration,
+    /// How long the client waits, less the margin for the answer's way back.
+    time_remaining: Duration,
+    attempts: u8,
+    /// An attempt has ended that may have run.
+    may_have_run: bool,
+}
+
+/// An attempt whose outcome is not known yet.
+#[derive(Debug)]
+struct InFlightAttempt {
+    endpoint: EndpointId,
+    sent_at: Duration,
+    /// It is given up then.
+    deadline: Duration,
+    response_started_at: Option<Duration>,
+    body_streaming: bool,
+    write_started: bool,
+}
+
+impl InFlightAttempt {
+    /// The end of its round trip. One that is being answered says nothing of its endpoint by ending late.
+    fn round_trip_end(&self, now: Duration) -> Duration {
+        self.response_started_at.unwrap_or(now)
+    }
+}
+
+/// All open requests, all attempts in flight, and the counts of both.
+#[derive(Debug)]
+pub(super) struct Requests {
+    open: BTreeMap<RequestId, OpenRequest>,
+    in_flight: BTreeMap<AttemptId, InFlightAttempt>,
+    pub(super) counters: Counters,
+}
+
+impl Requests {
+    pub(super) fn new(counters: Counters) -> Self {
+        Requests { open: BTreeMap::new(), in_flight: BTreeMap::new(), counters }
+    }
+
+    /// How many requests are without a final answer.
+    pub(super) fn open_count(&self) -> usize {
+        self.open.len()
+    }
+
+    /// When the next attempt is to be given up; `None` while none has a deadline.
+    pub(super) fn next_deadline(&self) -> Option<Duration> {
+        let deadlines = self.in_flight.values().map(|attempt| attempt.deadline);
+        deadlines.filter(|deadline| *deadline < Duration::MAX).min()
+    }
+
+    /// Takes a new request; one whose number is already open is ignored.
+    pub(super) fn arrived(&mut self, id: RequestId, request: IncomingRequest, step: &mut Step) {
+        if self.open.contains_key(&id) {
+            return;
+        }
+        let time_remaining = request.time_remaining.saturating_sub(RESPONSE_MARGIN);
+        let open = OpenRequest {
+            class: request.class,
+            units: request.units,
+            deadline: step.now.saturating_add(time_remaining),
+            time_remaining,
+            attempts: 0,
+            may_have_run: false,
+        };
+        self.open.insert(id, open);
+        self.counters.count(request.class, |counts| counts.taken += 1);
+        step.events.push(Event::Request(Request {
+            id,
+            class: request.class,
+            volume: request.volume,
+            plan: request.plan,
+            initiators: request.initiators,
+            key: request.key,
+            shard: request.shard,
+            units: request.units,
+            time_remaining,
+            client_retry: request.client_retry,
+        }));
+    }
+
+    /// The client is gone: no answer is owed any more.
+    pub(super) fn client_left(&mut self, id: RequestId, step: &mut Step) {
+        if let Some(open) = self.open.remove(&id) {
+            self.counters.count(open.class, |counts| counts.client_left += 1);
+            step.events.push(Event::ClientLeft(id));
+        }
+    }
+
+    /// The scheduler rejects a request.
+    pub(super) fn reject(&mut self, request: RequestId, retry_after: Duration, step: &mut Step) {
+        let Some(open) = self.open.remove(&request) else { return };
+        self.counters.count(open.class, |counts| counts.rejected += 1);
+        step.effects.push(Effect::Respond { request, answer: Answer::Rejected(retry_after) });
+    }
+
+    /// The scheduler gives a request up.
+    pub(super) fn fail(&mut self, request: RequestId, step: &mut Step) {
+        let Some(open) = self.open.remove(&request) else { return };
+        self.counters.count(open.class, |counts| counts.failed += 1);
+        step.effects.push(Effect::Respond { request, answer: Answer::Failed });
+    }
+
+    fn serve(&mut self, request: RequestId, body: Bytes, step: &mut Step) {
+        let Some(open) = self.open.remove(&request) else { return };
+        self.counters.count(open.class, |counts| {
+            counts.served += 1;
+            counts.units += open.units;
+        });
+        step.effects.push(Effect::Respond { request, answer: Answer::Served(body) });
+    }
+
+    /// Starts the next attempt of a request. `timeout`: 0 where only the request's deadline ends it. Where the endpoint's
+    /// address is not known any more the attempt ends at once, not sent.
+    pub(super) fn start_attempt(
+        &mut self,
+        request: RequestId,
+        endpoint: EndpointId,
+        timeout: Duration,
+        address: Option<SocketAddr>,
+        step: &mut Step,
+    ) {
+        let Some(open) = self.open.get_mut(&request) else { return };
+        let attempt = AttemptId { request, number: open.attempts };
+        open.attempts = open.attempts.saturating_add(1);
+        let deadline = match timeout.is_zero() {
+            true => open.deadline,
+            false => open.deadline.min(step.now.saturating_add(timeout)),
+        };
+        let in_flight = InFlightAttempt {
+            endpoint,
+            sent_at: step.now,
+            deadline,
+            response_started_at: None,
+            body_streaming: false,
+            write_started: false,
+        };
+        let Some(to) = address else {
+            let outcome = TransportOutcome::NoAddress.attempt_outcome();
+            let ended = self.ended_attempt(attempt, &in_flight, outcome, step.now);
+            step.events.push(Event::AttemptEnded(ended));
+            return;
+        };
+        self.in_flight.insert(attempt, in_flight);
+        let timeout = deadline.saturating_sub(step.now);
+        step.effects.push(Effect::StartAttempt { attempt, to, timeout });
+    }
+
+    /// Notes how far an attempt has come.
+    pub(super) fn progressed(&mut self, id: AttemptId, progress: AttemptProgress, step: &mut Step) {
+        let Some(attempt) = self.in_flight.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id.request) else { return };
+        match progress {
+            AttemptProgress::WriteStarted => attempt.write_started = true,
+            AttemptProgress::ResponseStarted => {
+                attempt.response_started_at = Some(step.now);
+                step.events.push(Event::ResponseStarted(id.request));
+            }
+            // While a body is streamed its client's time stands still; it starts anew with the last byte.
+            AttemptProgress::BodyStreaming | AttemptProgress::BodySent => {
+                let streaming = progress == AttemptProgress::BodyStreaming;
+                open.deadline = match streaming {
+                    true => Duration::MAX,
+                    false => step.now.saturating_add(open.time_remaining),
+                };
+                attempt.deadline = open.deadline;
+                attempt.sent_at = step.now;
+                attempt.body_streaming = streaming;
+                step.events.push(Event::RequestBody { request: id.request, moves: streaming });
+            }
+        }
+    }
+
+    /// An attempt came back. `max_retry_after`: the longest wait a client keeps; 0: not stated.
+    pub(super) fn ended(
+        &mut self,
+        id: AttemptId,
+        result: AttemptResult,
+        max_retry_after: Duration,
+        step: &mut Step,
+    ) {
+        self.finish_body(id, step);
+        // One that was given up has had its one outcome.
+        let Some(attempt) = self.in_flight.remove(&id) else { return };
+        self.counters.count_attempt(result.transport);
+        let outcome = result.transport.attempt_outcome();
+        if outcome == AttemptOutcome::Served {
+            self.serve(id.request, result.body, step);
+        }
+        if let Some(open) = self.open.get_mut(&id.request) {
+            open.may_have_run |= !outcome.never_ran();
+        }
+        if result.body_consumed {
+            self.end_unrepeatable(id.request, max_retry_after, step);
+        }
+        let ended = self.ended_attempt(id, &attempt, outcome, attempt.round_trip_end(step.now));
+        step.events.push(Event::AttemptEnded(EndedAttempt {
+            volume_usage: result.volume_usage,
+            units_elsewhere: result.units_elsewhere,
+            ..ended
+        }));
+    }
+
+    /// A request that can't be sent again has its final answer with its first failure.
+    fn end_unrepeatable(&mut self, request: RequestId, max_retry_after: Duration, step: &mut Step) {
+        let Some(open) = self.open.get(&request) else { return };
+        if open.may_have_run {
+            return self.fail(request, step);
+        }
+        let retry_after = match max_retry_after.is_zero() {
+            true => UNREPEATABLE_RETRY_AFTER,
+            false => UNREPEATABLE_RETRY_AFTER.min(max_retry_after),
+        };
+        self.reject(request, retry_after, step);
+    }
+
+    /// Gives up the attempts whose deadline has come.
+    pub(super) fn time_out_attempts(&mut self, step: &mut Step) {
+        for id in self.attempts_where(|_, attempt| attempt.deadline <= step.now) {
+            self.give_up(id, TransportOutcome::TimedOut, step);
+        }
+    }
+
+    /// An attempt that still waits for a connection, and for whose answer nobody waits any more, is never sent,
+    /// whether or not the settings let one be cancelled that was.
+    pub(super) fn withdraw_unwanted(&mut self, step: &mut Step) {
+        let unwanted = |id: &AttemptId| !self.open.contains_key(&id.request);
+        for id in self.attempts_where(|id, attempt| !attempt.write_started && unwanted(id)) {
+            self.withdraw(id, step);
+        }
+    }
+
+    /// Withdraws the attempts that still wait for a connection to an endpoint that takes nothing new. They would be
+    /// written whenever the connection comes up, past the time that the settings leave.
+    pub(super) fn withdraw_from(&mut self, closed: impl Fn(EndpointId) -> bool, step: &mut Step) {
+        for id in self.attempts_where(|_, attempt| !attempt.write_started && closed(attempt.endpoint)) {
+            self.withdraw(id, step);
+        }
+    }
+
+    fn withdraw(&mut self, id: AttemptId, step: &mut Step) {
+        self.finish_body(id, step);
+        self.give_up(id, TransportOutcome::Withdrawn, step);
+    }
+
+    /// Closes an attempt from this side; `transport` says why.
+    pub(super) fn give_up(&mut self, id: AttemptId, transport: TransportOutcome, step: &mut Step) {
+        let Some(attempt) = self.in_flight.remove(&id) else { return };
+        self.counters.count_attempt(transport);
+        step.effects.push(Effect::AbortAttempt(id));
+        let outcome = transport.attempt_outcome();
+        let ended = self.ended_attempt(id, &attempt, outcome, attempt.round_trip_end(step.now));
+        step.events.push(Event::AttemptEnded(ended));
+    }
+
+    /// A body that was still streaming when its attempt ended streams no more.
+    fn finish_body(&mut self, id: AttemptId, step: &mut Step) {
+        if self.in_flight.get(&id).is_some_and(|attempt| attempt.body_streaming) {
+            self.progressed(id, AttemptProgress::BodySent, step);
+        }
+    }
+
+    fn attempts_where(&self, wanted: impl Fn(&AttemptId, &InFlightAttempt) -> bool) -> Vec<AttemptId> {
+        self.in_flight.iter().filter(|(id, attempt)| wanted(id, attempt)).map(|(id, _)| *id).collect()
+    }
+
+    fn ended_attempt(
+        &self,
+        id: AttemptId,
+        attempt: &InFlightAttempt,
+        outcome: AttemptOutcome,
+        ended_at: Duration,
+    ) -> EndedAttempt {
+        EndedAttempt {
+            request: id.request,
+            number: id.number,
+            endpoint: attempt.endpoint,
+            outcome,
+            elapsed: ended_at.saturating_sub(attempt.sent_at),
+            request_complete: !self.open.contains_key(&id.request),
+            volume_usage: None,
+            units_elsewhere: 0.0,
+            load_report: LoadReport::default(),
+        }
+    }
+}
--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -1,16 +1,17 @@
-//! The list of disk boxes in discovery's form.
+//! The endpoint list: who the endpoints are, in the form that discovery gives it.
 
 use crate::interface::{EndpointListKind, Readiness};
-use crate::json::{self, Fault, Look};
+use crate::json::{self, JsonError, JsonField};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
+use thiserror::Error;
 
-/// One disk box as listed.
+/// One endpoint as listed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Its name, alike at every initiator.
+    /// Its name, the same at every initiator.
     pub id: String,
     /// Where this initiator reaches it; a removed one needs none.
     pub address: Option<SocketAddr>,
@@ -27,7 +28,7 @@
 /// A report on the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// The list's version.
+    /// The list's revision.
     pub revision: u64,
     /// The whole list, or what changed.
     pub kind: EndpointListKind,
@@ -35,57 +36,114 @@
     pub entries: Vec<EndpointRecord>,
 }
 
-/// Reads one report, and what is wrong with entries that are passed over; the text is used as a workplace.
-pub fn read(text: &mut [u8]) -> Result<(EndpointList, Vec<Fault>), Fault> {
+/// A list that was read, and what is wrong with the entries that were passed over.
+#[derive(Debug)]
+pub struct ReadList {
+    /// The list.
+    pub list: EndpointList,
+    /// The faults of other entries.
+    pub faults: Vec<EntryError>,
+}
+
+/// What is wrong with one entry of a list.
+#[derive(Debug, Error)]
+pub enum EntryError {
+    /// It is not of the form of an entry.
+    #[error(transparent)]
+    Json(#[from] JsonError),
+    /// It has no name.
+    #[error("a member of the list has no id")]
+    NoId,
+    /// A field of it can't be read.
+    #[error("member {id}: {source}")]
+    Field {
+        /// Its name.
+        id: String,
+        /// What is wrong.
+        source: FieldError,
+    },
+    /// An entry before it has the same name.
+    #[error("member {id} is listed twice: the last counts")]
+    Duplicate {
+        /// The name.
+        id: String,
+    },
+}
+
+/// For callers whose errors are text.
+impl From<EntryError> for String {
+    fn from(error: EntryError) -> Self {
+        error.to_string()
+    }
+}
+
+/// Why a field of an entry can't be read.
+#[derive(Debug, Error)]
+pub enum FieldError {
+    /// It has another type than it should.
+    #[error(transparent)]
+    Json(#[from] JsonError),
+    /// The readiness is none of those known.
+    #[error("'{0}' is not a phase")]
+    UnknownPhase(String),
+    /// The address can't be parsed.
+    #[error("'{0}' is not an address and port")]
+    BadAddress(String),
+}
+
+/// Reads one report; the text's bytes are overwritten.
+pub fn read(text: &mut [u8]) -> Result<ReadList, JsonError> {
     let value = json::parse(text)?;
-    from(Look::object(&value, "the list")?)
+    read_list(JsonField::object(&value, "the list")?)
 }
 
-/// A report from an object already read. One bad entry must not keep the others from counting: it is passed over
-/// and named. Of entries with the same id the last counts.
-pub fn from(list: Look) -> Result<(EndpointList, Vec<Fault>), Fault> {
-    let kind = if list.at("complete").yes()? { EndpointListKind::Full } else { EndpointListKind::Delta };
-    let (mut entries, mut faults): (BTreeMap<String, EndpointRecord>, _) = (BTreeMap::new(), Vec::new());
-    for entry in list.at("members").list()? {
-        match member(entry) {
+/// A report from an object already parsed. One bad entry must not keep the others from counting: it is passed over and
+/// named. Of entries with the same id the last counts.
+pub fn read_list(object: JsonField) -> Result<ReadList, JsonError> {
+    let complete = object.field("complete").boolean()?;
+    let kind = if complete { EndpointListKind::Full } else { EndpointListKind::Delta };
+    let (mut entries, mut faults) = (BTreeMap::new(), Vec::new());
+    for entry in object.field("members").list()? {
+        match read_record(entry) {
             Err(fault) => faults.push(fault),
-            Ok(member) => {
-                let again = entries.insert(member.id.clone(), member);
-                faults.extend(again.map(|m| format!("member {} is listed twice: the last counts", m.id)));
+            Ok(record) => {
+                let earlier = entries.insert(record.id.clone(), record);
+                faults.extend(earlier.map(|record: EndpointRecord| EntryError::Duplicate { id: record.id }));
             }
         }
     }
-    let entries = entries.into_values().collect();
-    Ok((EndpointList { revision: list.at("revision").whole()?, kind, entries }, faults))
+    let revision = object.field("revision").integer()?;
+    let list = EndpointList { revision, kind, entries: entries.into_values().collect() };
+    Ok(ReadList { list, faults })
 }
 
-/// One entry; a fault names it.
-pub fn member(entry: Look) -> Result<EndpointRecord, Fault> {
-    let id = entry.at("id").text()?;
+/// Reads one entry; an error names it.
+pub fn read_record(entry: JsonField) -> Result<EndpointRecord, EntryError> {
+    let id = entry.field("id").text()?;
     if id.is_empty() {
-        return Err("a member of the list has no id".into());
+        return Err(EntryError::NoId);
     }
-    with_id(entry, id).map_err(|why| format!("member {id}: {why}"))
+    read_fields(entry, id).map_err(|source| EntryError::Field { id: id.to_owned(), source })
 }
 
-fn with_id(entry: Look, id: &str) -> Result<EndpointRecord, Fault> {
-    let readiness = match entry.at("phase").text()? {
+fn read_fields(entry: JsonField, id: &str) -> Result<EndpointRecord, FieldError> {
+    let readiness = match entry.field("phase").text()? {
         "up" => Readiness::Ready,
         "draining" => Readiness::Draining,
         "removed" => Readiness::Removed,
-        other => return Err(format!("'{other}' is not a phase")),
+        other => return Err(FieldError::UnknownPhase(other.to_owned())),
     };
-    let address = match entry.at("host_port").text()? {
+    let address = match entry.field("host_port").text()? {
         "" if readiness == Readiness::Removed => None,
-        text => Some(text.parse().map_err(|_| format!("'{text}' is not an address and port"))?),
+        text => Some(text.parse().map_err(|_| FieldError::BadAddress(text.to_owned()))?),
     };
-    let up_since = entry.at("up_since_ms").whole()?;
+    let up_since_ms = entry.field("up_since_ms").integer()?;
     Ok(EndpointRecord {
-        id: id.into(),
+        id: id.to_owned(),
         address,
-        zone: entry.at("locality").text()?.into(),
-        shard: entry.at("cell").whole()? as u16,
+        zone: entry.field("locality").text()?.to_owned(),
+        shard: entry.field("cell").integer()? as u16,
         readiness,
-        up_since: (up_since > 0).then(|| Duration::from_millis(up_since)),
+        up_since: (up_since_ms > 0).then(|| Duration::from_millis(up_since_ms)),
     })
 }
--- a/crates/core/src/endpoint_list_poll.rs
+++ b/crates/core/src/endpoint_list_poll.rs
@@ -1,125 +1,152 @@
-//! When a host asks for the list of nodes, and when again after that failed.
+//! When the endpoint list is fetched, and when again after that failed.
 //!
-//! Where the list is sent to an agent beside the host, asking costs nothing, and a broken watch is opened again at
-//! once. Where it is asked for, one service of a fixed capacity has all hosts' calls in turn: a call that has waited
-//! too long fails, and has cost as much as one served. Hosts that ask again at once keep its queue so long that no
-//! call is served in time any more, however few it would take to serve them all once. So hosts spread what they would
-//! do together, and each doubles its wait until there is room.
+//! Where the list is pushed to an agent beside the initiator, a call costs nothing, and a broken watch is opened again at
+//! once. Where it is polled, one service of fixed capacity serves all initiators' calls in turn: a call that has waited too
+//! long fails and has cost as much as one served. Initiators that call again at once keep its queue so long that no call is
+//! served in time any more, however little it would take to serve them all once. So initiators spread what they would do
+//! at the same instant, and each doubles its wait until there is capacity.
 
 use crate::interface::Settings;
 use crate::measure::{backoff, scramble};
 use std::time::Duration;
 
-/// A change counts as told so long after discovery had it and could be reached, whatever became of the calls before.
+/// A change counts as notified this long after discovery had it and could be reached, whatever became of the calls before.
 /// A call that is given up, the wait after it and the next call's answer together take no longer, at any fleet's size.
-pub const TOLD: Duration = Duration::from_secs(6);
-/// Discovery sends at least an empty line every 2 s: a watch on which nothing has come for so long is broken.
-const SILENT: Duration = Duration::from_secs(3);
-/// The first and the longest wait where asking costs nothing.
-const FREE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(500));
-/// An agent that answers at once and is silent for so long is down, or the call is lost: another one costs nothing.
-const AT_ONCE: Duration = Duration::from_millis(500);
-/// A call that waits its turn may take so long,
-const IN_TURN: Duration = Duration::from_millis(2500);
-/// and what it brings so long from its head on.
-const FIRST_WORD: Duration = Duration::from_millis(1000);
-/// Where it costs: the first wait after a call was turned away.
-const DEAR: Duration = Duration::from_millis(500);
-/// The longest wait of a few hosts that were refused for longer than that, and what each host adds to it: where all
-/// can't have their turn in that time, a queue of calls that nobody waits for any more lets nobody have it. Who is
-/// refused so long sends nothing new meanwhile, for changes count as told; two calls a second come out of any queue.
-const LONGEST: Duration = Duration::from_secs(10);
-/// What each host adds to the span over which all spread what they do at the same instant.
-const EACH: Duration = Duration::from_millis(20);
+pub const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
+/// Discovery sends at least an empty line every 2 s: a watch on which nothing has come for this long is broken.
+const WATCH_SILENCE_LIMIT: Duration = Duration::from_secs(3);
+
+/// Exponential backoff: the wait after the first failure, and the longest.
+struct BackoffSpan {
+    first: Duration,
+    longest: Duration,
+}
+
+/// Where the list is pushed, a call costs nothing.
+const PUSHED_BACKOFF: BackoffSpan =
+    BackoffSpan { first: Duration::from_millis(100), longest: Duration::from_millis(500) };
+/// An agent answers at once. One that is silent for this long is down, or the call is lost: another one costs nothing.
+const PUSHED_CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Where the list is polled, a call that waits its turn may take this long,
+const POLLED_CALL_TIMEOUT: Duration = Duration::from_millis(2500);
+/// and the first object of its answer this long from the answer's head on.
+const POLLED_FIRST_OBJECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Where the list is polled: the first wait after a call was rejected. Also what each initiator adds to the longest wait
+/// once calls have been rejected for [`NOTIFIED_WITHIN`].
+const POLLED_FIRST_BACKOFF: Duration = Duration::from_millis(500);
+/// The longest wait of a few initiators that were rejected for longer than [`NOTIFIED_WITHIN`]. Where not all can have their
+/// turn in that time, a queue of calls that nobody waits for any more lets nobody have it. Who is rejected for so long sends
+/// nothing new meanwhile, for changes count as notified; two calls a second come out of any queue.
+const REJECTED_LONGEST_BACKOFF: Duration = Duration::from_secs(10);
+/// What each initiator adds to the span over which all spread what they do at the same instant.
+const SPREAD_PER_INITIATOR: Duration = Duration::from_millis(20);
 
 /// How a call or a watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The connection broke or fell silent, perhaps everywhere at once.
-    Broke,
+    /// The connection was lost or fell silent, perhaps at all initiators at once.
+    ConnectionLost,
     /// The service answered that it could not serve the call.
-    Refused,
+    Rejected,
     /// There was no answer in the time that a call may take.
-    GivenUp,
+    TimedOut,
 }
 
-/// One host's asking.
+/// One initiator's schedule of calls for the list.
 #[derive(Clone, Debug)]
 pub struct EndpointListPoll {
     seed: u64,
+    /// How many random numbers were drawn from the seed.
     drawn: u64,
+    /// Calls in a row that brought nothing.
     failures: u32,
 }
 
 impl EndpointListPoll {
-    /// Nothing was asked yet.
+    /// Nothing was called yet.
     pub fn new(seed: u64) -> Self {
         EndpointListPoll { seed, drawn: 0, failures: 0 }
     }
 
-    /// How long after its start a host asks: all may start at once.
-    pub fn first(&mut self, set: &Settings) -> Duration {
-        if set.endpoint_list_polled {
-            self.within(together(set))
+    /// How long after its start an initiator makes its first call: all may start at once.
+    pub fn first_wait(&mut self, settings: &Settings) -> Duration {
+        if settings.endpoint_list_polled {
+            self.random_below(spread_span(settings))
         } else {
             Duration::ZERO
         }
     }
 
     /// How long a call waits for its answer to begin.
-    pub fn patience(set: &Settings) -> Duration {
-        if set.endpoint_list_polled {
-            IN_TURN
+    pub fn call_timeout(settings: &Settings) -> Duration {
+        if settings.endpoint_list_polled {
+            POLLED_CALL_TIMEOUT
         } else {
-            AT_ONCE
+            PUSHED_CALL_TIMEOUT
         }
     }
 
-    /// How long the first object or sign of life may take once an answer has begun.
-    pub fn first_word(set: &Settings) -> Duration {
-        if set.endpoint_list_polled {
-            FIRST_WORD
+    /// How long the first object, or sign of life, may take once an answer has begun.
+    pub fn first_object_timeout(settings: &Settings) -> Duration {
+        if settings.endpoint_list_polled {
+            POLLED_FIRST_OBJECT_TIMEOUT
         } else {
-            AT_ONCE
+            PUSHED_CALL_TIMEOUT
         }
     }
 
-    /// A watch on which nothing whole came for so long has fallen silent.
-    pub fn silence() -> Duration {
-        SILENT
+    /// A watch on which nothing complete came for this long is broken.
+    pub fn silence_limit() -> Duration {
+        WATCH_SILENCE_LIMIT
     }
 
-    /// How long after a call or a watch ended a host asks again. `brought`: it had brought news. `refused_for`: how
-    /// long its calls have been answered with refusals, and with nothing else.
-    pub fn again(&mut self, set: &Settings, brought: bool, over: CallEnd, refused_for: Duration) -> Duration {
-        self.failures = if brought { 1 } else { self.failures.saturating_add(1) };
-        if !set.endpoint_list_polled {
-            return if brought { FREE.0 / 2 } else { backoff(FREE.0, FREE.1, self.failures) };
+    /// How long after a call or a watch ended the next call is made. `brought_news`: it had brought a list or changes.
+    /// `rejected_for`: how long calls have been answered with rejections, and with nothing else.
+    pub fn next_wait(
+        &mut self,
+        settings: &Settings,
+        brought_news: bool,
+        end: CallEnd,
+        rejected_for: Duration,
+    ) -> Duration {
+        self.failures = if brought_news { 1 } else { self.failures.saturating_add(1) };
+        if settings.endpoint_list_polled {
+            self.polled_wait(settings, end, rejected_for)
+        } else if brought_news {
+            PUSHED_BACKOFF.first / 2
+        } else {
+            backoff(PUSHED_BACKOFF.first, PUSHED_BACKOFF.longest, self.failures)
         }
-        // Of the time that the rule leaves, the next call may take as long as one that waits its turn; a call that
-        // was given up has had the other part.
-        let left = TOLD - IN_TURN;
-        let wait = match over {
-            CallEnd::Broke => return self.within(together(set)),
-            CallEnd::Refused if refused_for >= TOLD => {
-                backoff(DEAR, LONGEST.max(set.initiators * DEAR), self.failures)
+    }
+
+    fn polled_wait(&mut self, settings: &Settings, end: CallEnd, rejected_for: Duration) -> Duration {
+        // Of the time until a change counts as notified, the next call may take as much as one that waits its turn, and a
+        // call that timed out has had that much already.
+        let remaining = NOTIFIED_WITHIN - POLLED_CALL_TIMEOUT;
+        let longest = match end {
+            CallEnd::ConnectionLost => return self.random_below(spread_span(settings)),
+            CallEnd::Rejected if rejected_for >= NOTIFIED_WITHIN => {
+                REJECTED_LONGEST_BACKOFF.max(settings.initiators * POLLED_FIRST_BACKOFF)
             }
-            CallEnd::Refused => backoff(DEAR, left, self.failures),
-            CallEnd::GivenUp => backoff(DEAR, left - IN_TURN, self.failures),
+            CallEnd::Rejected => remaining,
+            CallEnd::TimedOut => remaining - POLLED_CALL_TIMEOUT,
         };
-        wait / 2 + self.within(wait / 2)
+        let wait = backoff(POLLED_FIRST_BACKOFF, longest, self.failures);
+        wait / 2 + self.random_below(wait / 2)
     }
 
-    fn within(&mut self, span: Duration) -> Duration {
+    fn random_below(&mut self, span: Duration) -> Duration {
         self.drawn = self.drawn.wrapping_add(1);
         let bound = (span.as_nanos() as u64).max(1);
         Duration::from_nanos(scramble(self.seed.wrapping_add(self.drawn)) % bound)
     }
 }
 
-/// The span over which all hosts spread what they do at the same instant: a watch that fell silent is asked for again
-/// before what it missed counts as told, with time for its turn.
-fn together(set: &Settings) -> Duration {
-    let within = Some(set.rules.notified_within).filter(|within| !within.is_zero()).unwrap_or(TOLD);
-    (set.initiators * EACH).min(within / 4).min((TOLD - SILENT) / 2)
+/// The span over which all initiators spread what they do at the same instant: a watch that fell silent is opened again
+/// before what it missed counts as notified, with time for its turn.
+fn spread_span(settings: &Settings) -> Duration {
+    let stated = Some(settings.rules.notified_within).filter(|within| !within.is_zero());
+    let within = stated.unwrap_or(NOTIFIED_WITHIN);
+    let all = settings.initiators * SPREAD_PER_INITIATOR;
+    all.min(within / 4).min((NOTIFIED_WITHIN - WATCH_SILENCE_LIMIT) / 2)
 }
--- a/crates/core/src/json.rs
+++ b/crates/core/src/json.rs
@@ -1,124 +1,144 @@
-//! A walk over JSON in which what is absent or null reads as nothing and what has another type is a fault.
+//! Typed reading of JSON in which a value that is absent or null reads as nothing, and one of another type is an error.
 
 use simd_json::prelude::*;
 use simd_json::BorrowedValue;
 use std::time::Duration;
+use thiserror::Error;
+
+/// Why a text could not be read.
+#[derive(Debug, Error)]
+pub enum JsonError {
+    /// The text is no JSON.
+    #[error("not JSON: {0}")]
+    Syntax(#[source] simd_json::Error),
+    /// The text is JSON, and not an object.
+    #[error("{what} is not a JSON object")]
+    NotAnObject {
+        /// What the text is.
+        what: &'static str,
+    },
+    /// A value has another type than it should.
+    #[error("a setting should be {expected}: {found}")]
+    WrongType {
+        /// The type it should have.
+        expected: &'static str,
+        /// The value, as JSON.
+        found: String,
+    },
+}
+
+/// For callers whose errors are text.
+impl From<JsonError> for String {
+    fn from(error: JsonError) -> Self {
+        error.to_string()
+    }
+}
 
-/// Why a text could not be read, in one line.
-pub type Fault = String;
+impl JsonError {
+    fn wrong_type(expected: &'static str, found: &BorrowedValue) -> Self {
+        JsonError::WrongType { expected, found: found.encode() }
+    }
+}
 
-/// Reads a text; simd-json uses it as its workplace.
-pub fn parse(text: &mut [u8]) -> Result<BorrowedValue<'_>, Fault> {
-    simd_json::to_borrowed_value(text).map_err(|e| format!("not JSON: {e}"))
+/// Parses a text; its bytes are overwritten.
+pub fn parse(text: &mut [u8]) -> Result<BorrowedValue<'_>, JsonError> {
+    simd_json::to_borrowed_value(text).map_err(JsonError::Syntax)
 }
 
 /// A value, or the lack of one.
 #[derive(Clone, Copy)]
-pub struct Look<'a, 'v>(Option<&'a BorrowedValue<'v>>);
+pub struct JsonField<'a, 'v>(Option<&'a BorrowedValue<'v>>);
 
-impl<'a, 'v> Look<'a, 'v> {
-    /// A whole text's value, which has to be an object.
-    pub fn object(value: &'a BorrowedValue<'v>, what: &str) -> Result<Self, Fault> {
+impl<'a, 'v> JsonField<'a, 'v> {
+    /// The value of a whole text, `what`, which has to be an object.
+    pub fn object(value: &'a BorrowedValue<'v>, what: &'static str) -> Result<Self, JsonError> {
         if value.is_object() {
-            Ok(Look(Some(value)))
+            Ok(JsonField(Some(value)))
         } else {
-            Err(format!("{what} is not a JSON object"))
+            Err(JsonError::NotAnObject { what })
         }
     }
 
-    /// The member of that name.
-    pub fn at(self, name: &str) -> Self {
-        Look(self.0.and_then(|v| v.get(name)).filter(|v| !v.is_null()))
+    /// The field of that name.
+    pub fn field(self, name: &str) -> Self {
+        JsonField(self.0.and_then(|value| value.get(name)).filter(|value| !value.is_null()))
+    }
+
+    /// Whether there is a value.
+    pub fn is_present(self) -> bool {
+        self.0.is_some()
     }
 
-    /// The first key, by its path, that this value has and another lacks. Of a list of objects what all of them
-    /// have is asked of each of the other's.
+    /// The path of the first key that this value has and another one lacks. Of a list of objects, each of the other's
+    /// entries has to have the keys that all entries of this one have.
     pub fn missing_in(self, other: Self) -> Option<String> {
         let (Some(own), Some(theirs)) = (self.0, other.0) else { return None };
         if let (Some(own), Some(_)) = (own.as_object(), theirs.as_object()) {
-            return own.keys().find_map(|key| {
-                let (mine, other) = (self.at(key), other.at(key));
-                match (mine.is_there(), other.is_there()) {
-                    (true, false) => Some(key.to_string()),
-                    _ => mine.missing_in(other).map(|path| format!("{key}.{path}")),
-                }
-            });
+            return own.keys().find_map(|key| self.missing_field(key, other));
         }
         let (own, theirs) = (own.as_array()?, theirs.as_array()?);
-        let keys =
-            own.first()?.as_object()?.keys().filter(|key| own.iter().all(|o| o.contains_key(key.as_ref())));
-        let keys: Vec<_> = keys.collect();
-        let lacks = |entry: &BorrowedValue| {
-            keys.iter().find(|k| !entry.contains_key(k.as_ref())).map(|k| k.to_string())
-        };
-        theirs.iter().find_map(lacks)
+        let in_all = |key: &str| own.iter().all(|entry| entry.contains_key(key));
+        let keys: Vec<_> = own.first()?.as_object()?.keys().filter(|key| in_all(key.as_ref())).collect();
+        let lacks = |entry: &BorrowedValue| keys.iter().find(|key| !entry.contains_key(key.as_ref()));
+        theirs.iter().find_map(lacks).map(|key| key.to_string())
     }
 
-    /// Whether there is a value.
-    pub fn is_there(self) -> bool {
-        self.0.is_some()
+    fn missing_field(self, key: &str, other: Self) -> Option<String> {
+        let (own, theirs) = (self.field(key), other.field(key));
+        if own.is_present() && !theirs.is_present() {
+            return Some(key.to_owned());
+        }
+        own.missing_in(theirs).map(|path| format!("{key}.{path}"))
     }
 
     /// A finite number, where there is one.
-    pub fn number(self) -> Result<Option<f64>, Fault> {
-        match self.0 {
-            None => Ok(None),
-            Some(v) => match v.cast_f64() {
-                Some(n) if n.is_finite() => Ok(Some(n)),
-                _ => Err(format!("a setting should be a number: {}", v.encode())),
-            },
+    pub fn optional_number(self) -> Result<Option<f64>, JsonError> {
+        let Some(value) = self.0 else { return Ok(None) };
+        match value.cast_f64() {
+            Some(number) if number.is_finite() => Ok(Some(number)),
+            _ => Err(JsonError::wrong_type("a number", value)),
         }
     }
 
-    /// A number, 0 where there is none.
-    pub fn real(self) -> Result<f64, Fault> {
-        Ok(self.number()?.unwrap_or(0.0))
+    /// A finite number, 0 where there is none.
+    pub fn number(self) -> Result<f64, JsonError> {
+        Ok(self.optional_number()?.unwrap_or(0.0))
     }
 
-    /// A whole number, 0 where there is none.
-    pub fn whole(self) -> Result<u64, Fault> {
-        match self.0.and_then(|v| v.as_u64()) {
-            Some(n) => Ok(n),
-            None => Ok(self.real()? as u64),
+    /// A whole number, 0 where there is none. A fraction is cut off.
+    pub fn integer(self) -> Result<u64, JsonError> {
+        match self.0.and_then(|value| value.as_u64()) {
+            Some(number) => Ok(number),
+            None => Ok(self.number()? as u64),
         }
     }
 
-    /// A span, given in nanoseconds.
-    pub fn span(self) -> Result<Duration, Fault> {
-        self.whole().map(Duration::from_nanos)
+    /// A duration, given in nanoseconds; 0 where there is none.
+    pub fn duration(self) -> Result<Duration, JsonError> {
+        self.integer().map(Duration::from_nanos)
     }
 
     /// True or false; false where there is nothing.
-    pub fn yes(self) -> Result<bool, Fault> {
-        match self.0 {
-            None => Ok(false),
-            Some(v) => {
-                v.as_bool().ok_or_else(|| format!("a setting should be true or false: {}", v.encode()))
-            }
-        }
+    pub fn boolean(self) -> Result<bool, JsonError> {
+        let Some(value) = self.0 else { return Ok(false) };
+        value.as_bool().ok_or_else(|| JsonError::wrong_type("true or false", value))
     }
 
     /// A text, empty where there is none.
-    pub fn text(self) -> Result<&'a str, Fault> {
-        match self.0 {
-            None => Ok(""),
-            Some(v) => v.as_str().ok_or_else(|| format!("a setting should be text: {}", v.encode())),
-        }
+    pub fn text(self) -> Result<&'a str, JsonError> {
+        let Some(value) = self.0 else { return Ok("") };
+        value.as_str().ok_or_else(|| JsonError::wrong_type("text", value))
     }
 
     /// A list, empty where there is none.
-    pub fn list(self) -> Result<Vec<Look<'a, 'v>>, Fault> {
-        match self.0 {
-            None => Ok(Vec::new()),
-            Some(v) => match v.as_array() {
-                Some(a) => Ok(a.iter().map(|v| Look(Some(v))).collect()),
-                None => Err(format!("a setting should be a list: {}", v.encode())),
-            },
-        }
+    pub fn list(self) -> Result<Vec<JsonField<'a, 'v>>, JsonError> {
+        let Some(value) = self.0 else { return Ok(Vec::new()) };
+        let entries = value.as_array().ok_or_else(|| JsonError::wrong_type("a list", value))?;
+        Ok(entries.iter().map(|entry| JsonField(Some(entry))).collect())
     }
 
-    /// A list of texts.
-    pub fn texts(self) -> Result<Vec<String>, Fault> {
-        self.list()?.into_iter().map(|t| t.text().map(String::from)).collect()
+    /// A list of texts, empty where there is none.
+    pub fn texts(self) -> Result<Vec<String>, JsonError> {
+        self.list()?.into_iter().map(|entry| entry.text().map(String::from)).collect()
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -9,6 +9,7 @@
 
 pub mod broker;
 pub mod choice;
+pub mod counters;
 pub mod endpoint_list;
 pub mod endpoint_list_poll;
 pub mod gossip;
--- a/crates/core/src/operator_event.rs
+++ b/crates/core/src/operator_event.rs
@@ -1,73 +1,74 @@
-//! What the core wants the operators to know, as values: a host gives them their form.
+//! What the core wants the operators to know, as values: the host writes them to its log.
 
-use crate::broker::RequestCounters;
+use crate::counters::ClassCounters;
 use crate::endpoint_list::EndpointRecord;
 use crate::interface::EndpointListKind;
+use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One thing to be told.
+/// One event for the operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorEvent {
-    /// A box as the list now has it.
+    /// An endpoint as the list now has it.
     EndpointListed {
-        /// The list's version.
+        /// The list's revision.
         revision: u64,
         /// What the report held.
         kind: EndpointListKind,
         /// The entry.
-        member: EndpointRecord,
+        record: EndpointRecord,
     },
-    /// Entries of the same list beside those, which are not told one by one.
+    /// Other entries of the same list changed that are not logged one by one.
     EndpointsNotListed {
-        /// The list's version.
+        /// The list's revision.
         revision: u64,
         /// How many.
         more: usize,
     },
-    /// What a predecessor left has been taken over.
+    /// A predecessor's state has been taken over.
     HandoverRestored {
-        /// The version of its list.
+        /// The revision of its list.
         revision: u64,
-        /// How many boxes it named.
-        boxes: usize,
-        /// How many of them operators took out.
+        /// How many endpoints it knew.
+        endpoints: usize,
+        /// How many of them operators had suspended.
         suspended: usize,
-        /// Its clients were to go elsewhere.
+        /// Its clients were sent elsewhere.
         drained: bool,
     },
-    /// An operator took a box out.
+    /// An operator suspended the endpoint of that name.
     EndpointSuspended(String),
-    /// An operator gave a box back; it counts as just started.
+    /// An operator resumed the endpoint of that name; it counts as just started.
     EndpointResumed(String),
-    /// Clients are to go elsewhere, by hand.
+    /// An operator has clients sent elsewhere.
     ClientsDrained,
-    /// Clients are taken again, by hand.
+    /// An operator has clients accepted again.
     ClientsAccepted,
     /// Counts since the start.
     Counters {
         /// What became of requests, by class.
-        classes: Vec<(String, RequestCounters)>,
-        /// How many attempts ended in which way.
-        ends: Vec<(String, u64)>,
+        classes: Vec<ClassCounters>,
+        /// How many attempts ended in which way, by the outcome's name.
+        attempt_outcomes: BTreeMap<String, u64>,
         /// Requests without a final answer.
-        open: usize,
+        open_requests: usize,
     },
-    /// What peers say of a box has come to mean something else.
+    /// What peers report of an endpoint has come to mean something else.
     AdviceChanged {
-        /// The box.
+        /// The endpoint's name.
         id: String,
-        /// It gets nothing new, by their word.
+        /// It gets nothing new.
         stopped: bool,
         /// It is held back for a moment.
         held: bool,
-        /// How long ago it started, by their word.
+        /// How long ago it started, as reported.
         started_ago: Option<Duration>,
     },
-    /// Some of what a peer told was not taken.
+    /// Some of a peer's reports were not accepted.
     PeerReportsRejected {
-        /// Who told it.
+        /// The peer's name.
         from: String,
-        /// Facts out of range, or first-hand in another's name.
+        /// How many were out of range, or first-hand in another's name.
         unsound: usize,
     },
     /// A line of the scheduler's.
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,54 +1,59 @@
-//! Every way in which an attempt's connection can end, and what that means to the scheduler.
+//! How an attempt ended, as its connection saw it, and what that proves to the scheduler.
+//!
+//! The upstream clients see many ends; the scheduler's decisions need only to know which of them prove that nothing ran.
+//! [`TransportOutcome::attempt_outcome`] is the one place where the first becomes the second.
 
 use crate::interface::AttemptOutcome;
 
-/// How the exchange with a disk box ended, as seen on its connection.
+/// How the exchange with an endpoint ended, as seen on its connection. Names appear in the log and in counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransportOutcome {
-    /// A whole answer: the work is done.
+    /// A complete response: the work is done.
     Complete,
-    /// A whole answer that says the work failed.
+    /// A complete response that says the work failed.
     EndpointError,
-    /// Turned away, and the box vouches that nothing ran.
+    /// Rejected, and the endpoint vouches that nothing ran.
     Rejected,
-    /// An answer that the protocol does not know; nothing vouches for what ran.
+    /// A response that the protocol does not know; nothing proves what ran.
     ProtocolViolation,
-    /// The connection was refused, or no way led to the box.
+    /// The connection was refused, or there was no route to the endpoint.
     Unreachable,
-    /// The connection did not come up in the settings' time.
+    /// The connection was not established within the settings' time.
     ConnectTimedOut,
     /// The handshake on a new connection failed before any request was written.
     HandshakeFailed,
-    /// The connection broke while the request was being written; the last byte may have gone.
+    /// The connection was lost while the request was being written; its last byte may have been sent.
     LostWhileWriting,
-    /// The connection broke before the request's last byte was to be written.
+    /// The connection was lost before the request's last byte was to be written.
     LostBeforeRequest,
-    /// The connection broke after the request and before an answer.
+    /// The connection was lost after the request and before a response.
     LostAwaitingResponse,
-    /// The answer began and did not come whole.
+    /// The response began and did not come complete.
     TruncatedResponse,
-    /// The answer's end cannot be told from a break, or it is larger than an answer may be.
+    /// The response's end can't be told from a lost connection, or it is larger than a response may be.
     UnboundedResponse,
-    /// What came can't be read as an answer, or stopped on the way; the connection did not end.
+    /// What came can't be read as a response, or stopped on the way; the connection did not end.
     MalformedResponse,
     /// Nothing came in time, and the connection was closed.
     TimedOut,
-    /// The scheduler called it off, and the connection was closed.
+    /// The scheduler cancelled it, and the connection was closed.
     Cancelled,
-    /// It was never begun: the box's address is not known any more.
+    /// It was never begun: the endpoint's address is not known any more.
     NoAddress,
-    /// It was never written: its box took no new work, or its client left, before a connection was there.
+    /// It was never written: its endpoint took no new work, or its client left, before a connection was there.
     Withdrawn,
-    /// It was never begun: this machine had no socket, port or memory left for it, which says nothing of the box.
+    /// It was never begun: this machine had no socket, port or memory left for it, which says nothing of the endpoint.
     NoDescriptor,
 }
 
 impl TransportOutcome {
-    /// The scheduler's word for it. "It never ran" is said only of what proves it.
+    /// The scheduler's outcome. One that proves that the attempt never ran
+    /// ([`AttemptOutcome::never_ran`]) is given only where the end proves it: nothing of the request was complete at the
+    /// endpoint, or the endpoint says so.
     pub fn attempt_outcome(self) -> AttemptOutcome {
         match self {
             TransportOutcome::Complete => AttemptOutcome::Served,
-            // A spoilt answer tells of a box that lives: it is not taken for one that has just restarted.
+            // A malformed response tells of an endpoint that lives: it is not taken for one that has just restarted.
             TransportOutcome::EndpointError
             | TransportOutcome::ProtocolViolation
             | TransportOutcome::UnboundedResponse
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,115 +1,183 @@
-//! The one reader of the settings' JSON, for the drill and the initiator alike.
+//! The one reader of the settings' JSON, for the program and the simulator adapter alike. The platform's keys are mapped to
+//! the code's terms here and nowhere else.
 
-use crate::interface::*;
-use crate::json::{self, Fault, Look};
+use crate::interface::{DedupScope, Idempotency, Plan, RequestClass, Settings, SharedRules};
+use crate::json::{self, JsonError, JsonField};
+use thiserror::Error;
 
-/// The most hosts a fleet may have.
-const MOST_HOSTS: f64 = 65_536.0;
+/// The most initiators a fleet may have.
+const MAX_INITIATORS: f64 = 65_536.0;
 
-/// Reads the settings; the text is used as a workplace.
-pub fn read(text: &mut [u8]) -> Result<Settings, Fault> {
-    let value = json::parse(text).map_err(|e| format!("the settings are {e}"))?;
-    from(Look::object(&value, "the settings")?)
+/// Why settings can't be used.
+#[derive(Debug, Error)]
+pub enum SettingsError {
+    /// The text can't be parsed.
+    #[error("the settings are {0}")]
+    Syntax(#[source] JsonError),
+    /// A value has another type than it should.
+    #[error(transparent)]
+    Json(#[from] JsonError),
+    /// A named value has another type than it should.
+    #[error("{key}: {source}")]
+    Key {
+        /// The key.
+        key: &'static str,
+        /// What is wrong.
+        source: JsonError,
+    },
+    /// A number of initiators is no whole number, or too great.
+    #[error("{key}: {value} is not a whole number up to {max}", max = MAX_INITIATORS)]
+    NotACount {
+        /// The key.
+        key: &'static str,
+        /// Its value.
+        value: f64,
+    },
+    /// There is no initiator.
+    #[error("balancers: there is at least one, this one")]
+    NoInitiators,
+    /// This initiator's number is not one of the fleet's.
+    #[error("rank: {rank} is not below balancers, {initiators}")]
+    RankTooGreat {
+        /// This initiator's number, from 0.
+        rank: u32,
+        /// How many there are.
+        initiators: u32,
+    },
 }
 
-/// The settings from an object already read.
-pub fn from(top: Look) -> Result<Settings, Fault> {
-    let (limits, domain) = (top.at("limits"), top.at("domain"));
-    let tries = limits.at("try-limit").whole()? as u32;
-    let (hosts, rank) = fleet(top)?;
+/// For callers whose errors are text.
+impl From<SettingsError> for String {
+    fn from(error: SettingsError) -> Self {
+        error.to_string()
+    }
+}
+
+/// Reads the settings; the text's bytes are overwritten.
+pub fn read(text: &mut [u8]) -> Result<Settings, SettingsError> {
+    let value = json::parse(text).map_err(SettingsError::Syntax)?;
+    read_settings(JsonField::object(&value, "the settings")?)
+}
+
+/// The settings from an object already parsed.
+pub fn read_settings(top: JsonField) -> Result<Settings, SettingsError> {
+    let (limits, domain) = (top.field("limits"), top.field("domain"));
+    let max_attempts = limits.field("try-limit").integer()? as u32;
+    let Fleet { initiators, rank } = read_fleet(top)?;
     Ok(Settings {
-        initiators: hosts,
+        initiators,
         rank,
-        zone: top.at("my-zone").whole()? as u16,
-        zones: top.at("zones").texts()?,
-        min_batch_interval: top.at("step").span()?,
-        endpoint_list_polled: top.at("membership-mode").text()? == "on_request",
-        classes: top.at("lanes").list()?.into_iter().map(|c| class(c, tries)).collect::<Result<_, _>>()?,
-        plans: top.at("plans").list()?.into_iter().map(plan).collect::<Result<_, _>>()?,
-        rules: rules(top.at("invariants"))?,
-        max_attempts: tries,
-        hedging_allowed: limits.at("second-copies").yes()?,
-        peer_messages_allowed: limits.at("peers").yes()?,
-        health_checks_allowed: limits.at("probes").yes()?,
-        cancellation_allowed: limits.at("cancelling").yes()?,
-        max_retry_after: limits.at("max-retry-after").span()?,
-        slow_start_units: domain.at("cold-bears").real()?,
-        keep_alive_timeout: limits.at("keepalive").span()?,
-        connect_timeout: limits.at("connect-timeout").span()?,
-        max_open_requests: limits.at("open-requests").whole()? as usize,
-        load_report_fields: top.at("report").at("fields").texts()?,
-        meter_period: domain.at("meter-period").span()?,
-        mean_request_units: domain.at("unit-mean").real()?,
-        max_request_units: domain.at("units-top").real()?,
-        within_share_weight: domain.at("share-worth").real()?,
-        beyond_share_weight: domain.at("beyond-share").real()?,
+        zone: top.field("my-zone").integer()? as u16,
+        zones: top.field("zones").texts()?,
+        min_batch_interval: top.field("step").duration()?,
+        endpoint_list_polled: top.field("membership-mode").text()? == "on_request",
+        classes: read_classes(top.field("lanes"), max_attempts)?,
+        plans: read_plans(top.field("plans"))?,
+        rules: read_rules(top.field("invariants"))?,
+        max_attempts,
+        hedging_allowed: limits.field("second-copies").boolean()?,
+        peer_messages_allowed: limits.field("peers").boolean()?,
+        health_checks_allowed: limits.field("probes").boolean()?,
+        cancellation_allowed: limits.field("cancelling").boolean()?,
+        max_retry_after: limits.field("max-retry-after").duration()?,
+        slow_start_units: domain.field("cold-bears").number()?,
+        keep_alive_timeout: limits.field("keepalive").duration()?,
+        connect_timeout: limits.field("connect-timeout").duration()?,
+        max_open_requests: limits.field("open-requests").integer()? as usize,
+        load_report_fields: top.field("report").field("fields").texts()?,
+        meter_period: domain.field("meter-period").duration()?,
+        mean_request_units: domain.field("unit-mean").number()?,
+        max_request_units: domain.field("units-top").number()?,
+        within_share_weight: domain.field("share-worth").number()?,
+        beyond_share_weight: domain.field("beyond-share").number()?,
     })
 }
 
-/// How many hosts there are and which this one is; 1 and 0 where nothing is said.
-fn fleet(top: Look) -> Result<(u32, u32), Fault> {
-    let count = |key: &str, unless: f64| {
-        let n = top.at(key).number().map_err(|why| format!("{key}: {why}"))?.unwrap_or(unless);
-        let whole = n.fract() == 0.0 && (0.0..=MOST_HOSTS).contains(&n);
-        whole
-            .then_some(n as u32)
-            .ok_or_else(|| format!("{key}: {n} is not a whole number up to {MOST_HOSTS}"))
-    };
-    match (count("balancers", 1.0)?, count("rank", 0.0)?) {
-        (0, _) => Err("balancers: there is at least one, this one".into()),
-        (hosts, rank) if rank >= hosts => Err(format!("rank: {rank} is not below balancers, {hosts}")),
-        fleet => Ok(fleet),
+/// How many initiators there are and which this one is.
+struct Fleet {
+    initiators: u32,
+    rank: u32,
+}
+
+/// 1 and 0 where nothing is stated.
+fn read_fleet(top: JsonField) -> Result<Fleet, SettingsError> {
+    let initiators = read_count(top, "balancers", 1.0)?;
+    let rank = read_count(top, "rank", 0.0)?;
+    if initiators == 0 {
+        Err(SettingsError::NoInitiators)
+    } else if rank >= initiators {
+        Err(SettingsError::RankTooGreat { rank, initiators })
+    } else {
+        Ok(Fleet { initiators, rank })
     }
 }
 
-fn class(lane: Look, tries: u32) -> Result<RequestClass, Fault> {
+fn read_count(top: JsonField, key: &'static str, default: f64) -> Result<u32, SettingsError> {
+    let stated = top.field(key).optional_number().map_err(|source| SettingsError::Key { key, source })?;
+    let value = stated.unwrap_or(default);
+    if value.fract() == 0.0 && (0.0..=MAX_INITIATORS).contains(&value) {
+        Ok(value as u32)
+    } else {
+        Err(SettingsError::NotACount { key, value })
+    }
+}
+
+fn read_classes(lanes: JsonField, max_attempts: u32) -> Result<Vec<RequestClass>, JsonError> {
+    lanes.list()?.into_iter().map(|lane| read_class(lane, max_attempts)).collect()
+}
+
+fn read_class(lane: JsonField, max_attempts: u32) -> Result<RequestClass, JsonError> {
     Ok(RequestClass {
-        name: lane.at("name").text()?.into(),
-        latency_objective: lane.at("aim").span()?,
-        deadline: lane.at("deadline").span()?,
-        late_weight: lane.at("late-worth").real()?,
-        priority_weight: lane.at("value").real()?,
-        idempotency: match lane.at("idempotency").text()? {
+        name: lane.field("name").text()?.to_owned(),
+        latency_objective: lane.field("aim").duration()?,
+        deadline: lane.field("deadline").duration()?,
+        late_weight: lane.field("late-worth").number()?,
+        priority_weight: lane.field("value").number()?,
+        idempotency: match lane.field("idempotency").text()? {
             "idempotent" => Idempotency::Idempotent,
             "deduplicated" => Idempotency::Keyed,
             _ => Idempotency::NotIdempotent,
         },
-        dedup_scope: match lane.at("group").text()? {
+        dedup_scope: match lane.field("group").text()? {
             "all" => DedupScope::All,
             "zone" => DedupScope::Zone,
             _ => DedupScope::Shard,
         },
-        dedup_window: lane.at("memory-span").span()?,
-        ordered: lane.at("keep-order").yes()?,
-        max_attempts: tries,
+        dedup_window: lane.field("memory-span").duration()?,
+        ordered: lane.field("keep-order").boolean()?,
+        max_attempts,
         retired: false,
     })
 }
 
-fn plan(plan: Look) -> Result<Plan, Fault> {
+fn read_plans(plans: JsonField) -> Result<Vec<Plan>, JsonError> {
+    plans.list()?.into_iter().map(read_plan).collect()
+}
+
+fn read_plan(plan: JsonField) -> Result<Plan, JsonError> {
     Ok(Plan {
-        name: plan.at("name").text()?.into(),
-        rate: plan.at("base-rate").real()?,
-        reserve: plan.at("guaranteed").real()?,
-        limit: plan.at("never-over").real()?,
-        burst: plan.at("limit-burst").real()?,
-        tolerance: plan.at("tolerance").real()?,
-        weight: plan.at("shares").number()?.unwrap_or(1.0),
-        price: plan.at("price").number()?.unwrap_or(1.0),
+        name: plan.field("name").text()?.to_owned(),
+        rate: plan.field("base-rate").number()?,
+        reserve: plan.field("guaranteed").number()?,
+        limit: plan.field("never-over").number()?,
+        burst: plan.field("limit-burst").number()?,
+        tolerance: plan.field("tolerance").number()?,
+        weight: plan.field("shares").optional_number()?.unwrap_or(1.0),
+        price: plan.field("price").optional_number()?.unwrap_or(1.0),
         retired: false,
     })
 }
 
-fn rules(rules: Look) -> Result<SharedRules, Fault> {
+fn read_rules(rules: JsonField) -> Result<SharedRules, JsonError> {
     Ok(SharedRules {
-        notified_within: rules.at("ask-within").span()?,
-        slow_start_capacity: rules.at("start-capacity").real()?,
-        slow_start_duration: rules.at("warm-up").span()?,
-        overload_factor: rules.at("overload-factor").real()?,
-        overload_window: rules.at("tip-after").span()?,
-        ordering_pause: rules.at("order-pause").span()?,
-        retry_budget_window: rules.at("look-back").span()?,
-        retry_budget_minimum: rules.at("extra-free").number()?,
-        retry_budget_ratio: rules.at("further-ratio").number()?,
+        notified_within: rules.field("ask-within").duration()?,
+        slow_start_capacity: rules.field("start-capacity").number()?,
+        slow_start_duration: rules.field("warm-up").duration()?,
+        overload_factor: rules.field("overload-factor").number()?,
+        overload_window: rules.field("tip-after").duration()?,
+        ordering_pause: rules.field("order-pause").duration()?,
+        retry_budget_window: rules.field("look-back").duration()?,
+        retry_budget_minimum: rules.field("extra-free").optional_number()?,
+        retry_budget_ratio: rules.field("further-ratio").optional_number()?,
     })
 }
--- a/crates/core/tests/endpoint_list.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! Lists with faults, and long ones.
 
-use shaletack_core::endpoint_list::read;
+use shaletack_core::endpoint_list::{read, ReadList};
 use shaletack_core::interface::Readiness;
 
 fn entry(id: &str, cell: &str, phase: &str) -> String {
@@ -25,18 +25,19 @@
         // A box that drains and the one that takes its place hold the same shard.
         entry("s-6", "5", "up"),
     ];
-    let (members, faults) = read(&mut list(&entries)).unwrap();
-    let ids: Vec<&str> = members.entries.iter().map(|m| m.id.as_str()).collect();
+    let ReadList { list, faults } = read(&mut list(&entries)).unwrap();
+    let ids: Vec<&str> = list.entries.iter().map(|m| m.id.as_str()).collect();
     assert_eq!(ids, ["s-1", "s-5", "s-6"]);
-    assert_eq!(members.entries[1].readiness, Readiness::Draining, "the last entry counts");
+    assert_eq!(list.entries[1].readiness, Readiness::Draining, "the last entry counts");
     assert_eq!(faults.len(), 5, "{faults:?}");
-    assert!(faults[0].contains("s-2") && faults[1].contains("s-3"), "{faults:?}");
+    let texts: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    assert!(texts[0].contains("s-2") && texts[1].contains("s-3"), "{texts:?}");
 }
 
 #[test]
 fn a_list_of_5000_counts_whole() {
     let entries: Vec<String> =
         (0..5000).map(|n| entry(&format!("s-{n}"), &(n % 60).to_string(), "up")).collect();
-    let (members, faults) = read(&mut list(&entries)).unwrap();
-    assert_eq!((members.entries.len(), faults.len()), (5000, 0));
+    let ReadList { list, faults } = read(&mut list(&entries)).unwrap();
+    assert_eq!((list.entries.len(), faults.len()), (5000, 0));
 }
--- a/crates/core/tests/endpoint_list_poll.rs
+++ b/crates/core/tests/endpoint_list_poll.rs
@@ -21,14 +21,14 @@
     let set = settings(100, true);
     let mut asking: Vec<EndpointListPoll> = (0..100).map(|host| EndpointListPoll::new(host * 7919)).collect();
     let mut next: Vec<Option<Duration>> =
-        asking.iter_mut().map(|a| Some(a.again(&set, true, CallEnd::Broke, ZERO))).collect();
+        asking.iter_mut().map(|a| Some(a.next_wait(&set, true, CallEnd::ConnectionLost, ZERO))).collect();
     let (mut queue, mut back): (VecDeque<(Duration, usize)>, _) = (VecDeque::new(), vec![None; 100]);
     let (mut now, mut free) = (Duration::ZERO, Duration::ZERO);
     while now < 800 * each {
         now += MS;
         // Callers leave; what they asked for stays in the queue.
         for (at, host) in queue.iter_mut().filter(|(at, host)| *host < 100 && *at + 2 * S <= now) {
-            next[*host] = Some(now + asking[*host].again(&set, false, CallEnd::Refused, now));
+            next[*host] = Some(now + asking[*host].next_wait(&set, false, CallEnd::Rejected, now));
             (*at, *host) = (now, usize::MAX);
         }
         if free <= now {
@@ -42,7 +42,8 @@
         for host in 0..100 {
             if next[host].is_some_and(|at| at <= now) {
                 let fits = queue.len() < room;
-                next[host] = (!fits).then(|| now + asking[host].again(&set, false, CallEnd::Refused, now));
+                next[host] =
+                    (!fits).then(|| now + asking[host].next_wait(&set, false, CallEnd::Rejected, now));
                 if fits {
                     queue.push_back((now, host));
                 }
@@ -67,7 +68,7 @@
 #[test]
 fn first_calls_are_spread_only_where_they_cost_something() {
     let firsts =
-        |set: &Settings| (0..100).map(|seed| EndpointListPoll::new(seed).first(set)).collect::<Vec<_>>();
+        |set: &Settings| (0..100).map(|seed| EndpointListPoll::new(seed).first_wait(set)).collect::<Vec<_>>();
     let spread = firsts(&settings(100, true));
     let most = (0..20).map(|n| spread.iter().filter(|w| w.as_millis() / 100 == n).count()).max();
     assert!(
@@ -85,12 +86,12 @@
     for hosts in [1, 3, 100, 300] {
         let set = settings(hosts, true);
         for (over, before) in [
-            (CallEnd::Broke, EndpointListPoll::silence()),
-            (CallEnd::Refused, ZERO),
-            (CallEnd::GivenUp, EndpointListPoll::patience(&set)),
+            (CallEnd::ConnectionLost, EndpointListPoll::silence_limit()),
+            (CallEnd::Rejected, ZERO),
+            (CallEnd::TimedOut, EndpointListPoll::call_timeout(&set)),
         ] {
             let mut asking = EndpointListPoll::new(u64::from(hosts));
-            let waits: Vec<Duration> = (0..40).map(|_| asking.again(&set, false, over, 5 * S)).collect();
+            let waits: Vec<Duration> = (0..40).map(|_| asking.next_wait(&set, false, over, 5 * S)).collect();
             let most = before + *waits.iter().max().unwrap();
             // At least a second and a half is left for the call that brings it.
             assert!(most <= 4 * S + 500 * MS, "{hosts} hosts, {over:?}: {most:?}");
@@ -106,7 +107,8 @@
 fn an_agent_beside_the_host_is_asked_again_soon() {
     let mut asking = EndpointListPoll::new(1);
     let set = settings(100, false);
-    let waits: Vec<Duration> =
-        (0..6).map(|n| asking.again(&set, n == 0, [CallEnd::Broke, CallEnd::GivenUp][n % 2], ZERO)).collect();
+    let waits: Vec<Duration> = (0..6)
+        .map(|n| asking.next_wait(&set, n == 0, [CallEnd::ConnectionLost, CallEnd::TimedOut][n % 2], ZERO))
+        .collect();
     assert!(waits[0] <= 50 * MS && waits.iter().all(|w| *w <= 500 * MS), "{waits:?}");
 }
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -77,7 +77,7 @@
     now: Duration,
     next: u64,
     sent: Vec<(Duration, u16, f64)>,
-    flying: Vec<(u64, u8, u16)>,
+    flying: Vec<(AttemptId, u16)>,
     notices: Vec<OperatorEvent>,
     answers: Vec<(u64, Answer)>,
 }
@@ -113,14 +113,12 @@
     fn feed(&mut self, input: Input) {
         for effect in self.broker.step(self.zero + self.now, input) {
             match effect {
-                Effect::StartAttempt { request, number, to, .. } => {
+                Effect::StartAttempt { attempt, to, .. } => {
                     self.sent.push((self.now, to.port() - 9000, 2.0));
-                    self.flying.push((request, number, to.port() - 9000));
+                    self.flying.push((attempt, to.port() - 9000));
                 }
-                Effect::AbortAttempt(request, number) => {
-                    self.flying.retain(|f| (f.0, f.1) != (request, number))
-                }
-                Effect::Respond(request, answer) => self.answers.push((request, answer)),
+                Effect::AbortAttempt(attempt) => self.flying.retain(|f| f.0 != attempt),
+                Effect::Respond { request, answer } => self.answers.push((request, answer)),
                 Effect::Log(notice) => self.notices.push(notice),
                 Effect::SetTimer(_) | Effect::Broadcast(_) => {}
             }
@@ -147,7 +145,7 @@
             time_remaining: 1200 * MS,
             ..IncomingRequest::default()
         };
-        self.feed(Input::RequestArrived(self.next, ask));
+        self.feed(Input::RequestArrived { id: self.next, request: ask });
     }
 
     /// Time passes; what is out comes back as `end` says of its box.
@@ -155,17 +153,16 @@
         let until = self.now + span;
         while self.now < until {
             self.now += 10 * MS;
-            for (request, number, to) in std::mem::take(&mut self.flying) {
+            for (attempt, to) in std::mem::take(&mut self.flying) {
                 match end(to) {
                     Some(end) => {
                         let body = Bytes::new();
-                        self.feed(Input::AttemptEnded(
-                            request,
-                            number,
-                            AttemptResult { body, ..AttemptResult::none(end) },
-                        ));
+                        self.feed(Input::AttemptEnded {
+                            attempt,
+                            result: AttemptResult { body, ..AttemptResult::none(end) },
+                        });
                     }
-                    None => self.flying.push((request, number, to)),
+                    None => self.flying.push((attempt, to)),
                 }
             }
             self.feed(Input::TimerFired);
@@ -177,7 +174,7 @@
     }
 
     fn hear(&mut self, from: &str, told: Vec<Told>) {
-        self.feed(Input::PeerReports(observer(from), 2 * MS, told));
+        self.feed(Input::PeerReports { from: observer(from), round_trip: 2 * MS, reports: told });
     }
 
     fn sent_to(&self, number: u16) -> usize {
--- a/crates/core/tests/start_times.rs
+++ b/crates/core/tests/start_times.rs
@@ -35,31 +35,31 @@
 #[test]
 fn a_list_that_is_followed_is_taken_against_the_starts_heard_before() {
     let mut starts = at_start();
-    starts.heard(ms(10_000), None);
+    starts.list_received(ms(10_000), None);
     // Nothing is known of the fleet's clock yet: a start counts from when it is heard.
     assert_eq!(starts.started_at(ms(12_000), unix(11_000)), ms(12_000));
-    starts.heard(ms(12_000), Some(unix(11_000)));
+    starts.list_received(ms(12_000), Some(unix(11_000)));
     // That start took a second to be heard, and so the next one is a second older than it looks, or more.
     assert_eq!(starts.started_at(ms(15_000), unix(12_000)), ms(13_000));
     // A sooner word shows more of the fleet's clock, and an older one no less.
-    starts.heard(ms(15_000), Some(unix(14_900)));
-    starts.heard(ms(16_000), Some(unix(12_000)));
+    starts.list_received(ms(15_000), Some(unix(14_900)));
+    starts.list_received(ms(16_000), Some(unix(12_000)));
     assert_eq!(starts.started_at(ms(17_000), unix(16_000)), ms(16_100));
 }
 
 #[test]
 fn an_age_that_a_followed_list_could_not_have_hidden_is_none() {
     let mut starts = at_start();
-    starts.heard(ms(10_000), Some(unix(10_000)));
+    starts.list_received(ms(10_000), Some(unix(10_000)));
     // The fleet's clock was set back by an hour.
     assert_eq!(starts.started_at(ms(12_000), ms(UNIX + 12_000 - HOUR)), ms(12_000));
     // Set forward, it shows more from then on; what started before is of the old one.
-    starts.heard(ms(13_000), Some(unix(13_000 + HOUR)));
+    starts.list_received(ms(13_000), Some(unix(13_000 + HOUR)));
     assert_eq!(starts.started_at(ms(14_000), unix(12_500)), ms(14_000));
     assert_eq!(starts.started_at(ms(14_000), unix(13_500 + HOUR)), ms(13_500));
     // After an hour of silence a box may be as old.
     let mut starts = at_start();
-    starts.heard(ms(10_000), Some(unix(10_000)));
+    starts.list_received(ms(10_000), Some(unix(10_000)));
     assert_eq!(starts.started_at(ms(310_000), unix(40_000)), ms(40_000));
 }
 
@@ -67,14 +67,14 @@
 fn a_step_of_the_wall_clock_voids_what_older_starts_say() {
     for step in [4_000_i64, -4_000] {
         let mut starts = at_start();
-        starts.heard(ms(10_000), Some(unix(10_000)));
+        starts.list_received(ms(10_000), Some(unix(10_000)));
         // A process that is held up between two clocks has seen no step.
         starts.read_wall_clock(ms(11_000), unix(11_150));
         assert_eq!(starts.started_at(ms(12_000), unix(11_000)), ms(11_000));
         let stepped = |at: u64| unix(at.checked_add_signed(step).unwrap());
         starts.read_wall_clock(ms(13_000), stepped(13_000));
         assert_eq!(starts.started_at(ms(13_000), stepped(12_000)), ms(13_000));
-        starts.heard(ms(13_000), Some(stepped(13_000)));
+        starts.list_received(ms(13_000), Some(stepped(13_000)));
         assert_eq!(starts.started_at(ms(15_000), stepped(14_000)), ms(14_000));
     }
 }
@@ -82,7 +82,7 @@
 #[test]
 fn an_old_word_on_the_fleets_clock_does_not_count_for_ever() {
     let mut starts = at_start();
-    starts.heard(ms(10_000), Some(unix(10_000)));
-    starts.heard(ms(700_000), None);
+    starts.list_received(ms(10_000), Some(unix(10_000)));
+    starts.list_received(ms(700_000), None);
     assert_eq!(starts.started_at(ms(701_000), unix(700_500)), ms(701_000));
 }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -4,7 +4,9 @@
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use shaletack_core::broker::{Answer, AttemptResult, Broker, Clock, Effect, IncomingRequest, Input};
+use shaletack_core::broker::{
+    Answer, AttemptId, AttemptResult, Broker, Clock, Effect, IncomingRequest, Input,
+};
 use shaletack_core::endpoint_list::{EndpointList, EndpointRecord};
 use shaletack_core::interface::{
     EndpointListKind, Idempotency, Plan, Readiness, RequestClass, Settings, SharedRules,
@@ -308,7 +310,13 @@
             }
             Event::Ends { from, life, request, number, end } => {
                 if self.initiators[from].life == Some(life) {
-                    self.feed(from, Input::AttemptEnded(request, number, AttemptResult::none(end)));
+                    self.feed(
+                        from,
+                        Input::AttemptEnded {
+                            attempt: AttemptId::new(request, number),
+                            result: AttemptResult::none(end),
+                        },
+                    );
                 }
             }
             Event::Exchanges(i, life) => {
@@ -342,7 +350,10 @@
         });
         for (to, bytes) in [(peer, &frames[0]), (i, &frames[1])] {
             let message = frame::decode(bytes).unwrap_or_else(|why| panic!("the own frame: {why}"));
-            self.feed(to, Input::PeerReports(message.from, message.trip, message.facts));
+            self.feed(
+                to,
+                Input::PeerReports { from: message.from, round_trip: message.trip, reports: message.facts },
+            );
         }
     }
 
@@ -365,7 +376,7 @@
         };
         self.initiators[i].tally.asked += 1;
         self.initiators[i].open.insert(request, (self.now, units));
-        self.feed(i, Input::RequestArrived(request, ask));
+        self.feed(i, Input::RequestArrived { id: request, request: ask });
     }
 
     fn feed(&mut self, i: usize, input: Input) {
@@ -373,13 +384,13 @@
         let life = self.initiators[i].me.life;
         for effect in effects {
             match effect {
-                Effect::StartAttempt { request, number, to, .. } => {
+                Effect::StartAttempt { attempt: AttemptId { request, number }, to, .. } => {
                     let at = usize::from(to.port());
                     let astray = self.boxes[at].mode != Mode::Serves;
                     self.initiators[i].tally.misdirected += u64::from(astray);
                     self.at(WAY, Event::Arrives { from: i, life, request, number, at });
                 }
-                Effect::Respond(request, answer) => {
+                Effect::Respond { request, answer } => {
                     let (now, initiator) = (self.now, &mut self.initiators[i]);
                     let Some((came, _)) = initiator.open.remove(&request) else { continue };
                     let tally = &mut initiator.tally;
--- a/crates/lab/src/hollow/initiator.rs
+++ b/crates/lab/src/hollow/initiator.rs
@@ -361,7 +361,11 @@
             facts.retain(|told| !told.what.is_amount());
         }
         let trip = trip.min(EXCHANGE);
-        self.core(broker::Input::PeerReports(from.clone(), trip, facts.clone()));
+        self.core(broker::Input::PeerReports {
+            from: from.clone(),
+            round_trip: trip,
+            reports: facts.clone(),
+        });
         self.spread(gossip::Input::Exchanged { from, round_trip: trip, reports: facts }).await;
     }
 
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use shaletack_core::broker::{AttemptResult, Broker, Clock, Effect, IncomingRequest, Input};
+use shaletack_core::broker::{AttemptId, AttemptResult, Broker, Clock, Effect, IncomingRequest, Input};
 use shaletack_core::endpoint_list::{EndpointList, EndpointRecord};
 use shaletack_core::gossip::Totals;
 use shaletack_core::interface::{EndpointListKind, Plan, Readiness, Settings};
@@ -588,7 +588,10 @@
                 if self.hears(at, Some(boot), || (Event::Ended { at, boot, request, number }, 0)) {
                     self.broker(
                         at,
-                        Input::AttemptEnded(request, number, AttemptResult::none(TransportOutcome::Complete)),
+                        Input::AttemptEnded {
+                            attempt: AttemptId::new(request, number),
+                            result: AttemptResult::none(TransportOutcome::Complete),
+                        },
                         false,
                     );
                 }
@@ -714,7 +717,7 @@
         let boot = hollow.boot;
         for effect in effects {
             match effect {
-                Effect::StartAttempt { request, number, .. } => {
+                Effect::StartAttempt { attempt: AttemptId { request, number }, .. } => {
                     self.at(self.now + SERVED_IN, Event::Ended { at: i, boot, request, number });
                 }
                 Effect::SetTimer(at) => {
@@ -727,7 +730,7 @@
                     self.advised(i, &id, stopped)
                 }
                 Effect::Broadcast(told) => self.spread(i, gossip::Input::LocalObservations(told)),
-                Effect::Log(_) | Effect::Respond(..) | Effect::AbortAttempt(..) => {}
+                Effect::Log(_) | Effect::Respond { .. } | Effect::AbortAttempt(..) => {}
             }
         }
     }
@@ -759,7 +762,7 @@
             ..IncomingRequest::default()
         };
         let gap = ASKED_AGAIN / hollow.used.len() as u32;
-        self.broker(i, Input::RequestArrived(number, ask), false);
+        self.broker(i, Input::RequestArrived { id: number, request: ask }, false);
         self.at(self.now + gap, Event::Request { at: i, boot, number: number + 1 });
     }
 
@@ -884,7 +887,7 @@
                         self.spread(i, input);
                     }
                 }
-                self.broker(i, Input::PeerReports(from, trip, facts), true);
+                self.broker(i, Input::PeerReports { from, round_trip: trip, reports: facts }, true);
             }
             Ok(_) => {}
             Err(_) => self.seen.bad += 1,
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,8 +1,8 @@
 //! What an initiator is told at its start.
 
-use crate::endpoint_list::{self, EndpointList};
+use crate::endpoint_list::{self, EndpointList, EntryError, ReadList};
 use crate::interface::{EndpointListKind, Settings};
-use crate::json::{self, Fault, Look};
+use crate::json::{self, JsonField};
 use crate::settings;
 use std::net::SocketAddr;
 
@@ -26,7 +26,7 @@
     /// The list of disk boxes as last had, perhaps old.
     pub known: EndpointList,
     /// What is wrong with entries of that list that do not count.
-    pub passed_over: Vec<Fault>,
+    pub passed_over: Vec<String>,
     /// The scheduler's settings.
     pub settings: Settings,
     /// The file's text, as read.
@@ -41,22 +41,22 @@
 const OPEN_PART: f64 = 0.8;
 
 /// Reads the file's text; the environment's word, where it has one, goes before the file's.
-pub fn read(text: &mut [u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, Fault> {
+pub fn read(text: &mut [u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
     let whole = text.to_vec();
     let value = json::parse(text)?;
-    let top = Look::object(&value, "the configuration")?;
+    let top = JsonField::object(&value, "the configuration")?;
     let address = |name: &str, variable: &str| {
-        let text = env(variable).map_or_else(|| top.at(name).text().map(String::from), Ok)?;
+        let text = env(variable).map_or_else(|| top.field(name).text().map(String::from), Ok)?;
         text.parse().map_err(|_| format!("{name}: '{text}' is not an address and port"))
     };
-    if let Some(key) = NEEDED.into_iter().find(|key| !top.at(key).is_there()) {
+    if let Some(key) = NEEDED.into_iter().find(|key| !top.field(key).is_present()) {
         return Err(format!("there is no key '{key}'"));
     }
-    let mut settings = settings::from(top.at("settings"))?;
-    if !top.at("settings").at("balancers").is_there() {
+    let mut settings = settings::read_settings(top.field("settings"))?;
+    if !top.field("settings").field("balancers").is_present() {
         return Err("settings.balancers: the number of initiators is missing".into());
     }
-    if settings.initiators > 1 && !top.at("settings").at("rank").is_there() {
+    if settings.initiators > 1 && !top.field("settings").field("rank").is_present() {
         return Err(format!(
             "settings.rank: which of {} initiators this is, is missing",
             settings.initiators
@@ -71,9 +71,9 @@
     if settings.max_attempts == 0 {
         return Err("settings.limits.try-limit: it has to be a number above 0".into());
     }
-    let (mut known, passed_over) = endpoint_list::from(top.at("known"))?;
+    let ReadList { list: mut known, faults: passed_over } = endpoint_list::read_list(top.field("known"))?;
     known.kind = EndpointListKind::Cached;
-    let sockets = top.at("limits").at("sockets").whole()? as usize;
+    let sockets = top.field("limits").field("sockets").integer()? as usize;
     if sockets > 0 && sockets < FEWEST_SOCKETS {
         return Err(format!("limits.sockets: {sockets} are too few, {FEWEST_SOCKETS} are needed"));
     }
@@ -81,20 +81,20 @@
     if settings.max_open_requests == 0 {
         settings.max_open_requests = (sockets as f64 * CLIENTS_PART * OPEN_PART) as usize;
     }
-    let seed = top.at("seed").text()?;
+    let seed = top.field("seed").text()?;
     Ok(Config {
-        name: env("ROUTER_NAME").map_or_else(|| top.at("name").text().map(String::from), Ok)?,
+        name: env("ROUTER_NAME").map_or_else(|| top.field("name").text().map(String::from), Ok)?,
         listen: address("listen", "ROUTER_LISTEN")?,
         discovery: address("discovery", "ROUTER_DISCOVERY")?,
-        management: match env("ROUTER_MANAGEMENT").is_some() || top.at("management").is_there() {
+        management: match env("ROUTER_MANAGEMENT").is_some() || top.field("management").is_present() {
             true => Some(address("management", "ROUTER_MANAGEMENT")?),
             false => None,
         },
         seed: u64::from_str_radix(seed, 16).map_err(|_| format!("seed: '{seed}' is not 16 hex digits"))?,
-        memory_mb: top.at("limits").at("memory_mb").whole()?,
+        memory_mb: top.field("limits").field("memory_mb").integer()?,
         sockets,
         known,
-        passed_over,
+        passed_over: passed_over.iter().map(EntryError::to_string).collect(),
         settings,
         text: whole,
     })
@@ -105,7 +105,7 @@
 pub fn lacks(older: &[u8], newer: &[u8]) -> Option<String> {
     let (mut older, mut newer) = (older.to_vec(), newer.to_vec());
     let (older, newer) = (json::parse(&mut older).ok()?, json::parse(&mut newer).ok()?);
-    let older = Look::object(&older, "the configuration").ok()?;
-    let newer = Look::object(&newer, "the configuration").ok()?;
+    let older = JsonField::object(&older, "the configuration").ok()?;
+    let newer = JsonField::object(&newer, "the configuration").ok()?;
     older.missing_in(newer).filter(|path| !path.starts_with("known.members."))
 }
--- a/src/etcd.rs
+++ b/src/etcd.rs
@@ -5,7 +5,7 @@
 use crate::broker::Input;
 use crate::endpoint_list::{self, EndpointList, EndpointRecord};
 use crate::interface::{EndpointListKind, Readiness};
-use crate::json::{self, Look};
+use crate::json::{self, JsonError, JsonField};
 use crate::operator::Etcd;
 use crate::runtime::host::Host;
 use crate::runtime::objects::{self, Objects};
@@ -38,6 +38,18 @@
     Silent,
 }
 
+impl From<String> for Over {
+    fn from(why: String) -> Self {
+        Over::Broken(why)
+    }
+}
+
+impl From<JsonError> for Over {
+    fn from(why: JsonError) -> Self {
+        Over::Broken(why.to_string())
+    }
+}
+
 /// Follows the list; never ends.
 pub async fn follow(host: Host, etcd: Etcd) {
     let client = http_client(ANSWER);
@@ -102,30 +114,30 @@
     let body = tokio::time::timeout(patience, asked).await.map_err(|_| "no answer")??;
     let mut text = body.to_vec();
     let value = json::parse(&mut text)?;
-    let top = Look::object(&value, "the answer")?;
-    let entries = top.at("kvs").list()?.into_iter().filter_map(|kv| entry(kv, etcd)).collect();
-    let revision = number(top.at("header").at("revision"))?;
+    let top = JsonField::object(&value, "the answer")?;
+    let entries = top.field("kvs").list()?.into_iter().filter_map(|kv| entry(kv, etcd)).collect();
+    let revision = number(top.field("header").field("revision"))?;
     host.feed(Input::EndpointList(EndpointList { revision, kind: EndpointListKind::Full, entries }));
     Ok(revision)
 }
 
 /// 64-bit numbers are texts in the gateway's JSON.
-fn number(look: Look) -> Result<u64, String> {
+fn number(look: JsonField) -> Result<u64, String> {
     match look.text() {
         Ok("") => Ok(0),
         Ok(digits) => digits.parse().map_err(|_| format!("'{digits}' is not a revision")),
-        Err(_) => look.whole(),
+        Err(_) => Ok(look.integer()?),
     }
 }
 
 /// A key's box; one that can't be read is passed over, for the others' sake.
-fn entry(kv: Look, etcd: &Etcd) -> Option<EndpointRecord> {
+fn entry(kv: JsonField, etcd: &Etcd) -> Option<EndpointRecord> {
     let read = || {
-        let decode = |name| STANDARD.decode(kv.at(name).text()?).map_err(|e| format!("{name}: {e}"));
+        let decode = |name| STANDARD.decode(kv.field(name).text()?).map_err(|e| format!("{name}: {e}"));
         let (key, mut value) = (decode("key")?, decode("value")?);
         let id = id_of(&key, etcd)?;
         let entry = json::parse(&mut value)?;
-        let member = endpoint_list::member(Look::object(&entry, "a box's entry")?)?;
+        let member = endpoint_list::read_record(JsonField::object(&entry, "a box's entry")?)?;
         if member.id == id {
             Ok(member)
         } else {
@@ -140,8 +152,8 @@
     id.filter(|id| !id.is_empty()).map(String::from).ok_or("a key that names no box".into())
 }
 
-fn removed(kv: Look, etcd: &Etcd) -> Option<EndpointRecord> {
-    let key = STANDARD.decode(kv.at("key").text().ok()?).ok()?;
+fn removed(kv: JsonField, etcd: &Etcd) -> Option<EndpointRecord> {
+    let key = STANDARD.decode(kv.field("key").text().ok()?).ok()?;
     let (id, zone) = (id_of(&key, etcd).ok()?, String::new());
     Some(EndpointRecord { id, address: None, zone, shard: 0, readiness: Readiness::Removed, up_since: None })
 }
@@ -177,29 +189,28 @@
 
 /// What one message of a watch brings.
 fn news(mut line: Vec<u8>, etcd: &Etcd, revision: &mut u64) -> Result<Option<Input>, Over> {
-    let broken = Over::Broken;
-    let value = json::parse(&mut line).map_err(broken)?;
-    let top = Look::object(&value, "a watch's message").map_err(broken)?;
-    let result = top.at("result");
-    if !result.is_there() {
+    let value = json::parse(&mut line)?;
+    let top = JsonField::object(&value, "a watch's message")?;
+    let result = top.field("result");
+    if !result.is_present() {
         return Err(Over::Broken("watch answered an error".into()));
     }
-    if number(result.at("compact_revision")).map_err(broken)? > 0 {
+    if number(result.field("compact_revision"))? > 0 {
         return Err(Over::Compacted);
     }
-    if result.at("canceled").yes().map_err(broken)? {
-        let why = result.at("cancel_reason").text().unwrap_or_default();
+    if result.field("canceled").boolean()? {
+        let why = result.field("cancel_reason").text().unwrap_or_default();
         return Err(Over::Broken(format!("watch cancelled: {why}")));
     }
     // What tells of its creation alone bears a revision whose events may still come.
-    let at = number(result.at("header").at("revision")).map_err(broken)?;
-    if result.at("created").yes().map_err(broken)? {
+    let at = number(result.field("header").field("revision"))?;
+    if result.field("created").boolean()? {
         return Ok((at == *revision).then_some(Input::EndpointListCurrent));
     }
-    let events = result.at("events").list().map_err(broken)?;
-    let change = |event: Look| match event.at("type").text() {
-        Ok("DELETE") => removed(event.at("kv"), etcd),
-        _ => entry(event.at("kv"), etcd),
+    let events = result.field("events").list()?;
+    let change = |event: JsonField| match event.field("type").text() {
+        Ok("DELETE") => removed(event.field("kv"), etcd),
+        _ => entry(event.field("kv"), etcd),
     };
     let entries: Vec<EndpointRecord> = events.into_iter().filter_map(change).collect();
     *revision = at.max(*revision);
--- a/src/main.rs
+++ b/src/main.rs
@@ -443,7 +443,7 @@
     let link = HandoverLink::new(host.clone(), me, &std::env::temp_dir());
     let (traces, ready) = (Rc::new(RefCell::new(Traces::default())), Rc::new(Cell::new(false)));
     if let Some(ReceivedHandover { state, stream, .. }) = predecessor {
-        host.feed(Input::Restore(Box::new(state.core), handover::SHARED_BUDGET));
+        host.feed(Input::Restore { snapshot: Box::new(state.core), budget_share: handover::SHARED_BUDGET });
         traces.borrow_mut().inherit(state.request_ids);
         link.follow_predecessor(stream);
     }
--- a/src/net/watch.rs
+++ b/src/net/watch.rs
@@ -2,7 +2,7 @@
 
 use crate::broker::Input;
 use crate::endpoint_list::{self, EndpointList};
-use crate::endpoint_list_poll::{CallEnd, EndpointListPoll, TOLD};
+use crate::endpoint_list_poll::{CallEnd, EndpointListPoll, NOTIFIED_WITHIN};
 use crate::interface::EndpointListKind;
 use crate::runtime::host::Host;
 use crate::runtime::objects::Objects;
@@ -126,7 +126,7 @@
     async fn follow(mut self) {
         let client = http_client(CONNECT);
         if self.replaced.is_none() {
-            let first = self.asking.first(&self.host.settings());
+            let first = self.asking.first_wait(&self.host.settings());
             tokio::time::sleep(first).await;
         }
         loop {
@@ -136,7 +136,7 @@
             let now = Instant::now();
             self.note(over, now);
             let refused_for = self.refused.map_or(Duration::ZERO, |since| now - since);
-            let wait = self.asking.again(&self.host.settings(), at > before, over, refused_for);
+            let wait = self.asking.next_wait(&self.host.settings(), at > before, over, refused_for);
             warn!(%agent, revision = at, %why, again_in_ms = wait.as_millis() as u64, "the watch of the list ended");
             self.rest(now + wait).await;
         }
@@ -147,7 +147,7 @@
         if self.listed.replace(false) {
             self.refused = None;
         }
-        self.is_refused = over == CallEnd::Refused;
+        self.is_refused = over == CallEnd::Rejected;
         if self.is_refused {
             self.refused.get_or_insert(now);
         }
@@ -156,7 +156,7 @@
     /// From when on nothing new is sent: refusals have gone on for so long by then that changes count as told.
     fn blind_at(&self) -> Option<Instant> {
         let is_asked = self.host.settings().endpoint_list_polled && !self.heard.stale.get();
-        self.refused.filter(|_| is_asked && self.is_refused).map(|since| since + TOLD)
+        self.refused.filter(|_| is_asked && self.is_refused).map(|since| since + NOTIFIED_WITHIN)
     }
 
     /// Waits, and stops what is new on the way.
@@ -190,32 +190,32 @@
         let revision = self.heard.revision.get();
         let url = format!("http://{}/catalog/members?stream=1&index={revision}", self.agent);
         let settings = self.host.settings();
-        let patience = EndpointListPoll::patience(&settings);
+        let patience = EndpointListPoll::call_timeout(&settings);
         let response = match tokio::time::timeout(patience, client.get(url).send()).await {
             Ok(Ok(response)) if response.status().is_success() => response,
-            Ok(Ok(response)) => return (CallEnd::Refused, format!("answered {}", response.status())),
-            Ok(Err(error)) => return (CallEnd::Broke, format!("could not be asked: {error}")),
-            Err(_) => return (CallEnd::GivenUp, "no answer".into()),
+            Ok(Ok(response)) => return (CallEnd::Rejected, format!("answered {}", response.status())),
+            Ok(Err(error)) => return (CallEnd::ConnectionLost, format!("could not be asked: {error}")),
+            Err(_) => return (CallEnd::TimedOut, "no answer".into()),
         };
         let (mut objects, mut first) =
-            (Objects::new(response), Some(EndpointListPoll::first_word(&settings)));
+            (Objects::new(response), Some(EndpointListPoll::first_object_timeout(&settings)));
         loop {
             // What an agent holds it tells at once: a head and no more is as good as none.
-            let next = objects.next(EndpointListPoll::silence());
+            let next = objects.next(EndpointListPoll::silence_limit());
             let next = match first.take() {
                 Some(first) => tokio::time::timeout(first, next).await,
                 None => Ok(next.await),
             };
             let object = match next {
                 Ok(Ok(object)) => object,
-                Ok(Err(why)) => return (CallEnd::Broke, why.to_string()),
-                Err(_) => return (CallEnd::GivenUp, "a head and nothing behind it".into()),
+                Ok(Err(why)) => return (CallEnd::ConnectionLost, why.to_string()),
+                Err(_) => return (CallEnd::TimedOut, "a head and nothing behind it".into()),
             };
             match object {
                 None => self.host.feed(Input::EndpointListCurrent),
                 Some(mut text) => {
                     if let Err(why) = self.read(&mut text) {
-                        return (CallEnd::Broke, why);
+                        return (CallEnd::ConnectionLost, why);
                     }
                 }
             }
@@ -230,9 +230,9 @@
     }
 
     fn read(&self, text: &mut [u8]) -> Result<(), String> {
-        let (members, faults) = endpoint_list::read(text).map_err(|fault| format!("unreadable: {fault}"))?;
-        faults.iter().for_each(|why| warn!(%why, "an entry of the list is passed over"));
-        self.take(members)
+        let read = endpoint_list::read(text).map_err(|error| format!("unreadable: {error}"))?;
+        read.faults.iter().for_each(|why| warn!(%why, "an entry of the list is passed over"));
+        self.take(read.list)
     }
 
     /// Two watches may be open while discovery moves, and the newer may lag: what is older than what is known is none
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -5,7 +5,6 @@
 
 use crate::endpoint_list::{EndpointList, EndpointRecord};
 use crate::interface::{EndpointListKind, Idempotency, Plan, Readiness, RequestClass, Settings, VolumeId};
-use crate::json::Fault;
 use records::{DiskBox, File, Phase};
 use shaletack_writeback::Unsettled;
 use std::collections::btree_map::Entry;
@@ -132,6 +131,9 @@
     pub sockets: usize,
 }
 
+/// One fault of a file, in a line.
+pub type Fault = String;
+
 /// All that is wrong with a file: for each fault the path to where it is, and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -181,7 +181,11 @@
             facts.retain(|told| !told.what.is_amount());
         }
         let trip = trip.min(EXCHANGE);
-        self.0.host.feed(broker::Input::PeerReports(from.clone(), trip, facts.clone()));
+        self.0.host.feed(broker::Input::PeerReports {
+            from: from.clone(),
+            round_trip: trip,
+            reports: facts.clone(),
+        });
         self.spread(gossip::Input::Exchanged { from, round_trip: trip, reports: facts }).await;
     }
 
--- a/src/runtime/host.rs
+++ b/src/runtime/host.rs
@@ -1,7 +1,8 @@
 //! Carries out what the core asks for: attempts, answers and waits, all on one thread.
 
 use crate::broker::{
-    Answer, AttemptProgress, AttemptResult, Broker, Effect, IncomingRequest, Input, OperatorCommand,
+    Answer, AttemptId, AttemptProgress, AttemptResult, Broker, Effect, IncomingRequest, Input,
+    OperatorCommand,
 };
 use crate::interface::{RequestId, Settings};
 use crate::runtime::log;
@@ -32,7 +33,7 @@
 struct Inner {
     broker: RefCell<Broker>,
     waiting: RefCell<HashMap<RequestId, Waiting>>,
-    flights: RefCell<HashMap<(RequestId, u8), AbortHandle>>,
+    flights: RefCell<HashMap<AttemptId, AbortHandle>>,
     last_id: Cell<RequestId>,
     wake: Cell<Option<Instant>>,
     rearm: Notify,
@@ -69,7 +70,7 @@
 
     /// Gives the core an input and carries out what it asks for.
     pub fn feed(&self, input: Input) {
-        if let Input::BudgetShare(part) | Input::Restore(_, part) = &input {
+        if let Input::BudgetShare(part) | Input::Restore { budget_share: part, .. } = &input {
             self.0.part.set(*part);
         }
         if let Input::EndpointList(_) = &input {
@@ -84,13 +85,13 @@
         let effects = self.0.broker.borrow_mut().step(Instant::now(), input);
         for effect in effects {
             match effect {
-                Effect::StartAttempt { request, number, to, wait } => self.send(request, number, to, wait),
-                Effect::AbortAttempt(request, number) => {
-                    if let Some(flight) = self.0.flights.borrow_mut().remove(&(request, number)) {
+                Effect::StartAttempt { attempt, to, timeout } => self.send(attempt, to, timeout),
+                Effect::AbortAttempt(attempt) => {
+                    if let Some(flight) = self.0.flights.borrow_mut().remove(&attempt) {
                         flight.abort();
                     }
                 }
-                Effect::Respond(request, answer) => {
+                Effect::Respond { request, answer } => {
                     if let Some(waiting) = self.0.waiting.borrow_mut().remove(&request) {
                         // Where the client is gone by now nobody reads it.
                         let _ = waiting.answer.send(answer);
@@ -117,18 +118,18 @@
         *self.0.peers.borrow_mut() = Some(peers);
     }
 
-    fn send(&self, request: RequestId, number: u8, to: SocketAddr, wait: Duration) {
-        let Some(errand) = self.0.waiting.borrow().get(&request).map(|w| w.errand.clone()) else { return };
+    fn send(&self, id: AttemptId, to: SocketAddr, timeout: Duration) {
+        let Some(errand) = self.0.waiting.borrow().get(&id.request).map(|w| w.errand.clone()) else { return };
         let host = self.clone();
         let core = self.clone();
-        let tell = Box::new(move |news| core.feed(Input::AttemptProgressed(request, number, news)));
-        let attempt = errand.attempt(to, wait, tell);
+        let tell = Box::new(move |progress| core.feed(Input::AttemptProgressed { attempt: id, progress }));
+        let attempt = errand.attempt(to, timeout, tell);
         let task = actix_rt::spawn(async move {
-            let reply = attempt.await;
-            host.0.flights.borrow_mut().remove(&(request, number));
-            host.feed(Input::AttemptEnded(request, number, reply));
+            let result = attempt.await;
+            host.0.flights.borrow_mut().remove(&id);
+            host.feed(Input::AttemptEnded { attempt: id, result });
         });
-        self.0.flights.borrow_mut().insert((request, number), task.abort_handle());
+        self.0.flights.borrow_mut().insert(id, task.abort_handle());
     }
 
     /// Takes a request and waits for its one final answer; dropping the future says that its client left.
@@ -138,7 +139,7 @@
         let (answer, answered) = oneshot::channel();
         self.0.waiting.borrow_mut().insert(id, Waiting { errand, answer });
         let guard = Leaving { host: self, id };
-        self.feed(Input::RequestArrived(id, ask));
+        self.feed(Input::RequestArrived { id, request: ask });
         let answer = answered.await.unwrap_or(Answer::Failed);
         drop(guard);
         answer
--- a/src/runtime/log.rs
+++ b/src/runtime/log.rs
@@ -99,30 +99,32 @@
 /// Gives the core's notices their form.
 pub fn write(notice: &OperatorEvent) {
     match notice {
-        OperatorEvent::EndpointListed { revision, kind, member } => {
-            let at = member.address.map(tracing::field::display);
-            let up_since = member.up_since.map(|t| t.as_secs_f64());
-            let (standing, shard) = (member.readiness, member.shard);
-            info!(id = member.id, ?standing, shard, at, up_since, revision, ?kind, "list");
+        OperatorEvent::EndpointListed { revision, kind, record } => {
+            let at = record.address.map(tracing::field::display);
+            let up_since = record.up_since.map(|t| t.as_secs_f64());
+            let (standing, shard) = (record.readiness, record.shard);
+            info!(id = record.id, ?standing, shard, at, up_since, revision, ?kind, "list");
         }
         OperatorEvent::EndpointsNotListed { revision, more } => {
             info!(more, revision, "list: others changed as well")
         }
-        OperatorEvent::HandoverRestored { revision, boxes, suspended, drained } => {
-            info!(boxes, revision, suspended, drained, "inherited");
+        OperatorEvent::HandoverRestored { revision, endpoints, suspended, drained } => {
+            info!(boxes = endpoints, revision, suspended, drained, "inherited");
         }
         OperatorEvent::EndpointSuspended(id) => info!(id, "suspended by hand"),
         OperatorEvent::EndpointResumed(id) => info!(id, "resumed by hand, cold"),
         OperatorEvent::ClientsDrained => info!("drained by hand: clients are to go elsewhere"),
         OperatorEvent::ClientsAccepted => info!("activated by hand: clients are taken again"),
-        OperatorEvent::Counters { classes, ends, open } => {
-            for (class, t) in classes {
+        OperatorEvent::Counters { classes, attempt_outcomes, open_requests } => {
+            for counters in classes {
+                let (class, t) = (&counters.class, &counters.requests);
                 let (taken, served, refused, failed, left) =
                     (t.taken, t.served, t.rejected, t.failed, t.client_left);
                 info!(class, taken, served, refused, failed, left, "so far");
             }
-            let ends: Vec<String> = ends.iter().map(|(end, count)| format!("{end} {count}")).collect();
-            info!(open, attempts = ends.join(", "), "so far");
+            let attempts: Vec<String> =
+                attempt_outcomes.iter().map(|(outcome, count)| format!("{outcome} {count}")).collect();
+            info!(open = open_requests, attempts = attempts.join(", "), "so far");
         }
         OperatorEvent::AdviceChanged { id, stopped, held, started_ago } => {
             let started_ago_ms = started_ago.map(|ago| ago.as_millis() as u64);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -187,7 +187,7 @@
 
 fn provision(record: Cut, tail: &[u8], now: Duration) -> Result<Hosted, Fault> {
     let text = record.part(11, tail, 1)?;
-    let settings = settings::read(&mut text.to_vec()).map_err(Fault)?;
+    let settings = settings::read(&mut text.to_vec()).map_err(|error| Fault(error.to_string()))?;
     let fields = settings.load_report_fields.clone();
     Ok(Hosted { scheduler: Scheduler::new(settings, record.u64(3), now), fields })
 }
--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -91,7 +91,7 @@
     told.list(Readiness::Ready);
     let failed = || AttemptResult::none(TransportOutcome::EndpointError);
     let sends = |effects: &[Effect]| effects.iter().any(|e| matches!(e, Effect::StartAttempt { .. }));
-    assert!(sends(&told.at(2 * MS, Input::RequestArrived(1, ask(0)))));
+    assert!(sends(&told.at(2 * MS, Input::RequestArrived { id: 1, request: ask(0) })));
     let older = told.broker.settings();
     let named = |name: &str, class: &RequestClass| RequestClass { name: name.into(), ..class.clone() };
     let [safe, unsafe_] = [0, 1].map(|n| older.class(n));
@@ -105,12 +105,22 @@
         (told.start, |told: &Told, name: &str, at| told.broker.class(name, false, told.start + at));
     let (new, once) = (class(&told, "new", 4 * MS).unwrap(), class(&told, "once", 4 * MS).unwrap());
     assert!(told.broker.class("gone", false, start).is_none() && new != once);
-    assert!(sends(&told.at(5 * MS, Input::AttemptEnded(1, 0, failed()))), "a read is repeated, as it came");
-    told.at(6 * MS, Input::AttemptEnded(1, 1, AttemptResult::none(TransportOutcome::Complete)));
+    assert!(
+        sends(&told.at(5 * MS, Input::AttemptEnded { attempt: AttemptId::new(1, 0), result: failed() })),
+        "a read is repeated, as it came"
+    );
+    told.at(
+        6 * MS,
+        Input::AttemptEnded {
+            attempt: AttemptId::new(1, 1),
+            result: AttemptResult::none(TransportOutcome::Complete),
+        },
+    );
     for (id, number, answer) in [(2, new, "Failed"), (3, once, "Rejected")] {
         let at = id as u32 * 1000 * MS;
-        assert!(sends(&told.at(at, Input::RequestArrived(id, ask(number)))));
-        let effects = told.at(at + MS, Input::AttemptEnded(id, 0, failed()));
+        assert!(sends(&told.at(at, Input::RequestArrived { id, request: ask(number) })));
+        let effects =
+            told.at(at + MS, Input::AttemptEnded { attempt: AttemptId::new(id, 0), result: failed() });
         assert!(!sends(&effects));
         assert!(effects.iter().any(|e| format!("{e:?}").contains(answer)), "{effects:?}");
     }
@@ -132,12 +142,24 @@
         told.list(Readiness::Ready);
         // A write with its bytes out, one that waits for a connection, and one with a large body that does.
         for id in 1..=3 {
-            assert_eq!(sent(&told.at(2 * MS, Input::RequestArrived(id, ask(1)))), 1);
+            assert_eq!(sent(&told.at(2 * MS, Input::RequestArrived { id, request: ask(1) })), 1);
             if id == 1 {
-                told.at(2 * MS, Input::AttemptProgressed(1, 0, AttemptProgress::WriteStarted));
+                told.at(
+                    2 * MS,
+                    Input::AttemptProgressed {
+                        attempt: AttemptId::new(1, 0),
+                        progress: AttemptProgress::WriteStarted,
+                    },
+                );
             }
         }
-        told.at(2 * MS, Input::AttemptProgressed(2, 0, AttemptProgress::BodyStreaming));
+        told.at(
+            2 * MS,
+            Input::AttemptProgressed {
+                attempt: AttemptId::new(2, 0),
+                progress: AttemptProgress::BodyStreaming,
+            },
+        );
         let news = if orders {
             Input::OperatorCommand(OperatorCommand::Suspend("s-0000000a".into()))
         } else {
@@ -145,16 +167,21 @@
             Input::EndpointList(EndpointList { revision: 2, kind: EndpointListKind::Delta, entries })
         };
         let effects = told.at(4 * MS, news);
-        let aborted = |id| effects.contains(&Effect::AbortAttempt(id, 0));
+        let aborted = |id| effects.contains(&Effect::AbortAttempt(AttemptId::new(id, 0)));
         assert_eq!([1, 2, 3].map(aborted), [false, true, true], "{effects:?}");
         assert_eq!(told.broker.attempt_outcomes().get("Withdrawn"), Some(&2));
         // Its successor gets them, writes though they are: they never ran.
         let successor = member("s-0000000b", "", Readiness::Ready);
         let list = EndpointList { revision: 3, kind: EndpointListKind::Delta, entries: vec![successor] };
         assert_eq!(sent(&told.at(5 * MS, Input::EndpointList(list))), 2);
-        let whole =
-            told.at(9 * MS, Input::AttemptEnded(1, 0, AttemptResult::none(TransportOutcome::Complete)));
-        assert!(whole.iter().any(|e| matches!(e, Effect::Respond(1, Answer::Served(_)))));
+        let whole = told.at(
+            9 * MS,
+            Input::AttemptEnded {
+                attempt: AttemptId::new(1, 0),
+                result: AttemptResult::none(TransportOutcome::Complete),
+            },
+        );
+        assert!(whole.iter().any(|e| matches!(e, Effect::Respond { request: 1, answer: Answer::Served(_) })));
     }
 }
 
@@ -167,11 +194,24 @@
         told.broker = Broker::new(settings, 1, Clock::new(told.start, Duration::from_secs(1000)), told.start);
         told.list(Readiness::Ready);
         // One with its bytes out, one that waits for a connection, and one with a large body that does.
-        (1..=3).for_each(|id| drop(told.at(2 * MS, Input::RequestArrived(id, ask(1)))));
-        told.at(2 * MS, Input::AttemptProgressed(1, 0, AttemptProgress::WriteStarted));
-        told.at(2 * MS, Input::AttemptProgressed(2, 0, AttemptProgress::BodyStreaming));
-        let aborted =
-            [1, 2, 3].map(|id| told.at(3 * MS, Input::ClientLeft(id)).contains(&Effect::AbortAttempt(id, 0)));
+        (1..=3).for_each(|id| drop(told.at(2 * MS, Input::RequestArrived { id, request: ask(1) })));
+        told.at(
+            2 * MS,
+            Input::AttemptProgressed {
+                attempt: AttemptId::new(1, 0),
+                progress: AttemptProgress::WriteStarted,
+            },
+        );
+        told.at(
+            2 * MS,
+            Input::AttemptProgressed {
+                attempt: AttemptId::new(2, 0),
+                progress: AttemptProgress::BodyStreaming,
+            },
+        );
+        let aborted = [1, 2, 3].map(|id| {
+            told.at(3 * MS, Input::ClientLeft(id)).contains(&Effect::AbortAttempt(AttemptId::new(id, 0)))
+        });
         assert_eq!(aborted, [cancels, true, true]);
     }
 }
@@ -198,12 +238,23 @@
         };
         let first = |readiness| member("s-0000000a", zones[0], readiness);
         told.at(MS, list(vec![first(Readiness::Ready)]));
-        told.at(2 * MS, Input::RequestArrived(1, ask(0)));
+        told.at(2 * MS, Input::RequestArrived { id: 1, request: ask(0) });
         let second = member("s-0000000b", zones[1], Readiness::Ready);
-        told.at(3 * MS, Input::AttemptProgressed(1, 0, AttemptProgress::WriteStarted));
+        told.at(
+            3 * MS,
+            Input::AttemptProgressed {
+                attempt: AttemptId::new(1, 0),
+                progress: AttemptProgress::WriteStarted,
+            },
+        );
         told.at(3 * MS, list(vec![first(Readiness::Draining), second]));
-        let effects =
-            told.at(4 * MS, Input::AttemptEnded(1, 0, AttemptResult::none(TransportOutcome::EndpointError)));
+        let effects = told.at(
+            4 * MS,
+            Input::AttemptEnded {
+                attempt: AttemptId::new(1, 0),
+                result: AttemptResult::none(TransportOutcome::EndpointError),
+            },
+        );
         effects.iter().any(|e| matches!(e, Effect::StartAttempt { .. }))
     };
     assert!(sent_again(["room-a", "room-a"]) && sent_again(["room-c", "room-c"]));
@@ -226,18 +277,23 @@
         let settings = Settings { classes: vec![class], ..settings };
         told.broker = Broker::new(settings, 1, Clock::new(told.start, Duration::from_secs(1000)), told.start);
         told.list(Readiness::Ready);
-        told.at(2 * MS, Input::RequestArrived(1, ask(0)));
+        told.at(2 * MS, Input::RequestArrived { id: 1, request: ask(0) });
         let mut number = 0;
         if let Some(first) = first {
-            told.at(3 * MS, Input::AttemptEnded(1, 0, AttemptResult::none(first)));
+            told.at(
+                3 * MS,
+                Input::AttemptEnded { attempt: AttemptId::new(1, 0), result: AttemptResult::none(first) },
+            );
             told.at(40 * MS, Input::TimerFired);
             number = 1;
         }
         let spent = AttemptResult { body_consumed: true, ..AttemptResult::none(TransportOutcome::Rejected) };
-        told.at(41 * MS, Input::AttemptEnded(1, number, spent))
+        told.at(41 * MS, Input::AttemptEnded { attempt: AttemptId::new(1, number), result: spent })
     };
-    let (refused, failed) =
-        (Effect::Respond(1, Answer::Rejected(30 * MS)), Effect::Respond(1, Answer::Failed));
+    let (refused, failed) = (
+        Effect::Respond { request: 1, answer: Answer::Rejected(30 * MS) },
+        Effect::Respond { request: 1, answer: Answer::Failed },
+    );
     assert!(answer(None).contains(&refused) && answer(Some(TransportOutcome::Rejected)).contains(&refused));
     assert!(answer(Some(TransportOutcome::EndpointError)).contains(&failed));
 }
@@ -273,13 +329,17 @@
         for n in 0..100 {
             let at = 25_000 * MS + n * 10 * MS;
             let id = 100 + u64::from(n);
-            let effects = told.at(at, Input::RequestArrived(id, IncomingRequest { volume: id, ..ask(0) }));
+            let effects =
+                told.at(at, Input::RequestArrived { id, request: IncomingRequest { volume: id, ..ask(0) } });
             for effect in effects {
-                if let Effect::StartAttempt { request, number, .. } = effect {
+                if let Effect::StartAttempt { attempt: AttemptId { request, number }, .. } = effect {
                     sent += 1;
                     told.at(
                         at + MS,
-                        Input::AttemptEnded(request, number, AttemptResult::none(TransportOutcome::Complete)),
+                        Input::AttemptEnded {
+                            attempt: AttemptId::new(request, number),
+                            result: AttemptResult::none(TransportOutcome::Complete),
+                        },
                     );
                 }
             }
@@ -302,15 +362,22 @@
 fn a_silent_attempt_is_given_up_before_the_client_is() {
     let mut told = Told::new();
     told.list(Readiness::Ready);
-    let sent = told.at(10 * MS, Input::RequestArrived(1, ask(1)));
-    let Effect::StartAttempt { request: 1, number: 0, wait, .. } = sent[0] else { panic!("{sent:?}") };
-    assert_eq!(wait, 990 * MS);
+    let sent = told.at(10 * MS, Input::RequestArrived { id: 1, request: ask(1) });
+    let Effect::StartAttempt { attempt: AttemptId { request: 1, number: 0 }, timeout, .. } = sent[0] else {
+        panic!("{sent:?}")
+    };
+    assert_eq!(timeout, 990 * MS);
     assert!(matches!(sent[1], Effect::SetTimer(at) if at <= told.start + 1000 * MS));
     let ended = told.at(1000 * MS, Input::TimerFired);
-    assert_eq!(ended[..2], [Effect::AbortAttempt(1, 0), Effect::Respond(1, Answer::Failed)]);
+    assert_eq!(
+        ended[..2],
+        [Effect::AbortAttempt(AttemptId::new(1, 0)), Effect::Respond { request: 1, answer: Answer::Failed }]
+    );
     let late = AttemptResult { body: "late".into(), ..AttemptResult::none(TransportOutcome::Complete) };
-    assert!(told.at(1001 * MS, Input::AttemptEnded(1, 0, late)).is_empty());
-    assert_eq!((told.broker.open_requests(), told.broker.counters()[1].1.failed), (0, 1));
+    assert!(told
+        .at(1001 * MS, Input::AttemptEnded { attempt: AttemptId::new(1, 0), result: late })
+        .is_empty());
+    assert_eq!((told.broker.open_requests(), told.broker.counters()[1].requests.failed), (0, 1));
 }
 
 #[test]
@@ -322,11 +389,14 @@
     ] {
         let mut told = Told::new();
         told.list(Readiness::Ready);
-        told.at(10 * MS, Input::RequestArrived(1, ask(1)));
-        let mut effects = told.at(20 * MS, Input::AttemptEnded(1, 0, AttemptResult::none(end)));
+        told.at(10 * MS, Input::RequestArrived { id: 1, request: ask(1) });
+        let mut effects = told.at(
+            20 * MS,
+            Input::AttemptEnded { attempt: AttemptId::new(1, 0), result: AttemptResult::none(end) },
+        );
         (3..40).for_each(|n| effects.extend(told.at(10 * n * MS, Input::TimerFired)));
         let sent = effects.iter().filter(|e| matches!(e, Effect::StartAttempt { .. })).count();
-        let failed = effects.contains(&Effect::Respond(1, Answer::Failed));
+        let failed = effects.contains(&Effect::Respond { request: 1, answer: Answer::Failed });
         assert_eq!((sent, failed), (usize::from(again), !again), "{end:?}: {effects:?}");
     }
 }
@@ -337,10 +407,10 @@
     told.list(Readiness::Ready);
     assert!(told.broker.is_ready());
     told.list(Readiness::Draining);
-    let mut effects = told.at(10 * MS, Input::RequestArrived(1, ask(1)));
+    let mut effects = told.at(10 * MS, Input::RequestArrived { id: 1, request: ask(1) });
     (2..100).for_each(|n| effects.extend(told.at(10 * n * MS, Input::TimerFired)));
     assert!(!effects.iter().any(|e| matches!(e, Effect::StartAttempt { .. })), "{effects:?}");
-    let refused = |e: &&Effect| matches!(e, Effect::Respond(1, Answer::Rejected(after)) if !after.is_zero());
+    let refused = |e: &&Effect| matches!(e, Effect::Respond { request: 1, answer: Answer::Rejected(after) } if !after.is_zero());
     assert_eq!(effects.iter().filter(refused).count(), 1, "{effects:?}");
 }
 
@@ -348,13 +418,13 @@
 fn a_client_that_left_is_owed_nothing() {
     let mut told = Told::new();
     told.list(Readiness::Ready);
-    told.at(10 * MS, Input::RequestArrived(1, ask(0)));
+    told.at(10 * MS, Input::RequestArrived { id: 1, request: ask(0) });
     let left = told.at(20 * MS, Input::ClientLeft(1));
-    assert!(left.contains(&Effect::AbortAttempt(1, 0)), "its attempt is given up: {left:?}");
+    assert!(left.contains(&Effect::AbortAttempt(AttemptId::new(1, 0))), "its attempt is given up: {left:?}");
     let whole = AttemptResult { body: "x".into(), ..AttemptResult::none(TransportOutcome::Complete) };
-    let effects = told.at(30 * MS, Input::AttemptEnded(1, 0, whole));
-    assert!(!effects.iter().any(|e| matches!(e, Effect::Respond(..))), "{effects:?}");
-    assert_eq!((told.broker.open_requests(), told.broker.counters()[0].1.client_left), (0, 1));
+    let effects = told.at(30 * MS, Input::AttemptEnded { attempt: AttemptId::new(1, 0), result: whole });
+    assert!(!effects.iter().any(|e| matches!(e, Effect::Respond { .. })), "{effects:?}");
+    assert_eq!((told.broker.open_requests(), told.broker.counters()[0].requests.client_left), (0, 1));
 }
 
 /// Each open request holds a connection, and clients have only so many: in surges those who would be served
@@ -367,18 +437,18 @@
     let mut out = 0;
     for id in 1..=4 {
         out += told
-            .at(10 * MS, Input::RequestArrived(id, poor(id)))
+            .at(10 * MS, Input::RequestArrived { id, request: poor(id) })
             .iter()
             .filter(|e| matches!(e, Effect::StartAttempt { .. }))
             .count();
     }
     assert!((1..4).contains(&out), "some wait: {out}");
     // One that a reserve covers comes, and takes the place of one that has none.
-    let effects = told.at(20 * MS, Input::RequestArrived(9, ask(1)));
+    let effects = told.at(20 * MS, Input::RequestArrived { id: 9, request: ask(1) });
     let refused: Vec<_> = effects
         .iter()
         .filter_map(|e| match e {
-            Effect::Respond(id, Answer::Rejected(after)) => Some((*id, after.is_zero())),
+            Effect::Respond { request: id, answer: Answer::Rejected(after) } => Some((*id, after.is_zero())),
             _ => None,
         })
         .collect();
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -47,7 +47,7 @@
                 assert!(took < Duration::from_millis(400), "{ahead} {way}: {took:?}");
             }
         }
-        assert_eq!(host.look(|b| b.counters()[1].1.client_left), 15);
+        assert_eq!(host.look(|b| b.counters()[1].requests.client_left), 15);
         // One that goes on sending and stays is served first, and its connection ends with that answer.
         let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let (front, _, _) = http_front(&[(boxed.address, 0)]).await;
@@ -477,7 +477,10 @@
                 &operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)])
                     .settings,
             );
-            host.feed(Input::Restore(Box::new(state.core), handover::SHARED_BUDGET));
+            host.feed(Input::Restore {
+                snapshot: Box::new(state.core),
+                budget_share: handover::SHARED_BUDGET,
+            });
             assert_eq!(host.part(), 0.5);
             HandoverLink::new(host.clone(), me.clone(), &folder).follow_predecessor(stream);
             until(|| host.part() == 1.0).await;
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -143,7 +143,7 @@
                     client.ask_any(&platform_request("GET", "leitura", 0, 2, b"")).await;
                 assert!(status == 200 && whole && body == *expect, "{status}, {} bytes", body.len());
             }
-            assert_eq!(host.look(|b| b.counters()[0].1.served), 2);
+            assert_eq!(host.look(|b| b.counters()[0].requests.served), 2);
         }
         // What is held whole fails before its client hears of it; what was passed on ends short.
         for (sent, status) in [
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_list_entry_tells_its_fields() {
-    let member = shaletack::endpoint_list::EndpointRecord {
+    let record = shaletack::endpoint_list::EndpointRecord {
         id: "s-2".into(),
         address: Some("127.0.0.1:7".parse().unwrap()),
         zone: "z".into(),
@@ -55,7 +55,7 @@
     let notice = OperatorEvent::EndpointListed {
         revision: 9,
         kind: shaletack::interface::EndpointListKind::Full,
-        member,
+        record,
     };
     let line = under(Form::Text, LevelFilter::INFO, || write(&notice)).remove(0);
     assert!(
--- a/tests/nbd.rs
+++ b/tests/nbd.rs
@@ -145,7 +145,7 @@
         while host.open() > 0 {
             tokio::task::yield_now().await;
         }
-        let left = host.look(|b| b.counters()[0].1.client_left);
+        let left = host.look(|b| b.counters()[0].requests.client_left);
         assert_eq!(left, 1);
         // The front goes on with others.
         let mut other = NbdClient::go(front).await;
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -34,7 +34,7 @@
             assert_eq!(header(head, "x-trace-id").unwrap().len(), 16);
             assert!(header(head, "x-expires-in").unwrap().parse::<f64>().unwrap() <= 1.5);
         }
-        assert_eq!((host.open(), host.look(|b| b.counters()[1].1.units)), (0, 2.0 * asked as f64));
+        assert_eq!((host.open(), host.look(|b| b.counters()[1].requests.units)), (0, 2.0 * asked as f64));
         // Nothing that can't be read as a request goes on to a box.
         let huge = String::from_utf8(platform_request("PUT", "gravacao", 0, 2, b"")).unwrap();
         let huge = huge.replace("Length: 0", "Length: 60000000");
@@ -165,7 +165,7 @@
             let (status, _, body) = client.ask(&request).await;
             assert_eq!((status, body.as_slice()), (200, id.as_bytes()));
         }
-        assert_eq!(host.look(|b| b.counters()[1].1.served), 5);
+        assert_eq!(host.look(|b| b.counters()[1].requests.served), 5);
     });
 }
 
@@ -327,7 +327,7 @@
         while host.open() > 0 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(host.look(|b| b.counters()[1].1.client_left), 1);
+        assert_eq!(host.look(|b| b.counters()[1].requests.client_left), 1);
     });
 }
 
@@ -653,7 +653,10 @@
         let figures = |host: &shaletack::runtime::host::Host| host.look(|b| b.counters().to_vec());
         let (a, b) = (figures(&http_host), figures(&nbd_host));
         assert_eq!(a, b);
-        assert!(a.iter().map(|t| t.1.served).sum::<u64>() == 4 && a[1].1.failed == 2, "{a:?}");
+        assert!(
+            a.iter().map(|class| class.requests.served).sum::<u64>() == 4 && a[1].requests.failed == 2,
+            "{a:?}"
+        );
     });
 }
 
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,6 +1,6 @@
 //! The operator's file: every fault at once, each with its path, and the two readers of settings agree.
 
-use shaletack::{json::Look, operator, settings};
+use shaletack::{json::JsonField, operator, settings};
 
 const EXAMPLE: &str = include_str!("../deploy/operator.json");
 
@@ -76,7 +76,8 @@
 fn the_settings_mean_the_same_to_both_readers() {
     let mut text = EXAMPLE.to_owned().into_bytes();
     let value = shaletack::json::parse(&mut text).unwrap();
-    let mut platform = settings::from(Look::object(&value, "file").unwrap().at("settings")).unwrap();
+    let mut platform =
+        settings::read_settings(JsonField::object(&value, "file").unwrap().field("settings")).unwrap();
     let operator = read(EXAMPLE).unwrap();
     platform.plans = operator.settings.plans.clone();
     assert_eq!(platform, operator.settings);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -248,16 +248,16 @@
         let effects = self.broker.step(self.start + self.now, input);
         for effect in effects {
             match effect {
-                Effect::StartAttempt { request, number, to, wait } => {
-                    self.sent(request, number, to.port(), wait)
+                Effect::StartAttempt { attempt: AttemptId { request, number }, to, timeout } => {
+                    self.sent(request, number, to.port(), timeout)
                 }
-                Effect::AbortAttempt(request, number) => {
+                Effect::AbortAttempt(AttemptId { request, number }) => {
                     let tried = &mut self.asked[request as usize].tries[number as usize];
                     assert!(tried.out, "{request}/{number} is given up twice");
                     // What was given up before its first byte went out never ran.
                     (tried.out, tried.unrun) = (false, !tried.written);
                 }
-                Effect::Respond(request, answer) => self.answered(request, &answer),
+                Effect::Respond { request, answer } => self.answered(request, &answer),
                 Effect::SetTimer(at) => self.wake = Some(at.saturating_duration_since(self.start)),
                 Effect::Log(_) | Effect::Broadcast(_) => {}
             }
@@ -395,7 +395,7 @@
                     time_remaining: patience,
                     client_retry: false,
                 };
-                self.tell(Input::RequestArrived(id, ask));
+                self.tell(Input::RequestArrived { id, request: ask });
             }
             Step::End(pick, end, spent) => {
                 let out = self.out();
@@ -404,20 +404,25 @@
                     let tried = &mut self.asked[n].tries[number];
                     (tried.out, tried.unrun) = (false, unrun);
                     let reply = AttemptResult { body_consumed: *spent, ..AttemptResult::none(*end) };
-                    self.tell(Input::AttemptEnded(n as u64, number as u8, reply));
+                    self.tell(Input::AttemptEnded {
+                        attempt: AttemptId::new(n as u64, number as u8),
+                        result: reply,
+                    });
                 }
             }
             Step::Went(pick, news) => {
                 let out = self.out();
                 if let Some((n, number)) = (!out.is_empty()).then(|| *pick.get(&out)) {
                     self.asked[n].tries[number].written = true;
-                    self.tell(Input::AttemptProgressed(
-                        n as u64,
-                        number as u8,
-                        AttemptProgress::WriteStarted,
-                    ));
+                    self.tell(Input::AttemptProgressed {
+                        attempt: AttemptId::new(n as u64, number as u8),
+                        progress: AttemptProgress::WriteStarted,
+                    });
                     if *news != AttemptProgress::WriteStarted {
-                        self.tell(Input::AttemptProgressed(n as u64, number as u8, *news));
+                        self.tell(Input::AttemptProgressed {
+                            attempt: AttemptId::new(n as u64, number as u8),
+                            progress: *news,
+                        });
                     }
                 }
             }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -77,13 +77,13 @@
     fn step(&mut self, input: Input) {
         for effect in self.broker.step(self.start + self.now, input) {
             match effect {
-                Effect::StartAttempt { request, number, .. } => {
+                Effect::StartAttempt { attempt: AttemptId { request, number }, .. } => {
                     self.flights.insert((request, number), self.now + 20 * MS);
                 }
-                Effect::AbortAttempt(request, number) => {
+                Effect::AbortAttempt(AttemptId { request, number }) => {
                     self.flights.remove(&(request, number));
                 }
-                Effect::Respond(..) => self.answered += 1,
+                Effect::Respond { .. } => self.answered += 1,
                 Effect::SetTimer(at) => self.wake = Some(at - self.start),
                 Effect::Log(_) | Effect::Broadcast(_) => {}
             }
@@ -110,7 +110,7 @@
                     body: Bytes::from_static(b"ok"),
                     ..AttemptResult::none(TransportOutcome::Complete)
                 };
-                self.step(Input::AttemptEnded(request, number, reply));
+                self.step(Input::AttemptEnded { attempt: AttemptId::new(request, number), result: reply });
             } else if next == replace_at {
                 self.replace((replace % u64::from(SHARDS)) as u16);
             } else {
@@ -127,7 +127,7 @@
                     time_remaining: 1000 * MS,
                     ..IncomingRequest::default()
                 };
-                self.step(Input::RequestArrived(id, ask));
+                self.step(Input::RequestArrived { id, request: ask });
             }
         }
     }
@@ -156,7 +156,7 @@
         })
         .collect();
     // Every request was answered and served, so the day is what it claims to be: 20 a second, all through.
-    let served: u64 = day.broker.counters().iter().map(|(_, t)| t.served).sum();
+    let served: u64 = day.broker.counters().iter().map(|class| class.requests.served).sum();
     assert_eq!((day.answered, served, day.broker.open_requests()), (id, id, 0), "of {id} requests");
     assert!(id >= 215_000, "{id} requests");
     // The second half saw as many new boxes, volumes and keys as the first: it holds no more than the first did.
