--- a/src/app/serve_platform.rs
+++ b/src/app/serve_platform.rs
@@ -164,7 +164,8 @@
 /// Goes on from what a predecessor handed over, sharing every budget with it.
 fn restore(host: &Host, link: &HandoverLink, request_ids: &RefCell<Traces>, given: ReceivedHandover) {
     let ReceivedHandover { state, stream, .. } = given;
-    host.feed(Input::Restore(Box::new(state.core), handover::SHARED_BUDGET));
+    let snapshot = Box::new(state.core);
+    host.feed(Input::Restore { snapshot, budget_share: handover::SHARED_BUDGET });
     request_ids.borrow_mut().inherit(state.request_ids);
     link.follow_predecessor(stream);
 }
--- a/tests/nbd.rs
+++ b/tests/nbd.rs
@@ -145,7 +145,7 @@
         while host.open() > 0 {
             tokio::task::yield_now().await;
         }
-        let left = host.look(|b| b.counters()[0].1.client_left);
+        let left = host.look(|b| b.counters()[0].requests.client_left);
         assert_eq!(left, 1);
         // The front goes on with others.
         let mut other = NbdClient::go(front).await;
@@ -218,8 +218,11 @@
             // All requests are held back: no box takes any.
             let kind = shaletack::interface::EndpointListKind::Full;
             let entries = |up: bool| if up { listed.entries.clone() } else { Vec::new() };
-            let list =
-                |revision, up| shaletack::members::EndpointList { revision, kind, entries: entries(up) };
+            let list = |revision, up| shaletack::endpoint_list::EndpointList {
+                revision,
+                kind,
+                entries: entries(up),
+            };
             host.feed(shaletack::broker::Input::EndpointList(list(2, false)));
             let mut client = NbdClient::go(front).await;
             let commands = if leaving == Leaving::Pipelined { 20 } else { 3 };
