--- a/crates/wal/tests/fixtures.rs
+++ b/crates/wal/tests/fixtures.rs
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_stored_log_whose_oldest_segments_were_removed_is_recovered_from_where_it_begins() {
-    let records = (5..=14).map(|seq| (seq, seq.div_ceil(2), record(seq))).collect();
+    let records = (5..=14).map(|seq: u64| (seq, seq.div_ceil(2), record(seq))).collect();
     let mut segments: Vec<(u64, u64)> = (3..=7).map(|segment| (segment, 2 * BLOCK_BYTES)).collect();
     segments.push((8, BLOCK_BYTES));
     assert_eq!(recovered("removed_start"), Recovered { records, segments, last: 14, torn: None });
--- a/src/writeback/mod.rs
+++ b/src/writeback/mod.rs
@@ -14,7 +14,7 @@
 use crate::runtime::host::Host;
 use bytes::Bytes;
 use files::Files;
-use shaletack_background::{Scheduler, Sort, Task};
+use shaletack_background::{Scheduler, Task, WorkClass};
 use shaletack_wal::{form, Commit, Disk};
 use shaletack_writeback::{Buffer, Config, Effect, Input, NewPiece, PieceId, Proof, Refusal, Token};
 use std::cell::{Cell, RefCell};
@@ -83,14 +83,14 @@
         let (records, torn) = (found.records.len(), found.torn.is_some());
         let (buffer, effects) = Buffer::recover(identity, config, &found, Duration::ZERO)
             .map_err(|seq| format!("{}: record {seq} can't be read", set.folder.display()))?;
-        let sort = Sort {
+        let class = WorkClass {
             priority: 1,
-            units: set.units,
-            bytes: 0,
+            units_per_second: set.units,
+            bytes_per_second: 0,
             burst: Duration::from_secs(1),
-            out_most: OUT_MOST,
-            place_most: SHARD_MOST,
-            age_most: set.age_most,
+            max_in_flight: OUT_MOST,
+            max_in_flight_per_resource: SHARD_MOST,
+            max_age: set.age_most,
         };
         info!(folder = %set.folder.display(), records, torn, unsettled = buffer.held().0, "write-back is on");
         let keeper = Keeper(Rc::new(Inner {
@@ -99,7 +99,7 @@
             operator: operator.clone(),
             files: Arc::new(Mutex::new(files)),
             buffer: RefCell::new(buffer),
-            background: RefCell::new(Scheduler::new(&[sort], Duration::ZERO)),
+            background: RefCell::new(Scheduler::new(&[class], Duration::ZERO)),
             waiting: RefCell::default(),
             last: Cell::new(0),
             start: Instant::now(),
@@ -198,7 +198,8 @@
     fn ready(&self, id: PieceId) {
         let Some((shard, _, data)) = self.0.buffer.borrow().piece(id) else { return };
         let units = (data.len() as u64).div_ceil(self.0.operator.unit_bytes.into()).max(1);
-        let task = Task { sort: 0, place: shard.into(), units, bytes: data.len() as u64, since: self.now() };
+        let task =
+            Task { class: 0, resource: shard.into(), units, bytes: data.len() as u64, since: self.now() };
         // One that could not start is still counted as out.
         let mut background = self.0.background.borrow_mut();
         background.remove(id);
@@ -207,7 +208,7 @@
 
     /// Starts what may go to its box now.
     fn start_ready(&self) {
-        let picked = self.0.background.borrow_mut().pick(self.now());
+        let picked = self.0.background.borrow_mut().start_ready(self.now());
         for id in picked {
             let keeper = self.clone();
             // Apart from the step that it follows from.
@@ -330,7 +331,7 @@
         let mut needs = self.0.needs.borrow_mut();
         let count = needs.entry(shard).or_default();
         *count = count.saturating_add_signed(change);
-        self.0.background.borrow_mut().need(shard.into(), *count);
+        self.0.background.borrow_mut().set_client_demand(shard.into(), *count);
     }
 
     /// Waits until all that was taken is in the log, and for no box.
@@ -380,7 +381,7 @@
         let Some(keeper) = inner.upgrade().map(Keeper) else { return };
         let idle = keeper.0.wrote.get() + IDLE;
         let (now, rests) = (keeper.now(), keeper.0.rests.get());
-        let background = keeper.0.background.borrow().next();
+        let background = keeper.0.background.borrow().next_start_at();
         let first = [keeper.0.wake.get(), background, (!rests).then_some(idle)].into_iter().flatten().min();
         let wait = first.map_or(IDLE, |at| at.saturating_sub(now)).max(Duration::from_millis(1));
         // Nothing is missed in between: what is rung before it is waited for is kept.
