--- a/crates/wal/src/log.rs
+++ b/crates/wal/src/log.rs
@@ -1,313 +1,223 @@
-//! Where records go, what shares a commit, and how much there may be.
+//! Appending records, group commit, and how much the log may take.
 
-use crate::form::{batch, size, BLOCK, RECORD_MOST};
-use crate::{Commit, Identity, Recovered, Seq};
-use std::collections::{BTreeMap, VecDeque};
+use crate::format::{batch_size, encode_batch, MAX_RECORD_BYTES};
+use crate::pending::{size_alone, PendingRecord, PendingRecords, RecordKind};
+use crate::segments::{Segments, TailSegment};
+use crate::{Commit, Identity, RecordNumber, RecoveredLog, SegmentNumber};
+use thiserror::Error;
 
-/// The log's bounds.
+/// How much the log may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Config {
-    /// Bytes of a segment.
-    pub segment: u64,
-    /// Bytes of all segments together.
-    pub most: u64,
-    /// Of these, bytes that only control records may take: settling must go on when the log is full.
-    pub reserved: u64,
-}
-
-/// What a record is for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// It brings something new: refused while there is no room.
-    Data,
-    /// It says what became of others. It is of use only as long as those are, which lie before it.
-    Control,
-    /// It is a record of use written anew, to free the segment that it lay in.
-    Moved,
+pub struct LogConfig {
+    /// The most bytes of one segment.
+    pub segment_bytes: u64,
+    /// The most bytes of all segments together.
+    pub max_bytes: u64,
+    /// Of these, bytes that data may not take: writes must be settled also when the log is full.
+    pub reserved_bytes: u64,
 }
 
 /// Why a record is not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// There is no room until something is settled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum AppendError {
+    /// There is no room until something is released.
+    #[error("the log is full")]
     Full,
-    /// It is larger than any record is.
+    /// No record may be so large.
+    #[error("the record is too large for the log")]
     TooLarge,
-    /// A commit failed: nothing more is taken.
-    Failed,
-}
-
-/// How far the log is to be trusted.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// It takes records.
-    Open,
-    /// A commit failed. What was durable before it still is; nothing after it is.
-    Failed,
-}
-
-#[derive(Clone, Debug, Default)]
-struct Segment {
-    used: u64,
-    /// Records of use that lie in it.
-    live: u64,
-}
-
-/// A segment of no more use that is still on disk.
-#[derive(Clone, Copy, Debug)]
-struct Retired {
-    segment: u64,
-    used: u64,
-    /// The commits issued before it was retired still say that it is of use.
-    issued: u64,
 }
 
-/// A record that no commit has taken yet.
-#[derive(Clone, Debug)]
-struct Waiting {
-    seq: Seq,
-    kind: Kind,
-    record: Vec<u8>,
-}
-
-/// The log's state.
+/// The state of a log.
 #[derive(Clone, Debug)]
 pub struct Log {
     identity: Identity,
-    config: Config,
-    state: State,
-    segments: BTreeMap<u64, Segment>,
-    /// Where each record of use lies, and the bytes that it takes.
-    live: BTreeMap<Seq, (u64, u64)>,
-    pending: VecDeque<Waiting>,
-    pending_bytes: u64,
-    out: Option<Seq>,
-    last: Seq,
-    durable: Seq,
-    sealed: bool,
-    retired: VecDeque<Retired>,
-    issued: u64,
+    config: LogConfig,
+    segments: Segments,
+    pending: PendingRecords,
+    /// The last record of the commit in flight.
+    in_flight: Option<RecordNumber>,
+    last: RecordNumber,
+    durable: RecordNumber,
+    /// The last batch holds no records.
+    is_sealed: bool,
+    batches_issued: u64,
 }
 
 impl Log {
     /// An empty log, of which nothing is on disk yet.
-    pub fn new(identity: Identity, config: Config) -> Self {
+    pub fn new(identity: Identity, config: LogConfig) -> Self {
         Log {
             identity,
             config,
-            state: State::Open,
-            segments: BTreeMap::new(),
-            live: BTreeMap::new(),
-            pending: VecDeque::new(),
-            pending_bytes: 0,
-            out: None,
+            segments: Segments::default(),
+            pending: PendingRecords::default(),
+            in_flight: None,
             last: 0,
             durable: 0,
-            sealed: true,
-            retired: VecDeque::new(),
-            issued: 0,
+            is_sealed: true,
+            batches_issued: 0,
         }
     }
 
-    /// One that goes on where another process was. Every record counts as of use until it is released.
-    pub fn resume(identity: Identity, config: Config, found: &Recovered) -> Self {
+    /// A log that goes on behind what was recovered. Every record counts as in use until it is released.
+    pub fn resume(identity: Identity, config: LogConfig, found: &RecoveredLog) -> Self {
         let mut log = Log::new(identity, config);
-        for (segment, used) in &found.segments {
-            log.segments.insert(*segment, Segment { used: *used, live: 0 });
-        }
-        for (seq, segment, record) in &found.records {
-            log.live.insert(*seq, (*segment, record.len() as u64));
-            log.segments.entry(*segment).or_default().live += 1;
-        }
-        (log.last, log.durable) = (found.last, found.last);
+        log.segments = Segments::recovered(found);
+        log.last = found.last;
+        log.durable = found.last;
         log
     }
 
-    fn roll(&mut self) -> u64 {
-        let next = self.segments.keys().next_back().map_or(1, |last| last + 1);
-        self.segments.insert(next, Segment::default());
-        next
-    }
-
-    fn oldest(&self) -> u64 {
-        self.segments.keys().next().copied().unwrap_or(1)
-    }
-
-    /// How far it is to be trusted.
-    pub fn state(&self) -> State {
-        self.state
-    }
-
     /// All records up to this one are on stable storage.
-    pub fn durable(&self) -> Seq {
+    pub fn durable(&self) -> RecordNumber {
         self.durable
     }
 
-    /// The number of the last record taken.
-    pub fn last(&self) -> Seq {
+    /// The number of the last record appended.
+    pub fn last(&self) -> RecordNumber {
         self.last
     }
 
-    /// Bytes on disk, and those that wait to go there.
-    pub fn used(&self) -> u64 {
-        let retired: u64 = self.retired.iter().map(|r| r.used).sum();
-        self.segments.values().map(|s| s.used).sum::<u64>() + retired + self.pending_bytes
-    }
-
-    /// Whether records of these lengths would all be taken.
-    pub fn takes(&self, kind: Kind, lengths: impl Iterator<Item = usize>) -> Result<(), Refused> {
-        if self.state == State::Failed {
-            return Err(Refused::Failed);
-        }
-        let mut bytes = 0;
-        for length in lengths {
-            let takes = size([length].into_iter()) as u64;
-            if length > RECORD_MOST || takes > self.config.segment {
-                return Err(Refused::TooLarge);
+    /// Bytes on disk, and those that pending records will take there at most.
+    pub fn used_bytes(&self) -> u64 {
+        self.segments.used_bytes() + self.pending.reserved_bytes()
+    }
+
+    /// Whether records of these lengths, in bytes, would all be taken.
+    ///
+    /// # Errors
+    /// One of them is too large, or there is not room for all of them.
+    pub fn check_room(
+        &self,
+        kind: RecordKind,
+        record_lengths: impl Iterator<Item = usize>,
+    ) -> Result<(), AppendError> {
+        let mut needed_bytes = 0;
+        for length in record_lengths {
+            let size = size_alone(length);
+            if length > MAX_RECORD_BYTES || size > self.config.segment_bytes {
+                return Err(AppendError::TooLarge);
             }
-            bytes += takes;
+            needed_bytes += size;
         }
-        let most = self.config.most - if kind == Kind::Data { self.config.reserved } else { 0 };
-        if self.used() + bytes > most {
-            return Err(Refused::Full);
+        let available_bytes = match kind {
+            RecordKind::Data => self.config.max_bytes - self.config.reserved_bytes,
+            RecordKind::Control | RecordKind::Rewritten => self.config.max_bytes,
+        };
+        if self.used_bytes() + needed_bytes > available_bytes {
+            return Err(AppendError::Full);
         }
         Ok(())
     }
 
-    /// Takes a record; it is durable once [`Log::durable`] has come to its number.
-    pub fn append(&mut self, kind: Kind, record: Vec<u8>) -> Result<Seq, Refused> {
-        self.takes(kind, [record.len()].into_iter())?;
-        let takes = size([record.len()].into_iter()) as u64;
+    /// Takes a record. It is durable once [`Log::durable`] has reached the number returned.
+    ///
+    /// # Errors
+    /// The record is too large, or there is no room for it.
+    pub fn append(&mut self, kind: RecordKind, bytes: Vec<u8>) -> Result<RecordNumber, AppendError> {
+        self.check_room(kind, [bytes.len()].into_iter())?;
         self.last += 1;
-        self.pending_bytes += takes;
-        self.pending.push_back(Waiting { seq: self.last, kind, record });
+        self.pending.push(PendingRecord { number: self.last, kind, bytes });
         Ok(self.last)
     }
 
-    /// What is to be made durable next: all that waits and fits into one segment. One at a time.
-    pub fn commit(&mut self) -> Option<Commit> {
-        if self.state == State::Failed || self.out.is_some() {
+    /// The next commit to carry out: all pending records that fit into one segment. `None` while one is in flight,
+    /// and when there is nothing to write.
+    pub fn next_commit(&mut self) -> Option<Commit> {
+        if self.in_flight.is_some() {
             return None;
         }
         if self.pending.is_empty() {
-            // What is of no more use goes only behind a batch that says so, be it an empty one.
-            let waits = self.retired.back().is_some_and(|r| r.issued == self.issued);
-            return if waits { self.empty_batch() } else { None };
+            // A retired segment is removed only behind a batch that does without it, be it an empty one.
+            return self.segments.awaits_batch(self.batches_issued).then(|| self.empty_batch());
         }
-        let tail = self.segments.iter().next_back().map(|(n, s)| (*n, s.used));
-        let whole = self.config.segment;
-        let fits = |used: u64, waiting: &VecDeque<Waiting>| {
-            let room = whole.saturating_sub(used) as usize;
-            let mut lengths = Vec::new();
-            for each in waiting {
-                lengths.push(each.record.len());
-                if size(lengths.iter().copied()) > room {
-                    return lengths.len() - 1;
-                }
-            }
-            lengths.len()
-        };
-        let (segment, at, count) = match tail.map(|(n, used)| (n, used, fits(used, &self.pending))) {
-            Some((n, used, count)) if count > 0 => (n, used, count),
-            _ => (self.roll(), 0, fits(0, &self.pending)),
-        };
-        let taken: Vec<Waiting> = self.pending.drain(..count).collect();
-        let (first, last) = (taken.first()?.seq, taken.last()?.seq);
-        let mut of_use = 0;
-        for Waiting { seq, kind, record } in &taken {
-            self.pending_bytes -= size([record.len()].into_iter()) as u64;
-            if *kind != Kind::Control {
-                self.live.insert(*seq, (segment, record.len() as u64));
-                of_use += 1;
-            }
-        }
-        let records: Vec<Vec<u8>> = taken.into_iter().map(|each| each.record).collect();
-        let bytes = batch(self.identity, segment, first, self.oldest(), &records);
-        let place = self.segments.entry(segment).or_default();
-        place.live += of_use;
-        place.used = at + bytes.len() as u64;
-        self.out = Some(last);
-        self.issued += 1;
-        self.sealed = false;
-        Some(Commit { segment, create: at == 0, at, bytes })
+        let (tail, count) = self.place_pending();
+        let records = self.pending.take(count);
+        let first = records.first()?.number;
+        let last = records.last()?.number;
+        self.track_records(&records, tail.number);
+        let records: Vec<Vec<u8>> = records.into_iter().map(|record| record.bytes).collect();
+        self.is_sealed = false;
+        Some(self.issue_batch(tail, first, last, &records))
+    }
+
+    /// An empty batch behind the last one, so that recovery can tell a flaw in the last batch with records from a
+    /// torn write. For when nothing else is to be written. `None` where there is nothing to seal.
+    pub fn seal(&mut self) -> Option<Commit> {
+        let is_idle = self.in_flight.is_none() && self.pending.is_empty();
+        let needs_seal = is_idle && !self.is_sealed && !self.segments.is_empty();
+        needs_seal.then(|| self.empty_batch())
     }
 
-    /// A batch without records behind the last one: a flaw in the last batch that held some is then told from a
-    /// write that was cut off. For when nothing else is to be written.
-    pub fn seal(&mut self) -> Option<Commit> {
-        let idle = self.state == State::Open && self.out.is_none() && self.pending.is_empty();
-        if idle && !self.sealed && !self.segments.is_empty() {
-            self.empty_batch()
-        } else {
-            None
+    /// The commit in flight is on stable storage.
+    pub fn commit_succeeded(&mut self) {
+        if let Some(last) = self.in_flight.take() {
+            self.durable = last;
         }
     }
 
-    fn empty_batch(&mut self) -> Option<Commit> {
-        let room = |s: &Segment| s.used + BLOCK as u64 <= self.config.segment;
-        let segment = match self.segments.iter().next_back() {
-            Some((segment, place)) if room(place) => *segment,
-            _ => self.roll(),
-        };
-        let bytes = batch(self.identity, segment, self.last + 1, self.oldest(), &[]);
-        let place = self.segments.entry(segment).or_default();
-        let at = place.used;
-        place.used += bytes.len() as u64;
-        (self.sealed, self.out) = (true, Some(self.last));
-        self.issued += 1;
-        Some(Commit { segment, create: at == 0, at, bytes })
+    /// A record is not in use any more.
+    pub fn release(&mut self, record: RecordNumber) {
+        self.segments.release(record);
     }
 
-    /// The commit that was out ended so.
-    pub fn committed(&mut self, whole: bool) {
-        match (self.out.take(), whole) {
-            (Some(seq), true) => self.durable = seq,
-            (Some(_), false) => self.state = State::Failed,
-            (None, _) => {}
-        }
+    /// Takes a segment that is to be removed from disk: the oldest, once none of its records is in use and a
+    /// durable batch does without it.
+    pub fn pop_removable(&mut self) -> Option<SegmentNumber> {
+        self.segments.retire_unused(self.batches_issued);
+        let batches_durable = self.batches_issued - u64::from(self.in_flight.is_some());
+        self.segments.pop_removable(batches_durable)
     }
 
-    /// A record is of no more use.
-    pub fn release(&mut self, seq: Seq) {
-        if let Some((segment, _)) = self.live.remove(&seq) {
-            if let Some(place) = self.segments.get_mut(&segment) {
-                place.live -= 1;
+    /// Records in use that keep the oldest segment of a log that gets full, where little of that segment is in
+    /// use. They are to be appended again as [`RecordKind::Rewritten`] and released once that is durable, so that
+    /// one old record does not hold the whole log.
+    pub fn stragglers(&self) -> Vec<RecordNumber> {
+        self.segments.stragglers(self.used_bytes(), self.config.max_bytes)
+    }
+
+    /// The segment for the next batch, and how many pending records go into it: the last segment if one fits
+    /// there, else a new one.
+    fn place_pending(&mut self) -> (TailSegment, usize) {
+        if let Some(tail) = self.segments.tail() {
+            let available_bytes = self.config.segment_bytes.saturating_sub(tail.used_bytes);
+            let count = self.pending.count_that_fits(available_bytes);
+            if count > 0 {
+                return (tail, count);
             }
         }
+        let count = self.pending.count_that_fits(self.config.segment_bytes);
+        (self.segments.start_next(), count)
     }
 
-    /// A segment to be removed: the oldest, once nothing in it is of use and a batch that does without it is
-    /// durable. Only ever the oldest, so that what says how a record ended never goes before the record. The last
-    /// one stays.
-    pub fn removable(&mut self) -> Option<u64> {
-        while self.segments.len() > 1 {
-            let Some(oldest) = self.segments.first_entry().filter(|entry| entry.get().live == 0) else {
-                break;
-            };
-            let (segment, place) = oldest.remove_entry();
-            self.retired.push_back(Retired { segment, used: place.used, issued: self.issued });
+    fn track_records(&mut self, records: &[PendingRecord], segment: SegmentNumber) {
+        for record in records.iter().filter(|record| record.kind != RecordKind::Control) {
+            self.segments.add_record(record.number, segment, record.bytes.len() as u64);
         }
-        let done = self.issued - u64::from(self.out.is_some());
-        let first = self.retired.front().filter(|r| r.issued < done)?;
-        let segment = first.segment;
-        self.retired.pop_front();
-        Some(segment)
     }
 
-    /// Records of use that keep the oldest segment, where little of it is: they are to be appended anew and then
-    /// released, so that one old record does not hold the whole log.
-    pub fn stragglers(&self) -> Vec<Seq> {
-        let Some((&oldest, place)) = self.segments.first_key_value().filter(|_| self.segments.len() > 1)
-        else {
-            return Vec::new();
-        };
-        let held = self.live.iter().filter(|(_, (segment, _))| *segment == oldest);
-        let bytes: u64 = held.clone().map(|(_, (_, bytes))| bytes).sum();
-        let tight = self.used() * 2 > self.config.most && bytes * 4 < place.used;
-        if tight {
-            held.map(|(seq, _)| *seq).collect()
-        } else {
-            Vec::new()
-        }
+    fn empty_batch(&mut self) -> Commit {
+        let size = batch_size(std::iter::empty()) as u64;
+        let tail = self.segments.tail().filter(|tail| tail.used_bytes + size <= self.config.segment_bytes);
+        let tail = tail.unwrap_or_else(|| self.segments.start_next());
+        self.is_sealed = true;
+        self.issue_batch(tail, self.last + 1, self.last, &[])
+    }
+
+    fn issue_batch(
+        &mut self,
+        tail: TailSegment,
+        first: RecordNumber,
+        last: RecordNumber,
+        records: &[Vec<u8>],
+    ) -> Commit {
+        let oldest = self.segments.oldest();
+        let bytes = encode_batch(self.identity, tail.number, first, oldest, records);
+        self.segments.extend(tail.number, bytes.len() as u64);
+        self.in_flight = Some(last);
+        self.batches_issued += 1;
+        let offset = tail.used_bytes;
+        Commit { segment: tail.number, creates_segment: offset == 0, offset, bytes }
     }
 }
--- /dev/null
+++ b/crates/wal/src/segments.rs
@@ -0,0 +1,148 @@
+//! Which segments there are, which records in use lie in each, and which segments may be removed.
+//!
+//! Only the oldest segment is ever retired, so that the record of how a write ended never goes before the record
+//! of that write. A retired segment is removed only once a durable batch names a later one as the oldest in use:
+//! otherwise recovery would miss it.
+
+use crate::{RecordNumber, RecoveredLog, SegmentNumber};
+use std::collections::{BTreeMap, VecDeque};
+
+/// Once the log is filled to one part in this many, old records are rewritten to free segments.
+const TIGHT_LOG_DIVISOR: u64 = 2;
+/// The oldest segment is freed by rewriting when less than one part in this many of it is in use.
+const SPARSE_SEGMENT_DIVISOR: u64 = 4;
+
+#[derive(Clone, Debug, Default)]
+struct Segment {
+    used_bytes: u64,
+    records_in_use: u64,
+}
+
+/// A segment without records in use that is still on disk.
+#[derive(Clone, Copy, Debug)]
+struct RetiredSegment {
+    number: SegmentNumber,
+    used_bytes: u64,
+    /// Batches issued before it was retired: these still name it as in use.
+    batches_issued: u64,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct RecordInUse {
+    segment: SegmentNumber,
+    bytes: u64,
+}
+
+/// The last segment, where the next batch goes if it fits.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct TailSegment {
+    pub number: SegmentNumber,
+    pub used_bytes: u64,
+}
+
+/// All segments on disk.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Segments {
+    active: BTreeMap<SegmentNumber, Segment>,
+    in_use: BTreeMap<RecordNumber, RecordInUse>,
+    retired: VecDeque<RetiredSegment>,
+}
+
+impl Segments {
+    /// Those that were found. Every record counts as in use until it is released.
+    pub fn recovered(found: &RecoveredLog) -> Self {
+        let mut segments = Segments::default();
+        for segment in &found.segments {
+            let active = Segment { used_bytes: segment.used_bytes, records_in_use: 0 };
+            segments.active.insert(segment.number, active);
+        }
+        for record in &found.records {
+            segments.add_record(record.number, record.segment, record.bytes.len() as u64);
+        }
+        segments
+    }
+
+    pub fn is_empty(&self) -> bool {
+        self.active.is_empty()
+    }
+
+    /// The oldest segment in use.
+    pub fn oldest(&self) -> SegmentNumber {
+        self.active.keys().next().copied().unwrap_or(1)
+    }
+
+    pub fn tail(&self) -> Option<TailSegment> {
+        let (number, segment) = self.active.last_key_value()?;
+        Some(TailSegment { number: *number, used_bytes: segment.used_bytes })
+    }
+
+    /// Begins a segment behind the last one.
+    pub fn start_next(&mut self) -> TailSegment {
+        let number = self.active.keys().next_back().map_or(1, |last| last + 1);
+        self.active.insert(number, Segment::default());
+        TailSegment { number, used_bytes: 0 }
+    }
+
+    /// Bytes that all segments take on disk.
+    pub fn used_bytes(&self) -> u64 {
+        let active: u64 = self.active.values().map(|segment| segment.used_bytes).sum();
+        let retired: u64 = self.retired.iter().map(|segment| segment.used_bytes).sum();
+        active + retired
+    }
+
+    /// A batch is written to the end of a segment.
+    pub fn extend(&mut self, number: SegmentNumber, bytes: u64) {
+        self.active.entry(number).or_default().used_bytes += bytes;
+    }
+
+    pub fn add_record(&mut self, record: RecordNumber, segment: SegmentNumber, bytes: u64) {
+        self.in_use.insert(record, RecordInUse { segment, bytes });
+        self.active.entry(segment).or_default().records_in_use += 1;
+    }
+
+    pub fn release(&mut self, record: RecordNumber) {
+        let Some(released) = self.in_use.remove(&record) else { return };
+        if let Some(segment) = self.active.get_mut(&released.segment) {
+            segment.records_in_use -= 1;
+        }
+    }
+
+    /// Retires the oldest segments as far as none of their records is in use. The last segment stays.
+    pub fn retire_unused(&mut self, batches_issued: u64) {
+        while self.active.len() > 1 {
+            let oldest = self.active.first_entry().filter(|entry| entry.get().records_in_use == 0);
+            let Some(oldest) = oldest else { return };
+            let (number, segment) = oldest.remove_entry();
+            let used_bytes = segment.used_bytes;
+            self.retired.push_back(RetiredSegment { number, used_bytes, batches_issued });
+        }
+    }
+
+    /// Whether a segment was retired after the last batch was issued, so that no batch says so yet.
+    pub fn awaits_batch(&self, batches_issued: u64) -> bool {
+        self.retired.back().is_some_and(|segment| segment.batches_issued == batches_issued)
+    }
+
+    /// Takes the oldest retired segment that a durable batch does without.
+    pub fn pop_removable(&mut self, batches_durable: u64) -> Option<SegmentNumber> {
+        let oldest = self.retired.front().filter(|segment| segment.batches_issued < batches_durable)?;
+        let number = oldest.number;
+        self.retired.pop_front();
+        Some(number)
+    }
+
+    /// The records in use of the oldest segment, where the log is tight and little of that segment is in use.
+    pub fn stragglers(&self, log_bytes: u64, max_log_bytes: u64) -> Vec<RecordNumber> {
+        let oldest = self.active.first_key_value().filter(|_| self.active.len() > 1);
+        let Some((&number, segment)) = oldest else { return Vec::new() };
+        let held = self.in_use.iter().filter(|(_, record)| record.segment == number);
+        let held_bytes: u64 = held.clone().map(|(_, record)| record.bytes).sum();
+        let is_tight = log_bytes * TIGHT_LOG_DIVISOR > max_log_bytes;
+        let is_sparse = held_bytes * SPARSE_SEGMENT_DIVISOR < segment.used_bytes;
+        if is_tight && is_sparse {
+            held.map(|(record, _)| *record).collect()
+        } else {
+            Vec::new()
+        }
+    }
+}
--- a/crates/wal/tests/faults.rs
+++ b/crates/wal/tests/faults.rs
@@ -1,55 +1,68 @@
 //! The log over a disk in memory that loses, tears, reorders and flips, against a plain model.
 
 use proptest::prelude::*;
-use shaletack_wal::form::BLOCK;
-use shaletack_wal::*;
+use shaletack_wal::format::{decode_batch, BLOCK_BYTES};
+use shaletack_wal::{
+    recover, AppendError, Commit, Identity, Log, LogConfig, RecordKind, RecordNumber, RecoveredLog,
+    RecoveryError, SegmentStore, StoredSegment,
+};
 use std::collections::BTreeMap;
 use std::io;
 
 const SECTOR: usize = 512;
 const IDENTITY: Identity = Identity { log: 7, purpose: 9 };
-const CONFIG: Config =
-    Config { segment: 8 * BLOCK as u64, most: 64 * BLOCK as u64, reserved: 8 * BLOCK as u64 };
+const BLOCK: u64 = BLOCK_BYTES as u64;
+const CONFIG: LogConfig =
+    LogConfig { segment_bytes: 8 * BLOCK, max_bytes: 64 * BLOCK, reserved_bytes: 8 * BLOCK };
 
-/// What is on the platters, and what is only on its way there.
+/// A disk in memory: what is durable, and what is written and not synced.
 #[derive(Clone, Default)]
-struct Faulty {
+struct FaultyDisk {
     durable: BTreeMap<u64, Vec<u8>>,
-    /// Sectors written and not synced.
-    loose: Vec<(u64, usize, Vec<u8>)>,
+    unsynced: Vec<UnsyncedSector>,
     fail_sync: bool,
 }
 
+/// A sector that was written and not synced.
+#[derive(Clone)]
+struct UnsyncedSector {
+    segment: u64,
+    offset: usize,
+    bytes: Vec<u8>,
+}
+
 fn put(file: &mut Vec<u8>, at: usize, bytes: &[u8]) {
     file.resize(file.len().max(at + bytes.len()), 0);
     file[at..at + bytes.len()].copy_from_slice(bytes);
 }
 
-impl Faulty {
+impl FaultyDisk {
     fn write(&mut self, commit: &Commit) {
         for (i, sector) in commit.bytes.chunks(SECTOR).enumerate() {
-            self.loose.push((commit.segment, commit.at as usize + i * SECTOR, sector.to_vec()));
+            let offset = commit.offset as usize + i * SECTOR;
+            self.unsynced.push(UnsyncedSector { segment: commit.segment, offset, bytes: sector.to_vec() });
         }
     }
 
     fn sync(&mut self) {
-        for (segment, at, bytes) in self.loose.drain(..) {
-            put(self.durable.entry(segment).or_default(), at, &bytes);
+        for UnsyncedSector { segment, offset, bytes } in self.unsynced.drain(..) {
+            put(self.durable.entry(segment).or_default(), offset, &bytes);
         }
     }
 
-    /// The power goes: of what was loose each sector is there or not, as drawn; a new name may be lost with all.
+    /// The power fails: of what was not synced each sector is there or not, as drawn; a new name may be lost with all.
     fn crash(&mut self, drawn: u64) {
-        for (i, (segment, at, bytes)) in std::mem::take(&mut self.loose).into_iter().enumerate() {
+        for (i, sector) in std::mem::take(&mut self.unsynced).into_iter().enumerate() {
+            let UnsyncedSector { segment, offset, bytes } = sector;
             let named = self.durable.contains_key(&segment) || drawn & 1 == 1;
             if named && (drawn >> (i % 61 + 2)) & 1 == 1 {
-                put(self.durable.entry(segment).or_default(), at, &bytes);
+                put(self.durable.entry(segment).or_default(), offset, &bytes);
             }
         }
     }
 }
 
-impl Disk for Faulty {
+impl SegmentStore for FaultyDisk {
     fn segments(&mut self) -> io::Result<Vec<u64>> {
         Ok(self.durable.keys().copied().collect())
     }
@@ -67,7 +80,7 @@
         Ok(())
     }
 
-    fn cut(&mut self, segment: u64, at: u64) -> io::Result<()> {
+    fn truncate(&mut self, segment: u64, at: u64) -> io::Result<()> {
         self.durable.entry(segment).or_default().truncate(at as usize);
         Ok(())
     }
@@ -78,22 +91,23 @@
     }
 }
 
-fn found(disk: &mut Faulty) -> Result<Recovered, Damage> {
-    let segments = disk.segments().unwrap();
-    let segments: Vec<_> = segments.into_iter().map(|n| (n, disk.read(n).unwrap())).collect();
+fn found(disk: &mut FaultyDisk) -> Result<RecoveredLog, RecoveryError> {
+    let numbers = disk.segments().unwrap();
+    let read = |number| StoredSegment { number, bytes: disk.read(number).unwrap() };
+    let segments: Vec<StoredSegment> = numbers.into_iter().map(read).collect();
     recover(IDENTITY, &segments)
 }
 
-fn reopen(disk: &mut Faulty) -> Result<(Log, Recovered), Damage> {
+fn reopen(disk: &mut FaultyDisk) -> Result<(Log, RecoveredLog), RecoveryError> {
     let found = found(disk)?;
-    if let Some((segment, at)) = found.torn {
-        disk.cut(segment, at).unwrap();
+    if let Some(torn) = found.torn_tail {
+        disk.truncate(torn.segment, torn.offset).unwrap();
     }
     Ok((Log::resume(IDENTITY, CONFIG, &found), found))
 }
 
-fn record(seq: Seq, size: usize) -> Vec<u8> {
-    (0..size).map(|i| (seq as usize * 31 + i) as u8 | 1).collect()
+fn record(number: RecordNumber, size: usize) -> Vec<u8> {
+    (0..size).map(|i| (number as usize * 31 + i) as u8 | 1).collect()
 }
 
 #[derive(Clone, Debug)]
@@ -102,7 +116,7 @@
     Commit,
     Seal,
     Release(usize),
-    /// The power goes before the commit that is due, or in the midst of it.
+    /// The power fails before the next commit, or in the midst of it.
     Crash(u64),
     /// And again, in the midst of recovery.
     CrashTwice(u64, u64),
@@ -127,44 +141,46 @@
     /// nothing is there that was never appended.
     #[test]
     fn what_is_durable_survives_and_nothing_else_appears(steps in steps()) {
-        let (mut disk, mut log) = (Faulty::default(), Log::new(IDENTITY, CONFIG));
-        // What is of use, and what was of use when the power went and may be back.
-        let mut model: BTreeMap<Seq, Vec<u8>> = BTreeMap::new();
+        let (mut disk, mut log) = (FaultyDisk::default(), Log::new(IDENTITY, CONFIG));
+        // What is in use, and what was in use when the power failed and may be back.
+        let mut model: BTreeMap<RecordNumber, Vec<u8>> = BTreeMap::new();
         for step in steps {
             match step {
                 Step::Append(size) => {
                     let seq = log.last() + 1;
-                    if let Ok(taken) = log.append(Kind::Data, record(seq, size)) {
+                    if let Ok(taken) = log.append(RecordKind::Data, record(seq, size)) {
                         prop_assert_eq!(taken, seq);
                         model.insert(seq, record(seq, size));
                     }
-                    prop_assert!(log.used() <= CONFIG.most - CONFIG.reserved);
+                    prop_assert!(log.used_bytes() <= CONFIG.max_bytes - CONFIG.reserved_bytes);
                 }
                 Step::Commit => {
-                    while let Some(commit) = log.commit() {
-                        prop_assert!((commit.at as usize).is_multiple_of(BLOCK));
-                        prop_assert!(commit.at + commit.bytes.len() as u64 <= CONFIG.segment);
-                        log.committed(disk.commit(&commit).is_ok());
+                    while let Some(commit) = log.next_commit() {
+                        prop_assert!((commit.offset as usize).is_multiple_of(BLOCK_BYTES));
+                        prop_assert!(commit.offset + commit.bytes.len() as u64 <= CONFIG.segment_bytes);
+                        disk.commit(&commit).unwrap();
+log.commit_succeeded();
                     }
                     prop_assert_eq!(log.durable(), log.last());
                 }
                 Step::Seal => {
                     if let Some(commit) = log.seal() {
-                        log.committed(disk.commit(&commit).is_ok());
+                        disk.commit(&commit).unwrap();
+log.commit_succeeded();
                     }
                 }
                 Step::Release(pick) => {
-                    let durable: Vec<Seq> = model.keys().filter(|s| **s <= log.durable()).copied().collect();
+                    let durable: Vec<RecordNumber> = model.keys().filter(|s| **s <= log.durable()).copied().collect();
                     if let Some(seq) = durable.get(pick) {
                         log.release(*seq);
                         model.remove(seq);
                     }
-                    while let Some(segment) = log.removable() {
+                    while let Some(segment) = log.pop_removable() {
                         disk.remove(segment).unwrap();
                     }
                     // One that frees whole segments at a time.
                     if pick == 39 {
-                        let durable: Vec<Seq> = model.keys().filter(|s| **s <= log.durable()).copied().collect();
+                        let durable: Vec<RecordNumber> = model.keys().filter(|s| **s <= log.durable()).copied().collect();
                         durable.into_iter().for_each(|seq| {
                             log.release(seq);
                             model.remove(&seq);
@@ -173,20 +189,20 @@
                 }
                 Step::Crash(drawn) | Step::CrashTwice(drawn, _) => {
                     let durable = log.durable();
-                    if let Some(commit) = log.commit() {
+                    if let Some(commit) = log.next_commit() {
                         disk.write(&commit);
                     }
                     disk.crash(drawn);
                     if let Step::CrashTwice(_, again) = step {
-                        // Recovery has read, and cut or not, when the power goes again.
+                        // Recovery has read, and cut or not, when the power fails again.
                         let found = found(&mut disk).unwrap();
-                        if let Some((segment, at)) = found.torn.filter(|_| again & 1 == 0) {
-                            disk.cut(segment, at).unwrap();
+                        if let Some(torn) = found.torn_tail.filter(|_| again & 1 == 0) {
+                            disk.truncate(torn.segment, torn.offset).unwrap();
                         }
                     }
                     let (next, found) = reopen(&mut disk).unwrap();
-                    let there: BTreeMap<Seq, Vec<u8>> =
-                        found.records.iter().map(|(s, _, r)| (*s, r.clone())).collect();
+                    let there: BTreeMap<RecordNumber, Vec<u8>> =
+                        found.records.iter().map(|r| (r.number, r.bytes.clone())).collect();
                     for (seq, bytes) in model.range(..=durable) {
                         prop_assert_eq!(there.get(seq), Some(bytes), "record {} is lost", seq);
                     }
@@ -198,40 +214,42 @@
                     model.retain(|seq, _| there.contains_key(seq));
                     there.keys().filter(|s| !model.contains_key(s)).for_each(|s| log.release(*s));
                     model.extend(there.into_iter().filter(|(s, _)| *s > durable));
-                    model.keys().for_each(|s| assert!(found.records.iter().any(|r| r.0 == *s)));
+                    model.keys().for_each(|s| assert!(found.records.iter().any(|r| r.number == *s)));
                 }
             }
         }
     }
 
-    /// A flipped bit in any batch that another one follows is told, never taken for a torn end.
+    /// A flipped bit in any batch that another one follows is reported, never taken for a torn end.
     #[test]
-    fn a_flipped_bit_before_the_last_batch_is_damage(
+    fn a_flipped_bit_before_the_last_batch_is_reported_as_damage(
         sizes in prop::collection::vec(1usize..6000, 2..12),
         at in any::<prop::sample::Index>(),
         bit in 0u8..8,
     ) {
-        let (mut disk, mut log) = (Faulty::default(), Log::new(IDENTITY, CONFIG));
+        let (mut disk, mut log) = (FaultyDisk::default(), Log::new(IDENTITY, CONFIG));
         let mut last = (0, 0);
         for size in sizes {
-            log.append(Kind::Data, record(log.last() + 1, size)).unwrap();
-            let commit = log.commit().unwrap();
-            last = (commit.segment, commit.at);
-            log.committed(disk.commit(&commit).is_ok());
+            log.append(RecordKind::Data, record(log.last() + 1, size)).unwrap();
+            let commit = log.next_commit().unwrap();
+            last = (commit.segment, commit.offset);
+            disk.commit(&commit).unwrap();
+log.commit_succeeded();
         }
         let seal = log.seal();
         if let Some(seal) = &seal {
-            last = (seal.segment, seal.at);
-            log.committed(disk.commit(seal).is_ok());
+            last = (seal.segment, seal.offset);
+            disk.commit(seal).unwrap();
+log.commit_succeeded();
         }
         // Any byte of a batch before the last one that is not padding.
         let mut used = Vec::new();
         for (segment, bytes) in &disk.durable {
             let mut p = 0;
-            while let Ok((head, _, size)) = form::read(&bytes[p..], IDENTITY, *segment) {
+            while let Ok(batch) = decode_batch(&bytes[p..], IDENTITY, *segment) {
                 let before = (*segment, p as u64) < last;
-                used.extend((0..64 + head.length as usize).filter(|_| before).map(|b| (*segment, p + b)));
-                p += size;
+                used.extend((0..64 + batch.header.record_bytes as usize).filter(|_| before).map(|b| (*segment, p + b)));
+                p += batch.size_bytes;
             }
         }
         prop_assume!(!used.is_empty());
@@ -241,100 +259,124 @@
     }
 }
 
+/// An fsync fails. The kernel may have dropped the pages that it could not write, and call the next fsync good. So
+/// nothing of the commit counts as durable, nothing else is issued meanwhile, and only the whole commit written
+/// again makes it durable; what was durable before stays so throughout.
 #[test]
-fn an_fsync_that_fails_is_the_last_and_what_was_durable_stays() {
-    let (mut disk, mut log) = (Faulty::default(), Log::new(IDENTITY, CONFIG));
-    log.append(Kind::Data, record(1, 100)).unwrap();
-    let commit = log.commit().unwrap();
-    log.committed(disk.commit(&commit).is_ok());
-    log.append(Kind::Data, record(2, 100)).unwrap();
+fn a_commit_whose_fsync_fails_stays_in_flight_until_all_of_it_is_written_again() {
+    let (mut disk, mut log) = (FaultyDisk::default(), Log::new(IDENTITY, CONFIG));
+    log.append(RecordKind::Data, record(1, 100)).unwrap();
+    let first = log.next_commit().unwrap();
+    disk.commit(&first).unwrap();
+    log.commit_succeeded();
+    log.append(RecordKind::Data, record(2, 100)).unwrap();
+    let second = log.next_commit().unwrap();
     disk.fail_sync = true;
-    let commit = log.commit().unwrap();
-    log.committed(disk.commit(&commit).is_ok());
-    // The next one would succeed, and prove nothing.
+    for _ in 0..3 {
+        assert!(disk.commit(&second).is_err());
+        assert_eq!(log.append(RecordKind::Control, record(3, 1)), Ok(log.last()));
+        assert_eq!(log.durable(), 1);
+        assert!(log.next_commit().is_none() && log.seal().is_none() && log.pop_removable().is_none());
+        // A power failure now, whatever of the commit has reached the disk, loses nothing durable.
+        for kept_sectors in [0, 0b1011 << 2, u64::MAX] {
+            let mut crashed = disk.clone();
+            crashed.crash(kept_sectors);
+            assert_eq!(found(&mut crashed).unwrap().records[0].bytes, record(1, 100));
+        }
+    }
+    // The failed writes are gone from the page cache, and the next sync alone would bring none of them back.
+    disk.unsynced.clear();
     disk.fail_sync = false;
-    assert_eq!((log.state(), log.durable()), (State::Failed, 1));
-    assert_eq!(log.append(Kind::Control, record(3, 1)), Err(Refused::Failed));
-    assert!(log.commit().is_none() && log.seal().is_none());
-    disk.crash(u64::MAX);
-    assert!(found(&mut disk).unwrap().records.iter().any(|r| r.0 == 1));
+    disk.commit(&second).unwrap();
+    log.commit_succeeded();
+    assert_eq!(log.durable(), 2);
+    disk.crash(0);
+    let records = found(&mut disk).unwrap().records;
+    let bytes: Vec<Vec<u8>> = records.into_iter().map(|record| record.bytes).collect();
+    assert_eq!(bytes, [record(1, 100), record(2, 100)]);
+    assert!(log.next_commit().is_some(), "what was appended meanwhile");
 }
 
 #[test]
-fn a_full_log_refuses_what_is_new_and_still_takes_what_settles() {
-    let (mut disk, mut log) = (Faulty::default(), Log::new(IDENTITY, CONFIG));
+fn a_full_log_rejects_data_and_still_takes_control_records() {
+    let (mut disk, mut log) = (FaultyDisk::default(), Log::new(IDENTITY, CONFIG));
     let mut taken = 0;
-    while log.append(Kind::Data, record(taken + 1, 4000)).is_ok() {
+    while log.append(RecordKind::Data, record(taken + 1, 4000)).is_ok() {
         taken += 1;
-        while let Some(commit) = log.commit() {
-            log.committed(disk.commit(&commit).is_ok());
+        while let Some(commit) = log.next_commit() {
+            disk.commit(&commit).unwrap();
+            log.commit_succeeded();
         }
     }
     assert_eq!(taken, 56);
-    assert_eq!(log.append(Kind::Data, vec![1]), Err(Refused::Full));
-    assert_eq!(log.append(Kind::Data, vec![1; 9 * BLOCK]), Err(Refused::TooLarge));
-    (0..8).for_each(|_| assert!(log.append(Kind::Control, vec![1; 30]).is_ok()));
-    assert_eq!(log.append(Kind::Control, vec![1; 30]), Err(Refused::Full));
+    assert_eq!(log.append(RecordKind::Data, vec![1]), Err(AppendError::Full));
+    assert_eq!(log.append(RecordKind::Data, vec![1; 9 * BLOCK_BYTES]), Err(AppendError::TooLarge));
+    (0..8).for_each(|_| assert!(log.append(RecordKind::Control, vec![1; 30]).is_ok()));
+    assert_eq!(log.append(RecordKind::Control, vec![1; 30]), Err(AppendError::Full));
     // Settled from the newest on: nothing is freed before the oldest is.
     for seq in (2..=taken).rev() {
         log.release(seq);
     }
-    while let Some(commit) = log.commit() {
-        log.committed(disk.commit(&commit).is_ok());
+    while let Some(commit) = log.next_commit() {
+        disk.commit(&commit).unwrap();
+        log.commit_succeeded();
     }
-    assert_eq!(log.removable(), None);
+    assert_eq!(log.pop_removable(), None);
     assert_eq!(log.stragglers(), [1], "one old record holds the whole log");
     log.release(1);
-    assert_eq!(log.removable(), None, "not before a batch that does without them is durable");
-    let commit = log.commit().unwrap();
-    assert_eq!((log.removable(), log.append(Kind::Data, vec![1])), (None, Err(Refused::Full)));
-    log.committed(disk.commit(&commit).is_ok());
+    assert_eq!(log.pop_removable(), None, "not before a batch that does without them is durable");
+    let commit = log.next_commit().unwrap();
+    assert_eq!((log.pop_removable(), log.append(RecordKind::Data, vec![1])), (None, Err(AppendError::Full)));
+    disk.commit(&commit).unwrap();
+    log.commit_succeeded();
     let mut removed = 0;
-    while let Some(segment) = log.removable() {
+    while let Some(segment) = log.pop_removable() {
         disk.remove(segment).unwrap();
         removed += 1;
     }
     assert_eq!(removed, 7);
-    assert!(log.append(Kind::Data, record(taken + 9, 4000)).is_ok());
+    assert!(log.append(RecordKind::Data, record(taken + 9, 4000)).is_ok());
 }
 
 #[test]
-fn many_records_share_one_commit_and_none_goes_while_one_is_out() {
+fn many_records_share_one_commit_and_none_is_issued_while_one_is_in_flight() {
     let mut log = Log::new(IDENTITY, CONFIG);
-    (1..=20).for_each(|seq| assert_eq!(log.append(Kind::Data, record(seq, 50)), Ok(seq)));
-    let commit = log.commit().unwrap();
-    assert_eq!((commit.bytes.len(), commit.create), (BLOCK, true));
-    log.append(Kind::Data, record(21, 50)).unwrap();
-    assert!(log.commit().is_none() && log.seal().is_none());
+    (1..=20).for_each(|seq| assert_eq!(log.append(RecordKind::Data, record(seq, 50)), Ok(seq)));
+    let commit = log.next_commit().unwrap();
+    assert_eq!((commit.bytes.len(), commit.creates_segment), (BLOCK_BYTES, true));
+    log.append(RecordKind::Data, record(21, 50)).unwrap();
+    assert!(log.next_commit().is_none() && log.seal().is_none());
     assert_eq!(log.durable(), 0);
-    log.committed(true);
+    log.commit_succeeded();
     assert_eq!(log.durable(), 20);
-    assert_eq!(log.commit().unwrap().at, BLOCK as u64);
+    assert_eq!(log.next_commit().unwrap().offset, BLOCK);
 }
 
 #[test]
-fn other_versions_logs_and_holes_are_refused_clearly() {
-    let (mut disk, mut log) = (Faulty::default(), Log::new(IDENTITY, CONFIG));
+fn other_versions_logs_and_missing_segments_are_rejected_clearly() {
+    let (mut disk, mut log) = (FaultyDisk::default(), Log::new(IDENTITY, CONFIG));
     for seq in 1..=30 {
-        log.append(Kind::Data, record(seq, 4000)).unwrap();
-        while let Some(commit) = log.commit() {
-            log.committed(disk.commit(&commit).is_ok());
+        log.append(RecordKind::Data, record(seq, 4000)).unwrap();
+        while let Some(commit) = log.next_commit() {
+            disk.commit(&commit).unwrap();
+            log.commit_succeeded();
         }
     }
-    let told = |disk: &mut Faulty| found(disk).unwrap_err().to_string();
+    let message = |disk: &mut FaultyDisk| found(disk).unwrap_err().to_string();
     let other = Identity { purpose: 1, ..IDENTITY };
-    let segments: Vec<_> = disk.durable.clone().into_iter().collect();
-    assert_eq!(recover(other, &segments).unwrap_err(), Damage::Foreign(IDENTITY));
+    let stored = |(number, bytes)| StoredSegment { number, bytes };
+    let segments: Vec<StoredSegment> = disk.durable.clone().into_iter().map(stored).collect();
+    assert_eq!(recover(other, &segments).unwrap_err(), RecoveryError::Foreign(IDENTITY));
     let mut newer = disk.clone();
     newer.durable.get_mut(&1).unwrap()[6] = 2;
-    assert_eq!(told(&mut newer), "the log is of version 2; this program reads version 1");
+    assert_eq!(message(&mut newer), "the log is of version 2; this program reads version 1");
     let mut hole = disk.clone();
     hole.durable.remove(&2);
-    assert_eq!(told(&mut hole), "segment 2 is missing");
+    assert_eq!(message(&mut hole), "segment 2 is missing");
     let mut start = disk.clone();
     start.durable.remove(&1);
-    assert_eq!(told(&mut start), "segment 1 is missing");
+    assert_eq!(message(&mut start), "segment 1 is missing");
     let mut short = disk;
-    short.durable.get_mut(&1).unwrap().truncate(3 * BLOCK);
-    assert!(told(&mut short).starts_with("segment 2 is damaged"), "{}", told(&mut short));
+    short.durable.get_mut(&1).unwrap().truncate(3 * BLOCK_BYTES);
+    assert!(message(&mut short).starts_with("segment 2 is damaged"), "{}", message(&mut short));
 }
--- a/crates/writeback/src/lib.rs
+++ b/crates/writeback/src/lib.rs
@@ -1,19 +1,35 @@
-//! What becomes of each buffered write.
+//! A write-back cache that keeps its promises across crashes, without files and sockets.
 //!
-//! It owns the states of a write between its client and its box ([`Buffer`]): what is durable, which intent is,
-//! what may be sent and in which order, what reads see of it, when a flush is done, what a restart makes of each,
-//! and what only an operator can settle.
+//! Writes come in bursts, and clients would wait while the endpoints work them off. Here a write is acknowledged
+//! from a log on the initiator's disk and goes to its endpoint later. Two things must hold whatever crashes: what
+//! a flush or a write with FUA acknowledged is not lost, and no write reaches an endpoint twice.
 //!
-//! It never opens a file or a socket and reads no clock: what is to be made durable, sent and read back goes out
-//! as effects, and how that ended comes in. A write goes to a box only after its intent is durable, and again only
-//! after proof that it never ran, or by an operator's word.
+//! [`Buffer`] is a reducer: inputs go in, effects come out, and it reads no clock. It is put together from parts
+//! that each own their state:
+//!
+//! - the pieces of unsettled writes, what overlaps what, and the overlay for reads ([`Overlay`]);
+//! - barriers: the commands that wait until a record is durable;
+//! - the journal: the log, and which record is in use by which piece;
+//! - the send queue: pieces whose intent is on its way into the log, and those that wait for room there.
+//!
+//! A piece goes to an endpoint only after an intent is durable, and again only after proof that it never ran, or
+//! by an operator's decision.
 
+mod barriers;
 mod buffer;
+mod config;
+mod events;
+mod journal;
+mod overlay;
+mod piece;
+mod piece_table;
 mod record;
+mod recovery;
+mod send_queue;
 
-pub use buffer::{Buffer, Config, Decision, Effect, Held, Input, NewPiece, Proof, Refusal, Stage, Unsettled};
-
-/// The number of a piece of a write, on one shard and no larger than a request; never used twice in a log.
-pub type PieceId = u64;
-/// What a caller knows a command by.
-pub type Token = u64;
+pub use buffer::{Buffer, BufferUsage, RecoveredBuffer};
+pub use config::{Config, DoubtPolicy};
+pub use events::{AttemptOutcome, CommandId, Effect, Input, OperatorDecision, RejectReason};
+pub use overlay::{Overlay, OverlaySpan};
+pub use piece::{Piece, PieceId, PieceState, UnsettledPiece};
+pub use recovery::UnreadableRecord;
--- a/crates/writeback/src/record.rs
+++ b/crates/writeback/src/record.rs
@@ -1,6 +1,8 @@
-//! What stands in the log. Its version is the log's.
+//! The records of the log, in postcard's encoding. Their version is the log's.
+//!
+//! The encoding is by position: the order of variants and of fields must stay.
 
-use crate::PieceId;
+use crate::piece::{Piece, PieceId};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
@@ -11,34 +13,40 @@
     Write {
         /// Its number.
         id: PieceId,
-        /// The export, by its volume.
-        export: u64,
-        /// Where in the export.
-        from: u64,
+        /// The volume that is written to.
+        volume: u64,
+        /// Where it begins in the export, in bytes.
+        export_offset: u64,
         /// The shard that holds it.
         shard: u16,
-        /// Where on the shard's box.
-        at: u64,
-        /// An intent stood before this record, which was written anew.
-        intended: bool,
+        /// Where it begins on the shard's endpoint, in bytes.
+        endpoint_offset: u64,
+        /// The record was written again, and an intent stood before it.
+        may_have_run: bool,
         /// What is written.
         data: Bytes,
     },
-    /// It may be sent from now on.
+    /// The piece may be sent from now on.
     Intent(PieceId),
-    /// It provably never ran: it may have another intent.
+    /// The piece provably never ran: it may have another intent.
     NeverRan(PieceId),
-    /// It is done with.
+    /// The piece is done with.
     Settled(PieceId),
 }
 
 impl Record {
-    pub(crate) fn bytes(&self) -> Vec<u8> {
-        // Only running out of memory keeps it from being written, and that ends the process.
+    pub fn write(id: PieceId, volume: u64, piece: Piece, may_have_run: bool) -> Self {
+        let Piece { export_offset, shard, endpoint_offset, data } = piece;
+        Record::Write { id, volume, export_offset, shard, endpoint_offset, may_have_run, data }
+    }
+
+    pub fn encode(&self) -> Vec<u8> {
+        // Only running out of memory keeps a record from being encoded, and that ends the process.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    pub(crate) fn read(bytes: &[u8]) -> Option<Record> {
+    /// `None`: the bytes are not one whole record.
+    pub fn decode(bytes: &[u8]) -> Option<Record> {
         match postcard::take_from_bytes(bytes) {
             Ok((record, [])) => Some(record),
             _ => None,
--- a/crates/writeback/tests/fixtures.rs
+++ b/crates/writeback/tests/fixtures.rs
@@ -2,23 +2,28 @@
 //! inputs become the same bytes.
 
 use bytes::Bytes;
-use shaletack_wal::{recover, Commit, Config as LogConfig, Identity, Recovered};
-use shaletack_writeback::{Buffer, Config, Effect, Held, Input, NewPiece, PieceId, Proof, Unsettled};
+use shaletack_wal::{
+    recover, Commit, Identity, LogConfig, RecordNumber, RecoveredLog, StoredSegment, TornTail,
+};
+use shaletack_writeback::{
+    AttemptOutcome, Buffer, Config, DoubtPolicy, Effect, Input, Piece, PieceId, RecoveredBuffer,
+    UnsettledPiece,
+};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::Duration;
 
 const IDENTITY: Identity = Identity { log: 1, purpose: 2 };
-const EXPORT: u64 = 77;
+const VOLUME: u64 = 77;
 const BLOCK: u64 = 4096;
 const SECTOR: usize = 512;
 const NOW: Duration = Duration::from_secs(3);
 const RESTART: Duration = Duration::from_secs(100);
-const LIVES: Duration = Duration::from_secs(5);
+const ATTEMPT_LIFETIME: Duration = Duration::from_secs(5);
 const CONFIG: Config = Config {
-    log: LogConfig { segment: 4 * BLOCK, most: 32 * BLOCK, reserved: 8 * BLOCK },
-    attempt_lives: LIVES,
-    unsettled: Unsettled::Ask,
+    log: LogConfig { segment_bytes: 4 * BLOCK, max_bytes: 32 * BLOCK, reserved_bytes: 8 * BLOCK },
+    attempt_lifetime: ATTEMPT_LIFETIME,
+    doubt_policy: DoubtPolicy::AskOperator,
 };
 
 type Segments = BTreeMap<u64, Vec<u8>>;
@@ -34,9 +39,9 @@
 
 fn put(segments: &mut Segments, commit: &Commit, length: usize) {
     let file = segments.entry(commit.segment).or_default();
-    let end = commit.at as usize + commit.bytes.len();
+    let end = commit.offset as usize + commit.bytes.len();
     file.resize(file.len().max(end), 0);
-    file[commit.at as usize..][..length].copy_from_slice(&commit.bytes[..length]);
+    file[commit.offset as usize..][..length].copy_from_slice(&commit.bytes[..length]);
 }
 
 /// A buffer over a disk in memory that keeps every commit.
@@ -58,9 +63,9 @@
                 match effect {
                     Effect::Commit(commit) => {
                         put(&mut self.segments, &commit, commit.bytes.len());
-                        next.extend(self.buffer.step(NOW, Input::Committed(true)));
+                        next.extend(self.buffer.step(NOW, Input::CommitSucceeded));
                     }
-                    Effect::Remove(segment) => drop(self.segments.remove(&segment)),
+                    Effect::RemoveSegment(segment) => drop(self.segments.remove(&segment)),
                     _ => {}
                 }
             }
@@ -68,19 +73,19 @@
         }
     }
 
-    fn write(&mut self, pieces: Vec<NewPiece>) {
-        self.step(Input::Write { token: 1, export: EXPORT, pieces, fua: true });
+    fn write(&mut self, pieces: Vec<Piece>) {
+        self.step(Input::Write { command: 1, volume: VOLUME, pieces, fua: true });
     }
 
     /// One attempt that ends like this.
-    fn attempt(&mut self, id: PieceId, proof: Proof) {
+    fn attempt(&mut self, id: PieceId, outcome: AttemptOutcome) {
         self.step(Input::Start(id));
-        self.step(Input::Ended(id, proof));
+        self.step(Input::AttemptEnded { piece: id, outcome });
     }
 }
 
-fn piece(from: u64, shard: u16, at: u64, data: &'static [u8]) -> NewPiece {
-    NewPiece { from, shard, at, data: Bytes::from_static(data) }
+fn piece(export_offset: u64, shard: u16, endpoint_offset: u64, data: &'static [u8]) -> Piece {
+    Piece { export_offset, shard, endpoint_offset, data: Bytes::from_static(data) }
 }
 
 /// Each kind of record: a write of two pieces, an intent, an end, an attempt that never ran, and one more intent.
@@ -88,12 +93,12 @@
 fn every_kind() -> Recorded {
     let mut log = Recorded::new();
     log.write(vec![piece(0, 0, 512, b"first"), piece(5, 1, 65536, b"second")]);
-    log.attempt(1, Proof::Ran);
-    log.attempt(2, Proof::NeverRan);
+    log.attempt(1, AttemptOutcome::Completed);
+    log.attempt(2, AttemptOutcome::NeverRan);
     log.step(Input::Start(2));
     log.write(vec![piece(300, 0, 812, b"third")]);
     log.write(vec![piece(70_000, 3, 4096, b"fourth")]);
-    log.attempt(4, Proof::Unknown);
+    log.attempt(4, AttemptOutcome::Unknown);
     log
 }
 
@@ -107,7 +112,7 @@
 fn torn_tail() -> Segments {
     let mut log = every_kind();
     let pieces = vec![piece(200_000, 0, 0, &[5; 900])];
-    let write = Input::Write { token: 2, export: EXPORT, pieces, fua: true };
+    let write = Input::Write { command: 2, volume: VOLUME, pieces, fua: true };
     let effects = log.buffer.step(NOW, write);
     let commit =
         effects.iter().find_map(|e| if let Effect::Commit(commit) = e { Some(commit) } else { None });
@@ -119,39 +124,41 @@
 fn rewritten() -> Segments {
     let mut log = Recorded::new();
     log.write(vec![piece(0, 0, 0, b"sent")]);
-    log.attempt(1, Proof::Unknown);
+    log.attempt(1, AttemptOutcome::Unknown);
     log.write(vec![piece(1000, 1, 0, b"never sent")]);
     for id in 3..=8 {
         log.write(vec![piece(id * 1000, 0, id * 1000, b"settled")]);
-        log.attempt(id, Proof::Ran);
+        log.attempt(id, AttemptOutcome::Completed);
     }
     log.segments
 }
 
-fn found(segments: Segments) -> Recovered {
-    recover(IDENTITY, &segments.into_iter().collect::<Vec<_>>()).unwrap()
+fn found(segments: Segments) -> RecoveredLog {
+    let stored = segments.into_iter().map(|(number, bytes)| StoredSegment { number, bytes });
+    recover(IDENTITY, &stored.collect::<Vec<StoredSegment>>()).unwrap()
 }
 
-fn restarted(case: &str) -> (Vec<Held>, Vec<Effect>) {
-    let (buffer, effects) = Buffer::recover(IDENTITY, CONFIG, &found(stored(case)), RESTART).unwrap();
+fn restarted(case: &str) -> (Vec<UnsettledPiece>, Vec<Effect>) {
+    let RecoveredBuffer { buffer, effects } =
+        Buffer::recover(IDENTITY, CONFIG, &found(stored(case)), RESTART).unwrap();
     (buffer.list(), effects)
 }
 
-fn held(id: PieceId, piece: &NewPiece, may_have_run: bool) -> Held {
-    Held {
+fn held(id: PieceId, piece: &Piece, may_have_run: bool) -> UnsettledPiece {
+    UnsettledPiece {
         id,
-        export: EXPORT,
-        from: piece.from,
+        volume: VOLUME,
+        export_offset: piece.export_offset,
         length: piece.data.len(),
         shard: piece.shard,
-        at: piece.at,
+        endpoint_offset: piece.endpoint_offset,
         may_have_run,
         in_doubt: false,
         since: RESTART,
     }
 }
 
-fn three_unsettled() -> Vec<Held> {
+fn three_unsettled() -> Vec<UnsettledPiece> {
     vec![
         held(2, &piece(5, 1, 65536, b"second"), true),
         held(3, &piece(300, 0, 812, b"third"), false),
@@ -164,10 +171,10 @@
     for case in ["every_kind", "sealed", "torn_tail"] {
         let (list, effects) = restarted(case);
         assert_eq!(list, three_unsettled(), "{case}");
-        assert_eq!(effects, [Effect::Ready(3), Effect::Wake(RESTART + LIVES)], "{case}");
+        assert_eq!(effects, [Effect::Ready(3), Effect::SetTimer(RESTART + ATTEMPT_LIFETIME)], "{case}");
     }
-    assert_eq!(found(stored("torn_tail")).torn, Some((3, BLOCK)));
-    assert_eq!(found(stored("sealed")).torn, None);
+    assert_eq!(found(stored("torn_tail")).torn_tail, Some(TornTail { segment: 3, offset: BLOCK }));
+    assert_eq!(found(stored("sealed")).torn_tail, None);
 }
 
 #[test]
@@ -176,15 +183,15 @@
     let expected =
         [held(1, &piece(0, 0, 0, b"sent"), true), held(2, &piece(1000, 1, 0, b"never sent"), false)];
     assert_eq!(list, expected);
-    assert_eq!(effects, [Effect::Ready(2), Effect::Wake(RESTART + LIVES)]);
+    assert_eq!(effects, [Effect::Ready(2), Effect::SetTimer(RESTART + ATTEMPT_LIFETIME)]);
 }
 
 /// The encoding is by position: kind, then the fields in their order, as variable-length integers.
 #[test]
 fn each_kind_of_record_has_its_stored_encoding() {
-    let stored_bytes = |case: &str, seq: u64| {
+    let stored_bytes = |case: &str, number: RecordNumber| {
         let records = found(stored(case)).records;
-        records.into_iter().find(|record| record.0 == seq).unwrap().2
+        records.into_iter().find(|record| record.number == number).unwrap().bytes
     };
     assert_eq!(stored_bytes("every_kind", 2), *b"\0\x02\x4d\x05\x01\x80\x80\x04\0\x06second", "write");
     assert_eq!(
--- a/src/app/command_line.rs
+++ b/src/app/command_line.rs
@@ -2,7 +2,7 @@
 
 use lexopt::prelude::*;
 use shaletack::runtime::log::Form;
-use shaletack_writeback::Decision;
+use shaletack_writeback::OperatorDecision;
 use tracing::level_filters::LevelFilter;
 
 /// What `shaletack --help` prints.
@@ -34,7 +34,7 @@
     /// The write's number, as `writeback list` shows it.
     pub id: u64,
     /// What becomes of it.
-    pub decision: Decision,
+    pub decision: OperatorDecision,
 }
 
 /// A sub-command.
@@ -128,8 +128,8 @@
         let words: Vec<&str> = self.write_back.iter().map(String::as_str).collect();
         let (id, decision) = match words[..] {
             ["list"] => return Ok(Command::ListWrites(file)),
-            ["settle", id, "resend"] => (id, Decision::Resend),
-            ["settle", id, "drop"] => (id, Decision::Drop),
+            ["settle", id, "resend"] => (id, OperatorDecision::Resend),
+            ["settle", id, "drop"] => (id, OperatorDecision::Drop),
             _ => return Err("writeback: 'list', or 'settle' with a number and 'resend' or 'drop'".into()),
         };
         let id = id.parse().map_err(|_| format!("writeback: '{id}' is not a number"))?;
--- a/src/app/commands.rs
+++ b/src/app/commands.rs
@@ -40,11 +40,11 @@
         println!(
             "{} export={} from={} length={} shard={} at={} may_have_run={}",
             write.id,
-            export_name(&operator, write.export),
-            write.from,
+            export_name(&operator, write.volume),
+            write.export_offset,
             write.length,
             write.shard,
-            write.at,
+            write.endpoint_offset,
             write.may_have_run
         );
     }
--- a/src/nbd/front.rs
+++ b/src/nbd/front.rs
@@ -7,10 +7,10 @@
 use crate::runtime::gate::{Closing, Gate};
 use crate::runtime::host::Host;
 use crate::runtime::sockets::Uninterrupted;
-use crate::writeback::{covers, patch, Keeper};
+use crate::writeback::{Keeper, WriteError};
 use bytes::Bytes;
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use shaletack_writeback::{NewPiece, Refusal};
+use shaletack_writeback::Piece as BufferedPiece;
 use std::collections::BTreeSet;
 use std::future::Future;
 use std::io;
@@ -424,10 +424,10 @@
         let done = if request.command == cmd::FLUSH {
             keeper.flush(&self.export, patience).await
         } else {
-            let piece = |part: &Part| NewPiece {
-                from: request.offset + u64::from(part.skip),
+            let piece = |part: &Part| BufferedPiece {
+                export_offset: request.offset + u64::from(part.skip),
                 shard: part.shard,
-                at: part.at,
+                endpoint_offset: part.at,
                 data: data.slice(part.skip as usize..(part.skip + part.length) as usize),
             };
             let pieces = parts.iter().map(piece).collect();
@@ -438,10 +438,10 @@
                 self.say(chunk_head(chunk::DONE, chunk::NONE, request.cookie, 0), Bytes::new(), None).await;
             }
             Ok(()) => self.say(simple_reply(0, request.cookie), Bytes::new(), None).await,
-            Err(Refusal::Full) => {
+            Err(WriteError::LogFull) => {
                 self.error(request.cookie, errno::NOMEM, "refused: the buffer is full", None).await;
             }
-            Err(Refusal::TooLarge | Refusal::Failed) => {
+            Err(WriteError::TooLarge | WriteError::NotDurableInTime) => {
                 self.error(request.cookie, errno::IO, "failed: the buffer takes nothing", None).await;
             }
         }
@@ -458,17 +458,17 @@
         // Taken before any box is asked: what leaves the buffer meanwhile may not be in what they answer.
         let overlay =
             keeper.map(|k| k.overlay(&self.export, request.offset, request.length)).unwrap_or_default();
-        let overlay = overlay.as_slice();
+        let overlay = &overlay;
         let asks = parts.iter().map(|part| async {
             let from = request.offset + u64::from(part.skip);
-            if read && covers(from, part.length, overlay) {
-                let bytes = patch(from, vec![0; part.length as usize], overlay);
+            if read && overlay.covers(from, part.length) {
+                let bytes = overlay.apply(from, vec![0; part.length as usize]);
                 return (*part, Answer::Served(bytes.into()));
             }
             let _needs = self.shared.keeper.as_ref().map(|keeper| keeper.needs(part.shard));
             let answer = match self.ask(&request, *part, &data).await {
                 Answer::Served(bytes) if !overlay.is_empty() => {
-                    Answer::Served(patch(from, bytes.into(), overlay).into())
+                    Answer::Served(overlay.apply(from, bytes.into()).into())
                 }
                 answer => answer,
             };
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -7,7 +7,7 @@
 use crate::json::Fault;
 use crate::members::{EndpointList, EndpointRecord};
 use records::{DiskBox, File, Phase};
-use shaletack_writeback::Unsettled;
+use shaletack_writeback::DoubtPolicy;
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -79,11 +79,11 @@
     /// Where its log lies.
     pub folder: PathBuf,
     /// The log's bounds.
-    pub log: shaletack_wal::Config,
+    pub log: shaletack_wal::LogConfig,
     /// The longest that an attempt may still run at a box after its connection closed.
     pub attempt_lives: Duration,
     /// What becomes of a write that is not at its box after that.
-    pub unsettled: Unsettled,
+    pub unsettled: DoubtPolicy,
     /// Units a second sent to boxes at most; 0: no bound.
     pub units: u64,
     /// A write that has waited so long is sent even while clients need its box.
@@ -240,11 +240,15 @@
     let most = set.most_mib << 20;
     WriteBack {
         folder: set.folder.into(),
-        log: shaletack_wal::Config { segment: (most / 16).min(64 << 20), most, reserved: most / 4 },
+        log: shaletack_wal::LogConfig {
+            segment_bytes: (most / 16).min(64 << 20),
+            max_bytes: most,
+            reserved_bytes: most / 4,
+        },
         attempt_lives: Duration::from_millis(set.attempt_lives_ms),
         unsettled: match set.unsettled {
-            records::Unsettled::Ask => Unsettled::Ask,
-            records::Unsettled::Resend => Unsettled::Resend,
+            records::Unsettled::Ask => DoubtPolicy::AskOperator,
+            records::Unsettled::Resend => DoubtPolicy::Resend,
         },
         units: set.units,
         age_most: Duration::from_millis(set.age_ms),
--- a/src/writeback/files.rs
+++ b/src/writeback/files.rs
@@ -1,6 +1,6 @@
 //! The log's segments as files of one folder, which one process holds at a time.
 
-use shaletack_wal::{form, recover, Commit, Disk, Identity, Recovered};
+use shaletack_wal::{format, recover, Commit, Identity, RecoveredLog, SegmentStore, StoredSegment};
 use std::fs::{self, DirBuilder, File, OpenOptions, TryLockError};
 use std::io;
 use std::os::unix::fs::{DirBuilderExt, FileExt, OpenOptionsExt};
@@ -20,7 +20,7 @@
 
 impl Files {
     /// Takes the folder, and reads what is there; what is torn is cut. `log` names the log if there is none yet.
-    pub fn open(folder: &Path, log: u64, purpose: u64) -> Result<(Self, Identity, Recovered), String> {
+    pub fn open(folder: &Path, log: u64, purpose: u64) -> Result<(Self, Identity, RecoveredLog), String> {
         let told = |e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
         DirBuilder::new().recursive(true).mode(0o700).create(folder).map_err(|e| told(&e))?;
         let lock = OpenOptions::new()
@@ -37,14 +37,15 @@
         }
         let mut files = Files { folder: folder.into(), _lock: lock, last: None };
         let mut segments = Vec::new();
-        for segment in files.segments().map_err(|e| told(&e))? {
-            segments.push((segment, files.read(segment).map_err(|e| told(&e))?));
+        for number in files.segments().map_err(|e| told(&e))? {
+            let bytes = files.read(number).map_err(|e| told(&e))?;
+            segments.push(StoredSegment { number, bytes });
         }
-        let named = segments.iter().find_map(|(_, bytes)| form::identity(bytes));
+        let named = segments.iter().find_map(|segment| format::peek_identity(&segment.bytes));
         let identity = Identity { log: named.map_or(log, |i| i.log), purpose };
         let found = recover(identity, &segments).map_err(|damage| told(&damage))?;
-        if let Some((segment, at)) = found.torn {
-            files.cut(segment, at).map_err(|e| told(&e))?;
+        if let Some(torn) = found.torn_tail {
+            files.truncate(torn.segment, torn.offset).map_err(|e| told(&e))?;
         }
         Ok((files, identity, found))
     }
@@ -59,7 +60,7 @@
     }
 }
 
-impl Disk for Files {
+impl SegmentStore for Files {
     fn segments(&mut self) -> io::Result<Vec<u64>> {
         let mut segments = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
@@ -85,7 +86,7 @@
         written
     }
 
-    fn cut(&mut self, segment: u64, at: u64) -> io::Result<()> {
+    fn truncate(&mut self, segment: u64, at: u64) -> io::Result<()> {
         let file = OpenOptions::new().write(true).open(self.path(segment))?;
         file.set_len(at)?;
         file.sync_all()
@@ -105,9 +106,9 @@
             self.last = Some((commit.segment, file));
         }
         let Some((_, file)) = &self.last else { return Err(io::ErrorKind::NotFound.into()) };
-        file.write_all_at(&commit.bytes, commit.at)?;
+        file.write_all_at(&commit.bytes, commit.offset)?;
         file.sync_data()?;
-        if commit.create {
+        if commit.creates_segment {
             self.sync_folder()?;
         }
         Ok(())
--- a/src/writeback/mod.rs
+++ b/src/writeback/mod.rs
@@ -15,8 +15,11 @@
 use bytes::Bytes;
 use files::Files;
 use shaletack_background::{Scheduler, Task, WorkClass};
-use shaletack_wal::{form, Commit, Disk};
-use shaletack_writeback::{Buffer, Config, Effect, Input, NewPiece, PieceId, Proof, Refusal, Token};
+use shaletack_wal::{format as log_format, Commit, SegmentStore};
+use shaletack_writeback::{
+    AttemptOutcome, Buffer, CommandId, Config, Effect, Input, Overlay, Piece as BufferedPiece, PieceId,
+    RecoveredBuffer, RejectReason,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
 use std::collections::{BTreeMap, HashMap};
@@ -25,6 +28,7 @@
 use std::rc::{Rc, Weak};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 use tokio::sync::{oneshot, Notify};
 use tracing::{error, info, warn};
 
@@ -48,8 +52,8 @@
     files: Arc<Mutex<Files>>,
     buffer: RefCell<Buffer>,
     background: RefCell<Scheduler>,
-    waiting: RefCell<HashMap<Token, oneshot::Sender<Result<(), Refusal>>>>,
-    last: Cell<Token>,
+    waiting: RefCell<HashMap<CommandId, oneshot::Sender<Result<(), WriteError>>>>,
+    last: Cell<CommandId>,
     start: Instant,
     wake: Cell<Option<Duration>>,
     rearm: Notify,
@@ -62,6 +66,29 @@
     needs: RefCell<BTreeMap<u16, usize>>,
 }
 
+/// Why a write or flush failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum WriteError {
+    /// The log had no room, or could not be written, for as long as the client waits. Nothing of the write is kept.
+    #[error("the log is full")]
+    LogFull,
+    /// The write is larger than the log takes.
+    #[error("the write is too large for the log")]
+    TooLarge,
+    /// It was not durable by its deadline. It may be so later: nothing is promised.
+    #[error("the log could not be written in time")]
+    NotDurableInTime,
+}
+
+impl From<RejectReason> for WriteError {
+    fn from(reason: RejectReason) -> Self {
+        match reason {
+            RejectReason::LogFull => WriteError::LogFull,
+            RejectReason::TooLarge => WriteError::TooLarge,
+        }
+    }
+}
+
 /// The buffer of one process.
 #[derive(Clone)]
 pub struct Keeper(Rc<Inner>);
@@ -71,7 +98,7 @@
 fn purpose(operator: &Operator) -> u64 {
     let buffered = operator.exports.iter().filter(|e| e.write_back);
     let of: Vec<_> = buffered.map(|e| (e.volume, e.size, &e.extents)).collect();
-    form::purpose(format!("{of:?} {}", operator.box_export).as_bytes())
+    log_format::hash_purpose(format!("{of:?} {}", operator.box_export).as_bytes())
 }
 
 impl Keeper {
@@ -79,10 +106,12 @@
     pub fn open(host: Host, boxes: Rc<Boxes>, operator: &Operator, set: &WriteBack) -> Result<Self, String> {
         let drawn = RandomState::new().build_hasher().finish();
         let (files, identity, found) = Files::open(&set.folder, drawn, purpose(operator))?;
-        let config = Config { log: set.log, attempt_lives: set.attempt_lives, unsettled: set.unsettled };
-        let (records, torn) = (found.records.len(), found.torn.is_some());
-        let (buffer, effects) = Buffer::recover(identity, config, &found, Duration::ZERO)
-            .map_err(|seq| format!("{}: record {seq} can't be read", set.folder.display()))?;
+        let config =
+            Config { log: set.log, attempt_lifetime: set.attempt_lives, doubt_policy: set.unsettled };
+        let (records, torn) = (found.records.len(), found.torn_tail.is_some());
+        let RecoveredBuffer { buffer, effects } =
+            Buffer::recover(identity, config, &found, Duration::ZERO)
+                .map_err(|error| format!("{}: {error}", set.folder.display()))?;
         let class = WorkClass {
             priority: 1,
             units_per_second: set.units,
@@ -92,7 +121,7 @@
             max_in_flight_per_resource: SHARD_MOST,
             max_age: set.age_most,
         };
-        info!(folder = %set.folder.display(), records, torn, unsettled = buffer.held().0, "write-back is on");
+        info!(folder = %set.folder.display(), records, torn, unsettled = buffer.usage().pieces, "write-back is on");
         let keeper = Keeper(Rc::new(Inner {
             host,
             boxes,
@@ -132,7 +161,7 @@
         for effect in effects {
             match effect {
                 Effect::Commit(commit) => self.commit(commit),
-                Effect::Remove(segment) => {
+                Effect::RemoveSegment(segment) => {
                     let files = inner.files.clone();
                     actix_rt::task::spawn_blocking(move || {
                         let removed = files.lock().unwrap_or_else(PoisonError::into_inner).remove(segment);
@@ -140,23 +169,22 @@
                         let _ = removed.inspect_err(|why| warn!(segment, %why, "write-back: not removed"));
                     });
                 }
-                Effect::Ack(token) => self.answer(token, Ok(())),
-                Effect::Refuse(token, why) => self.answer(token, Err(why)),
+                Effect::Acknowledge(command) => self.answer(command, Ok(())),
+                Effect::Reject { command, reason } => self.answer(command, Err(reason.into())),
                 Effect::Ready(id) => self.ready(id),
                 Effect::Withdraw(id) => inner.background.borrow_mut().remove(id),
                 Effect::Send(id) => self.send(id),
                 Effect::ReadBack(id) => self.read_back(id),
-                Effect::Doubt(id) => warn!(id, "write-back: a write can't be settled without an operator"),
-                Effect::Failed => error!("write-back: the log failed; no write is taken any more"),
-                Effect::Wake(at) => inner.wake.set(Some(at)),
+                Effect::InDoubt(id) => warn!(id, "write-back: a write can't be settled without an operator"),
+                Effect::SetTimer(at) => inner.wake.set(Some(at)),
             }
         }
         self.start_ready();
         inner.rearm.notify_one();
     }
 
-    fn answer(&self, token: Token, answer: Result<(), Refusal>) {
-        if let Some(waiting) = self.0.waiting.borrow_mut().remove(&token) {
+    fn answer(&self, command: CommandId, answer: Result<(), WriteError>) {
+        if let Some(waiting) = self.0.waiting.borrow_mut().remove(&command) {
             // Where the client is gone by now nobody reads it.
             let _ = waiting.send(answer);
         }
@@ -169,7 +197,7 @@
             keeper.write_until_durable(commit).await;
             keeper.0.committing.set(false);
             keeper.0.wrote.set(keeper.now());
-            keeper.feed(Input::Committed(true));
+            keeper.feed(Input::CommitSucceeded);
         });
     }
 
@@ -196,7 +224,8 @@
     }
 
     fn ready(&self, id: PieceId) {
-        let Some((shard, _, data)) = self.0.buffer.borrow().piece(id) else { return };
+        let Some(piece) = self.0.buffer.borrow().piece(id).cloned() else { return };
+        let BufferedPiece { shard, data, .. } = piece;
         let units = (data.len() as u64).div_ceil(self.0.operator.unit_bytes.into()).max(1);
         let task =
             Task { class: 0, resource: shard.into(), units, bytes: data.len() as u64, since: self.now() };
@@ -220,8 +249,8 @@
 
     fn attempt(&self, id: PieceId, command: u16) -> Option<impl std::future::Future<Output = Answer>> {
         let inner = self.0.clone();
-        let (shard, at, data) = inner.buffer.borrow().piece(id)?;
-        let export = inner.buffer.borrow().export(id)?;
+        let BufferedPiece { shard, endpoint_offset: at, data, .. } = inner.buffer.borrow().piece(id)?.clone();
+        let export = inner.buffer.borrow().volume(id)?;
         let export = inner.operator.exports.iter().find(|e| e.volume == export)?.clone();
         let classes = inner.operator.classes;
         let class = if command == cmd::WRITE { classes.write } else { classes.read };
@@ -249,17 +278,17 @@
         let Some(attempt) = self.attempt(id, cmd::WRITE) else { return };
         let keeper = self.clone();
         actix_rt::spawn(async move {
-            let proof = match attempt.await {
-                Answer::Served(_) => Proof::Ran,
+            let outcome = match attempt.await {
+                Answer::Served(_) => AttemptOutcome::Completed,
                 // Refused is said only of what provably never ran.
                 Answer::Rejected(after) => {
                     tokio::time::sleep(after).await;
-                    Proof::NeverRan
+                    AttemptOutcome::NeverRan
                 }
-                Answer::Failed => Proof::Unknown,
+                Answer::Failed => AttemptOutcome::Unknown,
             };
             keeper.0.background.borrow_mut().remove(id);
-            keeper.feed(Input::Ended(id, proof));
+            keeper.feed(Input::AttemptEnded { piece: id, outcome });
         });
     }
 
@@ -267,57 +296,57 @@
         let Some(attempt) = self.attempt(id, cmd::READ) else { return };
         let keeper = self.clone();
         actix_rt::spawn(async move {
-            let bytes = match attempt.await {
+            let data = match attempt.await {
                 Answer::Served(bytes) => Some(bytes),
                 Answer::Rejected(_) | Answer::Failed => None,
             };
-            keeper.feed(Input::ReadBack(id, bytes));
+            keeper.feed(Input::ReadBack { piece: id, data });
         });
     }
 
     /// What comes of a command. One that is not durable in time has failed: it may be so later, and nothing is promised.
-    async fn ask(&self, until: Instant, input: impl FnOnce(Token) -> Input) -> Result<(), Refusal> {
-        let token = self.0.last.get() + 1;
-        self.0.last.set(token);
+    async fn ask(&self, until: Instant, input: impl FnOnce(CommandId) -> Input) -> Result<(), WriteError> {
+        let command = self.0.last.get() + 1;
+        self.0.last.set(command);
         let (done, answered) = oneshot::channel();
-        self.0.waiting.borrow_mut().insert(token, done);
-        self.feed(input(token));
+        self.0.waiting.borrow_mut().insert(command, done);
+        self.feed(input(command));
         let answered = tokio::time::timeout_at(until.into(), answered).await;
-        answered.unwrap_or(Ok(Err(Refusal::Failed))).unwrap_or(Err(Refusal::Failed))
+        answered.unwrap_or(Ok(Err(WriteError::NotDurableInTime))).unwrap_or(Err(WriteError::NotDurableInTime))
     }
 
     /// Takes a write; while the log is full it waits, as long as its client does.
     pub async fn write(
         &self,
         export: &Export,
-        pieces: Vec<NewPiece>,
+        pieces: Vec<BufferedPiece>,
         fua: bool,
         patience: Duration,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), WriteError> {
         let until = Instant::now() + patience;
         loop {
             let answer = match self.0.refuses.get() {
                 // What is taken now could be promised by nobody.
-                true => Err(Refusal::Full),
+                true => Err(WriteError::LogFull),
                 false => {
                     let (volume, pieces) = (export.volume, pieces.clone());
-                    self.ask(until, |token| Input::Write { token, export: volume, pieces, fua }).await
+                    self.ask(until, |command| Input::Write { command, volume, pieces, fua }).await
                 }
             };
             match answer {
-                Err(Refusal::Full) if Instant::now() + FULL < until => tokio::time::sleep(FULL).await,
+                Err(WriteError::LogFull) if Instant::now() + FULL < until => tokio::time::sleep(FULL).await,
                 answer => return answer,
             }
         }
     }
 
     /// Ends once all that was taken of an export is durable, or its client waits no longer.
-    pub async fn flush(&self, export: &Export, patience: Duration) -> Result<(), Refusal> {
-        self.ask(Instant::now() + patience, |token| Input::Flush { token, export: export.volume }).await
+    pub async fn flush(&self, export: &Export, patience: Duration) -> Result<(), WriteError> {
+        self.ask(Instant::now() + patience, |command| Input::Flush { command, volume: export.volume }).await
     }
 
     /// What a read is to be overlaid with, taken before its boxes are asked.
-    pub fn overlay(&self, export: &Export, from: u64, length: u32) -> Vec<(u64, Bytes)> {
+    pub fn overlay(&self, export: &Export, from: u64, length: u32) -> Overlay {
         self.0.buffer.borrow().overlay(export.volume, from, length.into())
     }
 
@@ -340,8 +369,13 @@
         while (self.0.committing.get() || !self.0.buffer.borrow().is_durable()) && Instant::now() < until {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        let (pieces, bytes) = self.0.buffer.borrow().held();
-        info!(unsettled = pieces, bytes, durable = self.0.buffer.borrow().is_durable(), "write-back stops");
+        let usage = self.0.buffer.borrow().usage();
+        info!(
+            unsettled = usage.pieces,
+            bytes = usage.log_bytes,
+            durable = self.0.buffer.borrow().is_durable(),
+            "write-back stops"
+        );
     }
 }
 
@@ -355,27 +389,6 @@
     }
 }
 
-/// Lays buffered pieces over what came from a box for a range that starts there.
-pub fn patch(from: u64, mut bytes: Vec<u8>, overlay: &[(u64, Bytes)]) -> Vec<u8> {
-    let end = from + bytes.len() as u64;
-    for (at, data) in overlay {
-        let (first, last) = ((*at).max(from), (at + data.len() as u64).min(end));
-        if first < last {
-            let piece = &data[(first - at) as usize..(last - at) as usize];
-            bytes[(first - from) as usize..(last - from) as usize].copy_from_slice(piece);
-        }
-    }
-    bytes
-}
-
-/// Whether buffered pieces hold all of a range.
-pub fn covers(from: u64, length: u32, overlay: &[(u64, Bytes)]) -> bool {
-    let mut spans: Vec<(u64, u64)> = overlay.iter().map(|(at, d)| (*at, at + d.len() as u64)).collect();
-    spans.sort_unstable();
-    let reached = spans.iter().fold(from, |to, (a, b)| if *a <= to { to.max(*b) } else { to });
-    reached >= from + u64::from(length)
-}
-
 async fn keep_time(inner: Weak<Inner>) {
     loop {
         let Some(keeper) = inner.upgrade().map(Keeper) else { return };
@@ -388,7 +401,7 @@
         let _ = tokio::time::timeout(wait, keeper.0.rearm.notified()).await;
         let now = keeper.now();
         if keeper.0.wake.get().is_some_and(|at| at <= now) {
-            keeper.feed(Input::Woke);
+            keeper.feed(Input::TimerFired);
         } else if now >= idle && !rests && !keeper.0.committing.get() {
             keeper.feed(Input::Idle);
         } else {
--- a/src/writeback/offline.rs
+++ b/src/writeback/offline.rs
@@ -3,8 +3,10 @@
 use super::files::Files;
 use super::purpose;
 use crate::operator::{Operator, WriteBack};
-use shaletack_wal::Disk;
-use shaletack_writeback::{Buffer, Config, Decision, Effect, Held, Input, PieceId};
+use shaletack_wal::SegmentStore;
+use shaletack_writeback::{
+    Buffer, Config, Effect, Input, OperatorDecision, PieceId, RecoveredBuffer, UnsettledPiece,
+};
 use std::time::Duration;
 
 fn open(operator: &Operator) -> Result<(Files, Buffer, Vec<Effect>), String> {
@@ -14,19 +16,19 @@
         return Err(format!("{place}: there is no log"));
     }
     let (files, identity, found) = Files::open(&set.folder, 0, purpose(operator))?;
-    let config = Config { log: set.log, attempt_lives: set.attempt_lives, unsettled: set.unsettled };
-    let (buffer, effects) = Buffer::recover(identity, config, &found, Duration::ZERO)
-        .map_err(|seq| format!("{place}: record {seq} can't be read"))?;
+    let config = Config { log: set.log, attempt_lifetime: set.attempt_lives, doubt_policy: set.unsettled };
+    let RecoveredBuffer { buffer, effects } = Buffer::recover(identity, config, &found, Duration::ZERO)
+        .map_err(|error| format!("{place}: {error}"))?;
     Ok((files, buffer, effects))
 }
 
 /// All that is not settled, in the order of its coming.
-pub fn list(operator: &Operator) -> Result<Vec<Held>, String> {
+pub fn list(operator: &Operator) -> Result<Vec<UnsettledPiece>, String> {
     open(operator).map(|(_, buffer, _)| buffer.list())
 }
 
 /// Settles a write by an operator's word: durable before this returns.
-pub fn settle(operator: &Operator, id: PieceId, decision: Decision) -> Result<(), String> {
+pub fn settle(operator: &Operator, id: PieceId, decision: OperatorDecision) -> Result<(), String> {
     let (mut files, mut buffer, mut effects) = open(operator)?;
     let held = buffer.list().into_iter().find(|held| held.id == id);
     match held {
@@ -36,7 +38,7 @@
         }
         Some(_) => {}
     }
-    effects.extend(buffer.step(Duration::ZERO, Input::Decide(id, decision)));
+    effects.extend(buffer.step(Duration::ZERO, Input::Decide { piece: id, decision }));
     // Commits one after another, until nothing waits.
     while !effects.is_empty() {
         let mut next = Vec::new();
@@ -44,9 +46,9 @@
             match effect {
                 Effect::Commit(commit) => {
                     files.commit(&commit).map_err(|e| format!("the log can't be written: {e}"))?;
-                    next.extend(buffer.step(Duration::ZERO, Input::Committed(true)));
+                    next.extend(buffer.step(Duration::ZERO, Input::CommitSucceeded));
                 }
-                Effect::Remove(segment) => {
+                Effect::RemoveSegment(segment) => {
                     files.remove(segment).map_err(|e| format!("segment {segment}: {e}"))?;
                 }
                 // Nothing is sent from here.
