--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,7 +1,7 @@
 //! A write-ahead log that survives crashes, without the files.
 //!
 //! A caller that acknowledges data before it has reached its final place needs it to be there after any crash.
-//! This crate decides what is written where so that this holds: the format of the log on disk ([`format`]), which
+//! This crate decides what is written where so that this holds: the format of the log on disk ([`mod@format`]), which
 //! records share a commit and where each goes ([`Log`]), how much the log may take, which segments may be removed,
 //! and what of a log that was cut off is intact ([`recover`]). A record that was reported durable is there after
 //! any crash, or recovery says that the log is damaged.
--- a/src/app/commands.rs
+++ b/src/app/commands.rs
@@ -36,7 +36,7 @@
 /// The file or its log can't be read.
 pub fn list_writes(file: &str) -> Result<(), Error> {
     let operator = load_operator(file)?;
-    for write in offline::list(&operator).map_err(Error::WriteBack)? {
+    for write in offline::list(&operator)? {
         println!(
             "{} export={} from={} length={} shard={} at={} may_have_run={}",
             write.id,
@@ -62,7 +62,8 @@
 /// The file or its log can't be read or written, or there is no such write to settle.
 pub fn settle_write(file: &str, settlement: Settlement) -> Result<(), Error> {
     let operator = load_operator(file)?;
-    offline::settle(&operator, settlement.id, settlement.decision).map_err(Error::WriteBack)
+    offline::settle(&operator, settlement.id, settlement.decision)?;
+    Ok(())
 }
 
 /// Prints what the running process of that file sees of its peers, as JSON.
--- a/src/app/error.rs
+++ b/src/app/error.rs
@@ -1,6 +1,7 @@
 //! Why a command ended without success. What an operator reads is the text of these errors, a line for each fault.
 
 use shaletack::net::handover::HandoverError;
+use shaletack::writeback::offline::OfflineError;
 use std::io;
 use std::net::SocketAddr;
 
@@ -69,8 +70,8 @@
     #[error(transparent)]
     Handover(#[from] HandoverError),
     /// The log of buffered writes can't be read or changed.
-    #[error("{0}")]
-    WriteBack(String),
+    #[error(transparent)]
+    WriteBack(#[from] OfflineError),
     /// The NBD front can't be set up.
     #[error("{0}")]
     Nbd(String),
--- a/src/nbd/front.rs
+++ b/src/nbd/front.rs
@@ -7,7 +7,7 @@
 use crate::runtime::gate::{Closing, Gate};
 use crate::runtime::host::Host;
 use crate::runtime::sockets::Uninterrupted;
-use crate::writeback::{Keeper, WriteError};
+use crate::writeback::{WriteBackCache, WriteError};
 use bytes::Bytes;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use shaletack_writeback::Piece as BufferedPiece;
@@ -42,7 +42,7 @@
 const STUCK: Duration = Duration::from_secs(30);
 
 struct Shared {
-    keeper: Option<Keeper>,
+    write_back: Option<WriteBackCache>,
     host: Host,
     operator: Operator,
     boxes: Rc<Boxes>,
@@ -74,15 +74,14 @@
     let gate =
         Gate { listener, host: host.clone(), most, closing: closing.clone(), succeeded: Rc::new(|| false) };
     let boxes = Rc::new(Boxes::new(operator.box_export.clone(), connect, idle));
-    let keeper =
-        operator.write_back.as_ref().map(|set| Keeper::open(host.clone(), boxes.clone(), &operator, set));
-    let keeper = keeper.transpose()?;
+    let open = |settings| WriteBackCache::open(host.clone(), boxes.clone(), &operator, settings);
+    let write_back = operator.write_back.as_ref().map(open).transpose().map_err(|error| error.to_string())?;
     let memory = Arc::new(Semaphore::new(MEMORY_KIB));
-    let kept = keeper.clone();
-    let shared = Rc::new(Shared { keeper, host, operator, boxes, memory });
+    let cache = write_back.clone();
+    let shared = Rc::new(Shared { write_back, host, operator, boxes, memory });
     gate.serve(stop, |stream| connection(shared.clone(), closing.clone(), stream)).await;
-    if let Some(keeper) = kept {
-        keeper.close().await;
+    if let Some(cache) = cache {
+        cache.close().await;
     }
     Ok(())
 }
@@ -417,12 +416,12 @@
     }
 
     /// A write or flush of an export whose writes are buffered.
-    async fn buffer(&self, keeper: &Keeper, request: &Request, parts: &[Part], data: &Bytes) {
+    async fn buffer(&self, cache: &WriteBackCache, request: &Request, parts: &[Part], data: &Bytes) {
         let settings = self.shared.host.settings();
         let class = self.shared.operator.classes.write;
         let patience = settings.classes.get(class as usize).map_or(Duration::ZERO, |c| c.deadline);
         let done = if request.command == cmd::FLUSH {
-            keeper.flush(&self.export, patience).await
+            cache.flush(&self.export, patience).await
         } else {
             let piece = |part: &Part| BufferedPiece {
                 export_offset: request.offset + u64::from(part.skip),
@@ -431,7 +430,7 @@
                 data: data.slice(part.skip as usize..(part.skip + part.length) as usize),
             };
             let pieces = parts.iter().map(piece).collect();
-            keeper.write(&self.export, pieces, request.flags & flag::FUA != 0, patience).await
+            cache.write(&self.export, pieces, request.flags & flag::FUA != 0, patience).await
         };
         match done {
             Ok(()) if self.structured => {
@@ -451,13 +450,13 @@
     async fn execute(&self, request: Request, data: Bytes, memory: Arc<OwnedSemaphorePermit>) {
         let (cookie, read) = (request.cookie, request.command == cmd::READ);
         let parts = self.parts(&request);
-        let keeper = self.shared.keeper.as_ref().filter(|_| self.export.write_back);
-        if let Some(keeper) = keeper.filter(|_| !read) {
-            return self.buffer(keeper, &request, &parts, &data).await;
+        let cache = self.shared.write_back.as_ref().filter(|_| self.export.write_back);
+        if let Some(cache) = cache.filter(|_| !read) {
+            return self.buffer(cache, &request, &parts, &data).await;
         }
         // Taken before any box is asked: what leaves the buffer meanwhile may not be in what they answer.
         let overlay =
-            keeper.map(|k| k.overlay(&self.export, request.offset, request.length)).unwrap_or_default();
+            cache.map(|c| c.overlay(&self.export, request.offset, request.length)).unwrap_or_default();
         let overlay = &overlay;
         let asks = parts.iter().map(|part| async {
             let from = request.offset + u64::from(part.skip);
@@ -465,7 +464,7 @@
                 let bytes = overlay.apply(from, vec![0; part.length as usize]);
                 return (*part, Answer::Served(bytes.into()));
             }
-            let _needs = self.shared.keeper.as_ref().map(|keeper| keeper.needs(part.shard));
+            let _demand = self.shared.write_back.as_ref().map(|cache| cache.client_request(part.shard));
             let answer = match self.ask(&request, *part, &data).await {
                 Answer::Served(bytes) if !overlay.is_empty() => {
                     Answer::Served(overlay.apply(from, bytes.into()).into())
--- /dev/null
+++ b/src/writeback/attempts.rs
@@ -0,0 +1,112 @@
+//! Requests for buffered pieces: sent to their endpoints through the core, as any client's are.
+
+use crate::broker::{Answer, IncomingRequest};
+use crate::nbd::boxes::{Boxes, Piece as EndpointCommand};
+use crate::nbd::codec::cmd;
+use crate::operator::{Export, Operator};
+use crate::runtime::host::Host;
+use bytes::Bytes;
+use shaletack_writeback::{AttemptOutcome, Piece, PieceId};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// A piece that a request is about, and the export that it is written to.
+#[derive(Clone, Debug)]
+pub(super) struct PieceToSend {
+    pub id: PieceId,
+    pub export: Export,
+    pub piece: Piece,
+}
+
+/// What a request does with a piece.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RequestKind {
+    Write,
+    ReadBack,
+}
+
+/// How requests for pieces are made.
+pub(super) struct Attempts {
+    host: Host,
+    boxes: Rc<Boxes>,
+    operator: Operator,
+}
+
+impl Attempts {
+    pub fn new(host: Host, boxes: Rc<Boxes>, operator: Operator) -> Self {
+        Attempts { host, boxes, operator }
+    }
+
+    /// The size of a piece of so many bytes, in units.
+    pub fn units(&self, length: usize) -> u64 {
+        (length as u64).div_ceil(self.operator.unit_bytes.into()).max(1)
+    }
+
+    /// The export of a volume.
+    pub fn export(&self, volume: u64) -> Option<&Export> {
+        self.operator.exports.iter().find(|export| export.volume == volume)
+    }
+
+    /// Writes a piece to its endpoint, once.
+    pub async fn write(&self, to_send: PieceToSend) -> AttemptOutcome {
+        match self.request(RequestKind::Write, to_send).await {
+            Answer::Served(_) => AttemptOutcome::Completed,
+            // Only what provably never ran is rejected.
+            Answer::Rejected(retry_after) => {
+                tokio::time::sleep(retry_after).await;
+                AttemptOutcome::NeverRan
+            }
+            Answer::Failed => AttemptOutcome::Unknown,
+        }
+    }
+
+    /// Reads what the endpoint holds where a piece belongs; `None`: it could not be read.
+    pub async fn read_back(&self, to_send: PieceToSend) -> Option<Bytes> {
+        match self.request(RequestKind::ReadBack, to_send).await {
+            Answer::Served(data) => Some(data),
+            Answer::Rejected(_) | Answer::Failed => None,
+        }
+    }
+
+    async fn request(&self, kind: RequestKind, to_send: PieceToSend) -> Answer {
+        let PieceToSend { id, export, piece } = to_send;
+        let length = piece.data.len() as u32;
+        let request = self.incoming_request(kind, id, &export, piece.shard, length);
+        let (command, fua, data) = match kind {
+            // On stable storage at the endpoint before it leaves the log.
+            RequestKind::Write => (cmd::WRITE, true, piece.data),
+            RequestKind::ReadBack => (cmd::READ, false, Bytes::new()),
+        };
+        let boxes = self.boxes.clone();
+        let offset = piece.endpoint_offset;
+        let endpoint_command = EndpointCommand { boxes, command, fua, offset, length, data };
+        self.host.ask(request, Rc::new(endpoint_command)).await
+    }
+
+    fn incoming_request(
+        &self,
+        kind: RequestKind,
+        id: PieceId,
+        export: &Export,
+        shard: u16,
+        length: u32,
+    ) -> IncomingRequest {
+        let class = match kind {
+            RequestKind::Write => self.operator.classes.write,
+            RequestKind::ReadBack => self.operator.classes.read,
+        };
+        let settings = self.host.settings();
+        let deadline = settings.classes.get(class as usize).map_or(Duration::ZERO, |class| class.deadline);
+        IncomingRequest {
+            class,
+            volume: export.volume,
+            plan: export.plan,
+            initiators: export.hosts,
+            key: id,
+            shard: Some(shard),
+            units: self.units(length as usize) as f64,
+            time_remaining: deadline,
+            client_retry: false,
+        }
+    }
+}
--- /dev/null
+++ b/src/writeback/cache.rs
@@ -0,0 +1,355 @@
+//! The write-back cache of one process: the buffer, and what carries out its effects.
+
+use super::attempts::{Attempts, PieceToSend};
+use super::client_demand::{ClientDemand, ClientDemandGuard};
+use super::error::{OpenError, OpenFailure, WriteError};
+use super::identity::purpose;
+use super::log_writer::LogWriter;
+use super::pending_commands::PendingCommands;
+use super::segment_files::{OpenedLog, SegmentFiles};
+use crate::nbd::boxes::Boxes;
+use crate::operator::{Export, Operator, WriteBack};
+use crate::runtime::host::Host;
+use shaletack_background::{Scheduler, Task, WorkClass};
+use shaletack_wal::Commit;
+use shaletack_writeback::{
+    Buffer, CommandId, Config, Effect, Input, Overlay, Piece, PieceId, RecoveredBuffer,
+};
+use std::cell::{Cell, RefCell};
+use std::collections::hash_map::RandomState;
+use std::hash::{BuildHasher, Hasher};
+use std::rc::{Rc, Weak};
+use std::time::{Duration, Instant};
+use tokio::sync::Notify;
+use tracing::{info, warn};
+
+/// The log is sealed when nothing was written for this long.
+const SEAL_AFTER_IDLE: Duration = Duration::from_secs(1);
+/// A write that the log has no room for is tried again after this time, while its client waits.
+const FULL_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// How long a stop waits for the log to become durable.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How often a stop looks whether the log is durable.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The shortest wait of the timer.
+const MIN_TIMER_WAIT: Duration = Duration::from_millis(1);
+
+/// The class of sending pieces, the only one of the background scheduler.
+const SEND_CLASS: usize = 0;
+const SEND_PRIORITY: u8 = 1;
+/// How long unused budget of sending is saved up.
+const SEND_BURST: Duration = Duration::from_secs(1);
+/// The most pieces in flight, over all shards.
+const MAX_IN_FLIGHT: usize = 64;
+/// The most pieces in flight at one shard.
+const MAX_IN_FLIGHT_PER_SHARD: usize = 8;
+
+/// The write-back cache of one process. Clones share it.
+#[derive(Clone)]
+pub struct WriteBackCache(Rc<Shared>);
+
+struct Shared {
+    buffer: RefCell<Buffer>,
+    background: RefCell<Scheduler>,
+    log_writer: LogWriter,
+    attempts: Attempts,
+    commands: PendingCommands,
+    client_demand: RefCell<ClientDemand>,
+    /// Times of the buffer and of the background scheduler are since then.
+    origin: Instant,
+    /// When the buffer asked to be called again.
+    timer_at: Cell<Option<Duration>>,
+    /// Rung when the timer has to look again at what it waits for.
+    timer_changed: Notify,
+    is_committing: Cell<bool>,
+    last_commit_at: Cell<Duration>,
+    /// Nothing has happened since the buffer was last told that it is idle.
+    is_idle: Cell<bool>,
+}
+
+impl WriteBackCache {
+    /// Opens the log and goes on where it ended.
+    ///
+    /// # Errors
+    /// The log can't be read, is another process's or another purpose's, or is damaged.
+    pub fn open(
+        host: Host,
+        boxes: Rc<Boxes>,
+        operator: &Operator,
+        settings: &WriteBack,
+    ) -> Result<Self, OpenError> {
+        let new_log = RandomState::new().build_hasher().finish();
+        let OpenedLog { files, identity, found } =
+            SegmentFiles::open(&settings.folder, new_log, purpose(operator))?;
+        let RecoveredBuffer { buffer, effects } =
+            Buffer::recover(identity, buffer_config(settings), &found, Duration::ZERO)
+                .map_err(|error| OpenFailure::from(error).of(&settings.folder))?;
+        info!(
+            folder = %settings.folder.display(),
+            records = found.records.len(),
+            torn = found.torn_tail.is_some(),
+            unsettled = buffer.usage().pieces,
+            "write-back is on"
+        );
+        let cache = WriteBackCache(Rc::new(Shared {
+            buffer: RefCell::new(buffer),
+            background: RefCell::new(Scheduler::new(&[send_class(settings)], Duration::ZERO)),
+            log_writer: LogWriter::new(files),
+            attempts: Attempts::new(host, boxes, operator.clone()),
+            commands: PendingCommands::default(),
+            client_demand: RefCell::default(),
+            origin: Instant::now(),
+            timer_at: Cell::new(None),
+            timer_changed: Notify::new(),
+            is_committing: Cell::new(false),
+            last_commit_at: Cell::new(Duration::ZERO),
+            is_idle: Cell::new(false),
+        }));
+        cache.carry_out(effects);
+        actix_rt::spawn(run_timer(Rc::downgrade(&cache.0)));
+        Ok(cache)
+    }
+
+    /// Takes a write. While the log is full it waits, as long as its client does.
+    ///
+    /// # Errors
+    /// The write was not taken, or a write with `fua` was not durable in time.
+    pub async fn write(
+        &self,
+        export: &Export,
+        pieces: Vec<Piece>,
+        fua: bool,
+        time_remaining: Duration,
+    ) -> Result<(), WriteError> {
+        let deadline = Instant::now() + time_remaining;
+        loop {
+            let result = self.try_write(export, pieces.clone(), fua, deadline).await;
+            if result != Err(WriteError::LogFull) || Instant::now() + FULL_RETRY_INTERVAL >= deadline {
+                return result;
+            }
+            tokio::time::sleep(FULL_RETRY_INTERVAL).await;
+        }
+    }
+
+    async fn try_write(
+        &self,
+        export: &Export,
+        pieces: Vec<Piece>,
+        fua: bool,
+        deadline: Instant,
+    ) -> Result<(), WriteError> {
+        // While the disk refuses writes, nobody could promise anything of what is taken.
+        if self.0.log_writer.is_failing() {
+            return Err(WriteError::LogFull);
+        }
+        let volume = export.volume;
+        self.run_command(deadline, |command| Input::Write { command, volume, pieces, fua }).await
+    }
+
+    /// Ends once all writes to an export that were taken so far are durable.
+    ///
+    /// # Errors
+    /// They are not durable within `time_remaining`.
+    pub async fn flush(&self, export: &Export, time_remaining: Duration) -> Result<(), WriteError> {
+        let deadline = Instant::now() + time_remaining;
+        let volume = export.volume;
+        self.run_command(deadline, |command| Input::Flush { command, volume }).await
+    }
+
+    /// What a read of `length` bytes is overlaid with. To be taken before any endpoint is asked.
+    pub fn overlay(&self, export: &Export, offset: u64, length: u32) -> Overlay {
+        self.0.buffer.borrow().overlay(export.volume, offset, length.into())
+    }
+
+    /// A request of a client waits for a shard until the guard is dropped.
+    pub fn client_request(&self, shard: u16) -> ClientDemandGuard {
+        let requests = self.0.client_demand.borrow_mut().add(shard);
+        self.0.background.borrow_mut().set_client_demand(shard.into(), requests);
+        ClientDemandGuard::new(self.clone(), shard)
+    }
+
+    pub(super) fn client_request_ended(&self, shard: u16) {
+        let requests = self.0.client_demand.borrow_mut().remove(shard);
+        self.0.background.borrow_mut().set_client_demand(shard.into(), requests);
+        self.0.timer_changed.notify_one();
+    }
+
+    /// Waits until all that was taken is in the log, and for no endpoint.
+    pub async fn close(&self) {
+        let deadline = Instant::now() + CLOSE_TIMEOUT;
+        while !self.is_durable() && Instant::now() < deadline {
+            tokio::time::sleep(CLOSE_POLL_INTERVAL).await;
+        }
+        let usage = self.0.buffer.borrow().usage();
+        let durable = self.0.buffer.borrow().is_durable();
+        info!(unsettled = usage.pieces, bytes = usage.log_bytes, durable, "write-back stops");
+    }
+
+    fn is_durable(&self) -> bool {
+        !self.0.is_committing.get() && self.0.buffer.borrow().is_durable()
+    }
+
+    fn now(&self) -> Duration {
+        self.0.origin.elapsed()
+    }
+
+    /// What comes of a command. One that is not acknowledged by its deadline may be durable later: nothing is
+    /// promised.
+    async fn run_command(
+        &self,
+        deadline: Instant,
+        input: impl FnOnce(CommandId) -> Input,
+    ) -> Result<(), WriteError> {
+        let command = self.0.commands.register();
+        self.step(input(command.id));
+        match tokio::time::timeout_at(deadline.into(), command.result).await {
+            Ok(Ok(result)) => result,
+            Ok(Err(_)) | Err(_) => Err(WriteError::NotDurableInTime),
+        }
+    }
+
+    fn step(&self, input: Input) {
+        self.0.is_idle.set(matches!(input, Input::Idle));
+        let effects = self.0.buffer.borrow_mut().step(self.now(), input);
+        self.carry_out(effects);
+    }
+
+    fn carry_out(&self, effects: Vec<Effect>) {
+        let shared = &self.0;
+        shared.timer_at.set(None);
+        for effect in effects {
+            match effect {
+                Effect::Commit(commit) => self.commit(commit),
+                Effect::RemoveSegment(segment) => shared.log_writer.remove(segment),
+                Effect::Acknowledge(command) => shared.commands.complete(command, Ok(())),
+                Effect::Reject { command, reason } => {
+                    shared.commands.complete(command, Err(reason.into()));
+                }
+                Effect::Ready(id) => self.queue(id),
+                Effect::Withdraw(id) => shared.background.borrow_mut().remove(id),
+                Effect::Send(id) => self.send(id),
+                Effect::ReadBack(id) => self.read_back(id),
+                Effect::InDoubt(id) => warn!(id, "write-back: a write can't be settled without an operator"),
+                Effect::SetTimer(at) => shared.timer_at.set(Some(at)),
+            }
+        }
+        self.start_ready();
+        shared.timer_changed.notify_one();
+    }
+
+    fn commit(&self, commit: Commit) {
+        let cache = self.clone();
+        self.0.is_committing.set(true);
+        actix_rt::spawn(async move {
+            cache.0.log_writer.write_until_durable(commit).await;
+            cache.0.is_committing.set(false);
+            cache.0.last_commit_at.set(cache.now());
+            cache.step(Input::CommitSucceeded);
+        });
+    }
+
+    /// Gives a piece that may be sent to the background scheduler.
+    fn queue(&self, id: PieceId) {
+        let Some(piece) = self.0.buffer.borrow().piece(id).cloned() else { return };
+        let task = Task {
+            class: SEND_CLASS,
+            resource: piece.shard.into(),
+            units: self.0.attempts.units(piece.data.len()),
+            bytes: piece.data.len() as u64,
+            since: self.now(),
+        };
+        let mut background = self.0.background.borrow_mut();
+        // A piece that could not start still counts as in flight.
+        background.remove(id);
+        background.add(id, task);
+    }
+
+    /// Starts the pieces that may go to their endpoints now.
+    fn start_ready(&self) {
+        let started = self.0.background.borrow_mut().start_ready(self.now());
+        for id in started {
+            let cache = self.clone();
+            // A step must not run inside the one that it follows from.
+            actix_rt::spawn(async move { cache.step(Input::Start(id)) });
+        }
+    }
+
+    fn send(&self, id: PieceId) {
+        let Some(to_send) = self.piece_to_send(id) else { return };
+        let cache = self.clone();
+        actix_rt::spawn(async move {
+            let outcome = cache.0.attempts.write(to_send).await;
+            cache.0.background.borrow_mut().remove(id);
+            cache.step(Input::AttemptEnded { piece: id, outcome });
+        });
+    }
+
+    fn read_back(&self, id: PieceId) {
+        let Some(to_send) = self.piece_to_send(id) else { return };
+        let cache = self.clone();
+        actix_rt::spawn(async move {
+            let data = cache.0.attempts.read_back(to_send).await;
+            cache.step(Input::ReadBack { piece: id, data });
+        });
+    }
+
+    fn piece_to_send(&self, id: PieceId) -> Option<PieceToSend> {
+        let buffer = self.0.buffer.borrow();
+        let piece = buffer.piece(id)?.clone();
+        let export = self.0.attempts.export(buffer.volume(id)?)?.clone();
+        Some(PieceToSend { id, export, piece })
+    }
+
+    /// How long the timer may wait if nothing else happens.
+    fn timer_wait(&self, seal_at: Option<Duration>) -> Duration {
+        let background = self.0.background.borrow().next_start_at();
+        let next = [self.0.timer_at.get(), background, seal_at].into_iter().flatten().min();
+        let wait = next.map_or(SEAL_AFTER_IDLE, |at| at.saturating_sub(self.now()));
+        wait.max(MIN_TIMER_WAIT)
+    }
+
+    /// When the buffer is told that it is idle, if nothing happens until then; `None`: it has been.
+    fn seal_at(&self) -> Option<Duration> {
+        (!self.0.is_idle.get()).then_some(self.0.last_commit_at.get() + SEAL_AFTER_IDLE)
+    }
+
+    fn timer_fired(&self, seal_at: Option<Duration>) {
+        let now = self.now();
+        if self.0.timer_at.get().is_some_and(|at| at <= now) {
+            self.step(Input::TimerFired);
+        } else if seal_at.is_some_and(|at| at <= now) && !self.0.is_committing.get() {
+            self.step(Input::Idle);
+        } else {
+            self.start_ready();
+        }
+    }
+}
+
+/// The settings of the buffer. Also for an offline log.
+pub(super) fn buffer_config(settings: &WriteBack) -> Config {
+    Config { log: settings.log, attempt_lifetime: settings.attempt_lives, doubt_policy: settings.unsettled }
+}
+
+fn send_class(settings: &WriteBack) -> WorkClass {
+    WorkClass {
+        priority: SEND_PRIORITY,
+        units_per_second: settings.units,
+        bytes_per_second: 0,
+        burst: SEND_BURST,
+        max_in_flight: MAX_IN_FLIGHT,
+        max_in_flight_per_resource: MAX_IN_FLIGHT_PER_SHARD,
+        max_age: settings.age_most,
+    }
+}
+
+/// Runs as long as the cache is there.
+async fn run_timer(shared: Weak<Shared>) {
+    loop {
+        let Some(cache) = shared.upgrade().map(WriteBackCache) else { return };
+        let seal_at = cache.seal_at();
+        let wait = cache.timer_wait(seal_at);
+        // What is rung before it is waited for is kept, so that nothing is missed in between.
+        let _ = tokio::time::timeout(wait, cache.0.timer_changed.notified()).await;
+        cache.timer_fired(seal_at);
+    }
+}
--- a/src/writeback/offline.rs
+++ b/src/writeback/offline.rs
@@ -1,61 +1,125 @@
-//! What operators ask of a log that no process serves from: what is not settled, and to settle it.
+//! What operators do to a log that no process has open: list unsettled writes, and settle them.
 
-use super::files::Files;
-use super::purpose;
-use crate::operator::{Operator, WriteBack};
-use shaletack_wal::SegmentStore;
+use super::cache::buffer_config;
+use super::error::{OpenError, OpenFailure};
+use super::identity::purpose;
+use super::segment_files::{OpenedLog, SegmentFiles};
+use crate::operator::Operator;
+use shaletack_wal::{SegmentNumber, SegmentStore};
 use shaletack_writeback::{
-    Buffer, Config, Effect, Input, OperatorDecision, PieceId, RecoveredBuffer, UnsettledPiece,
+    Buffer, Effect, Input, OperatorDecision, PieceId, RecoveredBuffer, UnsettledPiece,
 };
+use std::io;
+use std::path::PathBuf;
 use std::time::Duration;
+use thiserror::Error;
 
-fn open(operator: &Operator) -> Result<(Files, Buffer, Vec<Effect>), String> {
-    let set: &WriteBack = operator.write_back.as_ref().ok_or("the operator's file has no 'write_back'")?;
-    let place = set.folder.display();
-    if !set.folder.is_dir() {
-        return Err(format!("{place}: there is no log"));
+/// No time passes for an offline log.
+const NOW: Duration = Duration::ZERO;
+
+/// Why a log can't be listed, or a write not settled.
+#[derive(Debug, Error)]
+pub enum OfflineError {
+    /// The operator's file does not switch write-back on.
+    #[error("the operator's file has no 'write_back'")]
+    NotConfigured,
+    /// The folder that the operator's file names is not there.
+    #[error("{}: there is no log", folder.display())]
+    NoLog {
+        /// The folder.
+        folder: PathBuf,
+    },
+    /// The log can't be opened.
+    #[error(transparent)]
+    Open(#[from] OpenError),
+    /// There is no unsettled write of this number: list them.
+    #[error("there is no unsettled write {0}")]
+    UnknownWrite(PieceId),
+    /// The write needs no decision.
+    #[error("write {0} was never sent: it goes to its box with the next start")]
+    NeverSent(PieceId),
+    /// The decision is not durable.
+    #[error("the log can't be written: {0}")]
+    Write(#[source] io::Error),
+    /// The decision is durable, but a segment that is not in use any more is still there.
+    #[error("segment {segment}: {source}")]
+    RemoveSegment {
+        /// The segment.
+        segment: SegmentNumber,
+        /// What the disk says.
+        source: io::Error,
+    },
+}
+
+/// All unsettled writes, in the order of their coming.
+///
+/// # Errors
+/// The log can't be opened.
+pub fn list(operator: &Operator) -> Result<Vec<UnsettledPiece>, OfflineError> {
+    Ok(OfflineLog::open(operator)?.buffer.list())
+}
+
+/// Settles a write by an operator's decision, which is durable when this returns.
+///
+/// # Errors
+/// The log can't be opened or written, or the write needs no decision.
+pub fn settle(operator: &Operator, id: PieceId, decision: OperatorDecision) -> Result<(), OfflineError> {
+    let log = OfflineLog::open(operator)?;
+    let unsettled = log.buffer.list().into_iter().find(|piece| piece.id == id);
+    let may_have_run = unsettled.ok_or(OfflineError::UnknownWrite(id))?.may_have_run;
+    if !may_have_run {
+        return Err(OfflineError::NeverSent(id));
     }
-    let (files, identity, found) = Files::open(&set.folder, 0, purpose(operator))?;
-    let config = Config { log: set.log, attempt_lifetime: set.attempt_lives, doubt_policy: set.unsettled };
-    let RecoveredBuffer { buffer, effects } = Buffer::recover(identity, config, &found, Duration::ZERO)
-        .map_err(|error| format!("{place}: {error}"))?;
-    Ok((files, buffer, effects))
+    log.decide(id, decision)
 }
 
-/// All that is not settled, in the order of its coming.
-pub fn list(operator: &Operator) -> Result<Vec<UnsettledPiece>, String> {
-    open(operator).map(|(_, buffer, _)| buffer.list())
+struct OfflineLog {
+    files: SegmentFiles,
+    buffer: Buffer,
+    /// What recovery asks for.
+    effects: Vec<Effect>,
 }
 
-/// Settles a write by an operator's word: durable before this returns.
-pub fn settle(operator: &Operator, id: PieceId, decision: OperatorDecision) -> Result<(), String> {
-    let (mut files, mut buffer, mut effects) = open(operator)?;
-    let held = buffer.list().into_iter().find(|held| held.id == id);
-    match held {
-        None => return Err(format!("there is no unsettled write {id}")),
-        Some(held) if !held.may_have_run => {
-            return Err(format!("write {id} was never sent: it goes to its box with the next start"));
+impl OfflineLog {
+    fn open(operator: &Operator) -> Result<Self, OfflineError> {
+        let settings = operator.write_back.as_ref().ok_or(OfflineError::NotConfigured)?;
+        let folder = &settings.folder;
+        if !folder.is_dir() {
+            return Err(OfflineError::NoLog { folder: folder.clone() });
         }
-        Some(_) => {}
+        let OpenedLog { files, identity, found } = SegmentFiles::open(folder, 0, purpose(operator))?;
+        let RecoveredBuffer { buffer, effects } =
+            Buffer::recover(identity, buffer_config(settings), &found, NOW)
+                .map_err(|error| OpenFailure::from(error).of(folder))?;
+        Ok(OfflineLog { files, buffer, effects })
     }
-    effects.extend(buffer.step(Duration::ZERO, Input::Decide { piece: id, decision }));
-    // Commits one after another, until nothing waits.
-    while !effects.is_empty() {
+
+    fn decide(mut self, id: PieceId, decision: OperatorDecision) -> Result<(), OfflineError> {
+        let mut effects = std::mem::take(&mut self.effects);
+        effects.extend(self.buffer.step(NOW, Input::Decide { piece: id, decision }));
+        // One commit follows from another, until nothing waits.
+        while !effects.is_empty() {
+            effects = self.carry_out(effects)?;
+        }
+        Ok(())
+    }
+
+    /// Carries out what concerns the log; nothing is sent from here. Returns what follows from that.
+    fn carry_out(&mut self, effects: Vec<Effect>) -> Result<Vec<Effect>, OfflineError> {
         let mut next = Vec::new();
         for effect in effects {
             match effect {
                 Effect::Commit(commit) => {
-                    files.commit(&commit).map_err(|e| format!("the log can't be written: {e}"))?;
-                    next.extend(buffer.step(Duration::ZERO, Input::CommitSucceeded));
+                    self.files.commit(&commit).map_err(OfflineError::Write)?;
+                    next.extend(self.buffer.step(NOW, Input::CommitSucceeded));
                 }
                 Effect::RemoveSegment(segment) => {
-                    files.remove(segment).map_err(|e| format!("segment {segment}: {e}"))?;
+                    let removed = self.files.remove(segment);
+                    removed.map_err(|source| OfflineError::RemoveSegment { segment, source })?;
                 }
-                // Nothing is sent from here.
                 _ => {}
             }
         }
-        effects = next;
+        Ok(next)
     }
-    Ok(())
 }
