--- a/crates/wal/src/log.rs
+++ b/crates/wal/src/log.rs
@@ -129,7 +129,7 @@
             return None;
         }
         if self.pending.is_empty() {
-            // A retired segment is removed only behind a batch that does without it, be it an empty one.
+            // A retired segment is removed only after a batch that names a later one as the oldest, be it an empty one.
             return self.segments.awaits_batch(self.batches_issued).then(|| self.empty_batch());
         }
         let (tail, count) = self.place_pending();
@@ -163,7 +163,7 @@
     }
 
     /// Takes a segment that is to be removed from disk: the oldest, once none of its records is in use and a
-    /// durable batch does without it.
+    /// durable batch names a later one as the oldest.
     pub fn pop_removable(&mut self) -> Option<SegmentNumber> {
         self.segments.retire_unused(self.batches_issued);
         let batches_durable = self.batches_issued - u64::from(self.in_flight.is_some());
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -95,7 +95,7 @@
 struct Recovery {
     identity: Identity,
     found: RecoveredLog,
-    /// What the last batch names: a segment is removed only once a batch that does without it is durable.
+    /// What the last batch names: a segment is removed only once a batch that names a later one is durable.
     oldest_in_use: Option<SegmentNumber>,
 }
 
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    /// Whether a segment may end with what stands at `offset`.
+    /// Whether a segment may end with the bytes at `offset`.
     fn check_end(
         &mut self,
         segment: &StoredSegment,
--- a/crates/wal/src/segments.rs
+++ b/crates/wal/src/segments.rs
@@ -118,12 +118,12 @@
         }
     }
 
-    /// Whether a segment was retired after the last batch was issued, so that no batch says so yet.
+    /// Whether a segment was retired after the last batch was issued, so that no batch names a later one as the oldest yet.
     pub fn awaits_batch(&self, batches_issued: u64) -> bool {
         self.retired.back().is_some_and(|segment| segment.batches_issued == batches_issued)
     }
 
-    /// Takes the oldest retired segment that a durable batch does without.
+    /// Takes the oldest retired segment if a durable batch names a later one as the oldest.
     pub fn pop_removable(&mut self, batches_durable: u64) -> Option<SegmentNumber> {
         let oldest = self.retired.front().filter(|segment| segment.batches_issued < batches_durable)?;
         let number = oldest.number;
--- a/crates/writeback/src/buffer.rs
+++ b/crates/writeback/src/buffer.rs
@@ -107,7 +107,7 @@
         self.journal.is_durable()
     }
 
-    /// All unsettled pieces, in the order of their coming.
+    /// All unsettled pieces, in the order of arrival.
     pub fn list(&self) -> Vec<UnsettledPiece> {
         self.pieces.list()
     }
@@ -148,8 +148,8 @@
         effects
     }
 
-    /// Takes all pieces of a write, or none: what is rejected must not come to pass. Returns the record of the
-    /// last one.
+    /// Takes all pieces of a write, or none: a rejected write must have no effect. Returns the record of
+    /// the last one.
     fn take_write(
         &mut self,
         now: Duration,
@@ -204,7 +204,7 @@
     fn piece_durable(&mut self, id: PieceId, effects: &mut Vec<Effect>) {
         let Some(buffered) = self.pieces.get_in_state(id, PieceState::Buffered) else { return };
         buffered.state = PieceState::Durable;
-        // What it covers whole and was never sent needs not be sent at all.
+        // An earlier piece that it overwrites completely and that was never sent need not be sent at all.
         for older in self.pieces.superseded_by(id) {
             self.settle(older, effects);
         }
@@ -273,14 +273,14 @@
         }
     }
 
-    /// A piece may have another intent. The record of that stands before the intent, so that a restart knows.
+    /// A piece may be sent again. The record of that precedes the next intent, so that a restart knows.
     fn never_ran(&mut self, id: PieceId, effects: &mut Vec<Effect>) {
         self.journal.owe_never_ran(id);
         self.pieces.set_state(id, PieceState::Durable);
         self.offer(id, effects);
     }
 
-    /// A piece is done with. What overlaps it may go now.
+    /// A piece is settled. Later pieces that overlap it may be sent now.
     fn settle(&mut self, id: PieceId, effects: &mut Vec<Effect>) {
         let Some(settled) = self.pieces.remove(id) else { return };
         if settled.state == PieceState::Ready {
--- a/crates/writeback/src/journal.rs
+++ b/crates/writeback/src/journal.rs
@@ -28,7 +28,7 @@
 pub(crate) struct Journal {
     log: Log,
     piece_by_record: BTreeMap<RecordNumber, PieceId>,
-    /// In the order in which they must stand in the log.
+    /// In the order in which they must be appended.
     owed: VecDeque<OwedRecord>,
     replaced: BTreeSet<ReplacedRecord>,
     /// Records in use that have been written again, the newer record not being durable yet.
@@ -82,7 +82,7 @@
         Ok(record)
     }
 
-    /// Takes the intent of a piece. It is rejected while a record is owed: were the intent to stand before the
+    /// Takes the intent of a piece. It is rejected while a record is owed: if the intent preceded the
     /// record of how an earlier piece ended, then a restart in between would take that piece for unsettled, and
     /// could send it behind this one.
     pub fn append_intent(&mut self, piece: PieceId) -> Result<RecordNumber, AppendError> {
--- a/crates/writeback/src/piece.rs
+++ b/crates/writeback/src/piece.rs
@@ -49,7 +49,7 @@
 }
 
 impl PieceState {
-    /// Whether an attempt may have run, or may yet: an intent stands in the log that nothing has ended.
+    /// Whether an attempt may have run, or may yet: the log holds an intent without a record of how it ended.
     pub(crate) fn may_have_run(self) -> bool {
         !matches!(self, PieceState::Buffered | PieceState::Durable | PieceState::Ready)
     }
--- a/crates/writeback/src/piece_table.rs
+++ b/crates/writeback/src/piece_table.rs
@@ -21,7 +21,7 @@
     longest_bytes: u64,
 }
 
-/// All unsettled pieces by their numbers, which rise in the order of their coming.
+/// All unsettled pieces by their numbers, which rise in the order of arrival.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PieceTable {
     pieces: BTreeMap<PieceId, BufferedPiece>,
@@ -75,7 +75,7 @@
         Some(buffered)
     }
 
-    /// The pieces that overlap a range of bytes of a volume, in the order of their coming.
+    /// The pieces that overlap a range of bytes of a volume, in the order of arrival.
     pub fn overlapping(&self, volume: u64, range: Range<u64>) -> Vec<PieceId> {
         let Some(index) = self.volumes.get(&volume) else { return Vec::new() };
         let earliest = range.start.saturating_sub(index.longest_bytes);
@@ -113,7 +113,7 @@
         true
     }
 
-    /// The earlier pieces that this one covers whole and that were never sent.
+    /// The earlier pieces that this one overwrites completely and that were never sent.
     pub fn superseded_by(&self, id: PieceId) -> Vec<PieceId> {
         let Some(newer) = self.pieces.get(&id) else { return Vec::new() };
         let range = newer.piece.export_offset..newer.piece.export_end();
--- a/crates/writeback/src/record.rs
+++ b/crates/writeback/src/record.rs
@@ -30,7 +30,7 @@
     Intent(PieceId),
     /// The piece provably never ran: it may have another intent.
     NeverRan(PieceId),
-    /// The piece is done with.
+    /// The piece is settled: it is at its endpoint, or not to be sent.
     Settled(PieceId),
 }
 
@@ -45,7 +45,7 @@
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// `None`: the bytes are not one whole record.
+    /// `None`: the bytes are not exactly one record.
     pub fn decode(bytes: &[u8]) -> Option<Record> {
         match postcard::take_from_bytes(bytes) {
             Ok((record, [])) => Some(record),
--- a/crates/writeback/tests/crashes.rs
+++ b/crates/writeback/tests/crashes.rs
@@ -41,6 +41,15 @@
     }
 }
 
+/// What was written to one cell.
+#[derive(Clone)]
+struct CellHistory {
+    /// All values, oldest first.
+    values: Vec<u32>,
+    /// The index of the oldest value that may still be seen: all before it are overwritten for good.
+    floor: usize,
+}
+
 /// An attempt that the endpoint has read and may still run.
 #[derive(Clone)]
 struct Attempt {
@@ -50,7 +59,7 @@
     until: Duration,
 }
 
-struct World {
+struct Simulation {
     now: Duration,
     disk: Disk,
     buffer: Buffer,
@@ -64,8 +73,7 @@
     cells: Vec<u32>,
     /// How often each value was written to each cell of the endpoint.
     ran: BTreeMap<(u32, u64), u32>,
-    /// Of each cell the values written, oldest first, and from which on none may be lost.
-    history: Vec<(Vec<u32>, usize)>,
+    history: Vec<CellHistory>,
     acknowledged: BTreeSet<CommandId>,
     rejected: BTreeSet<CommandId>,
     /// Commands that promise durability, and the values that stood when they were given.
@@ -73,9 +81,9 @@
     last: u32,
 }
 
-impl World {
+impl Simulation {
     fn new(doubt_policy: DoubtPolicy) -> Self {
-        World {
+        Simulation {
             now: Duration::ZERO,
             disk: Disk::default(),
             buffer: Buffer::new(IDENTITY, config(doubt_policy)),
@@ -88,7 +96,7 @@
             attempts: Vec::new(),
             cells: vec![0; CELLS as usize],
             ran: BTreeMap::new(),
-            history: vec![(vec![0], 0); CELLS as usize],
+            history: vec![CellHistory { values: vec![0], floor: 0 }; CELLS as usize],
             acknowledged: BTreeSet::new(),
             rejected: BTreeSet::new(),
             promises: BTreeMap::new(),
@@ -109,7 +117,7 @@
                 Effect::Acknowledge(command) => {
                     assert!(self.acknowledged.insert(command), "one answer");
                     for (cell, floor) in self.promises.remove(&command).into_iter().flatten().enumerate() {
-                        let own = &mut self.history[cell].1;
+                        let own = &mut self.history[cell].floor;
                         *own = (*own).max(floor);
                     }
                 }
@@ -117,7 +125,7 @@
                     assert!(reason == RejectReason::LogFull && self.rejected.insert(command), "one answer");
                     // Nothing of it has come to pass.
                     self.promises.remove(&command);
-                    self.history.iter_mut().for_each(|h| h.0.retain(|v| u64::from(*v) != command));
+                    self.history.iter_mut().for_each(|h| h.values.retain(|v| u64::from(*v) != command));
                 }
                 Effect::Ready(id) => assert!(self.ready.insert(id)),
                 Effect::Withdraw(id) => assert!(self.ready.remove(&id)),
@@ -148,11 +156,11 @@
             (true, true) => vec![piece(from, half, 0), piece(half, end, 1)],
             (left, _) => vec![piece(from, end, u16::from(!left))],
         };
-        (from..end).for_each(|c| self.history[c as usize].0.push(value));
+        (from..end).for_each(|c| self.history[c as usize].values.push(value));
         if fua {
             // Once acknowledged, this value is the floor of its cells.
             let floor =
-                |c: u64| if (from..end).contains(&c) { self.history[c as usize].0.len() - 1 } else { 0 };
+                |c: u64| if (from..end).contains(&c) { self.history[c as usize].values.len() - 1 } else { 0 };
             self.promises.insert(command, (0..CELLS).map(floor).collect());
         }
         self.feed(Input::Write { command, volume: VOLUME, pieces, fua });
@@ -160,7 +168,7 @@
 
     fn flush(&mut self) {
         self.last += 1;
-        let floors = self.history.iter().map(|h| h.0.len() - 1).collect();
+        let floors = self.history.iter().map(|h| h.values.len() - 1).collect();
         self.promises.insert(u64::from(self.last), floors);
         self.feed(Input::Flush { command: u64::from(self.last), volume: VOLUME });
     }
@@ -184,7 +192,7 @@
     }
 
     /// Of what is out, one comes to an end, as drawn.
-    fn answer(&mut self, drawn: u64) {
+    fn end_attempt(&mut self, drawn: u64) {
         let Some(id) = self.in_flight.get(drawn as usize % self.in_flight.len().max(1)).copied() else {
             return;
         };
@@ -205,10 +213,10 @@
     }
 
     /// Time passes; what stands at the endpoint runs, or is lost with its time.
-    fn pass(&mut self, span: Duration, drawn: u64) {
+    fn advance_time(&mut self, span: Duration, drawn: u64) {
         if !self.attempts.is_empty() && drawn & 1 == 1 {
             let n = drawn as usize / 2 % self.attempts.len();
-            // Those whose answer is awaited are answered by `answer`.
+            // Those whose answer is awaited are answered by `end_attempt`.
             if !self.in_flight.contains(&self.attempts[n].piece) {
                 self.run(n);
             }
@@ -261,7 +269,7 @@
         // What is seen now is one of the values since the last promise; what came after it is lost for good.
         let seen = self.visible();
         for (cell, value) in seen.into_iter().enumerate() {
-            let (values, floor) = &mut self.history[cell];
+            let CellHistory { values, floor } = &mut self.history[cell];
             let place = values.iter().rposition(|v| *v == value).expect("a value that was written");
             assert!(place >= *floor, "cell {cell}: {value} is older than promised: {values:?} from {floor}");
             values.truncate(place + 1);
@@ -284,7 +292,7 @@
             assert!(*times <= 1, "{value} reached cell {cell} of the endpoint {times} times");
         }
         for (cell, value) in self.visible().into_iter().enumerate() {
-            let newest = self.history[cell].0.last().copied().unwrap();
+            let newest = self.history[cell].values.last().copied().unwrap();
             assert_eq!(value, newest, "cell {cell}");
         }
     }
@@ -295,56 +303,56 @@
 }
 
 fn play(doubt_policy: DoubtPolicy, steps: Vec<(u8, u64)>) {
-    let mut world = World::new(doubt_policy);
+    let mut simulation = Simulation::new(doubt_policy);
     for (kind, drawn) in steps {
         match kind {
-            0..=4 => world.write(drawn % CELLS, 1 + drawn / 64 % 8, drawn >> 32 & 3 == 0),
-            5 => world.flush(),
-            6..=9 => world.finish_commit(),
+            0..=4 => simulation.write(drawn % CELLS, 1 + drawn / 64 % 8, drawn >> 32 & 3 == 0),
+            5 => simulation.flush(),
+            6..=9 => simulation.finish_commit(),
             10..=12 => {
-                if let Some(id) = world.ready.pop_first() {
-                    world.feed(Input::Start(id));
+                if let Some(id) = simulation.ready.pop_first() {
+                    simulation.feed(Input::Start(id));
                 }
             }
-            13 | 14 => world.answer(drawn),
-            15 => world.pass(Duration::from_millis(drawn % 2000), drawn >> 20),
-            16 => world.read_back(drawn),
-            17 => world.feed(Input::Idle),
+            13 | 14 => simulation.end_attempt(drawn),
+            15 => simulation.advance_time(Duration::from_millis(drawn % 2000), drawn >> 20),
+            16 => simulation.read_back(drawn),
+            17 => simulation.feed(Input::Idle),
             18 => {
-                world.decide();
+                simulation.decide();
             }
-            _ => world.crash(drawn),
+            _ => simulation.crash(drawn),
         }
-        world.check();
+        simulation.check();
     }
     // In the end all of it reaches the endpoint, each write once, but for what only an operator can settle.
     for _ in 0..400 {
-        world.finish_commit();
-        world.pass(S, 0);
-        world.finish_commit();
-        while !world.read_backs.is_empty() {
-            world.read_back(1);
+        simulation.finish_commit();
+        simulation.advance_time(S, 0);
+        simulation.finish_commit();
+        while !simulation.read_backs.is_empty() {
+            simulation.read_back(1);
         }
-        while let Some(id) = world.ready.pop_first() {
-            world.feed(Input::Start(id));
+        while let Some(id) = simulation.ready.pop_first() {
+            simulation.feed(Input::Start(id));
         }
-        world.finish_commit();
-        while !world.in_flight.is_empty() {
-            world.answer(0);
+        simulation.finish_commit();
+        while !simulation.in_flight.is_empty() {
+            simulation.end_attempt(0);
         }
-        world.check();
-        if world.buffer.usage().pieces == 0 && world.commit.is_none() {
+        simulation.check();
+        if simulation.buffer.usage().pieces == 0 && simulation.commit.is_none() {
             break;
         }
         // What is in doubt holds back what overlaps it, until somebody looks.
-        let sure = world.buffer.usage().pieces - world.buffer.in_doubt();
-        if sure == 0 || world.ready.is_empty() && world.in_flight.is_empty() {
-            world.decide();
+        let sure = simulation.buffer.usage().pieces - simulation.buffer.in_doubt();
+        if sure == 0 || simulation.ready.is_empty() && simulation.in_flight.is_empty() {
+            simulation.decide();
         }
     }
-    assert_eq!(world.buffer.usage().pieces, 0, "something never goes");
-    let newest: Vec<u32> = world.history.iter().map(|h| *h.0.last().unwrap()).collect();
-    assert_eq!(world.cells, newest, "the endpoint holds what was written last");
+    assert_eq!(simulation.buffer.usage().pieces, 0, "something never goes");
+    let newest: Vec<u32> = simulation.history.iter().map(|h| *h.values.last().unwrap()).collect();
+    assert_eq!(simulation.cells, newest, "the endpoint holds what was written last");
 }
 
 proptest! {
@@ -356,7 +364,7 @@
     }
 
     #[test]
-    fn nor_does_one_that_sends_again_after_the_bound(steps in steps()) {
+    fn no_crash_loses_what_is_promised_or_sends_twice_when_pieces_are_resent(steps in steps()) {
         play(DoubtPolicy::Resend, steps);
     }
 }
--- a/src/writeback/offline.rs
+++ b/src/writeback/offline.rs
@@ -51,7 +51,7 @@
     },
 }
 
-/// All unsettled writes, in the order of their coming.
+/// All unsettled writes, in the order of arrival.
 ///
 /// # Errors
 /// The log can't be opened.
