--- a/src/nbd/front.rs
+++ b/src/nbd/front.rs
@@ -7,10 +7,10 @@
 use crate::runtime::gate::{Closing, Gate};
 use crate::runtime::host::Host;
 use crate::runtime::sockets::Uninterrupted;
-use crate::writeback::{covers, patch, Keeper};
+use crate::writeback::{WriteBackCache, WriteError};
 use bytes::Bytes;
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use shaletack_writeback::{NewPiece, Refusal};
+use shaletack_writeback::Piece as BufferedPiece;
 use std::collections::BTreeSet;
 use std::future::Future;
 use std::io;
@@ -42,7 +42,7 @@
 const STUCK: Duration = Duration::from_secs(30);
 
 struct Shared {
-    keeper: Option<Keeper>,
+    write_back: Option<WriteBackCache>,
     host: Host,
     operator: Operator,
     boxes: Rc<Boxes>,
@@ -74,15 +74,14 @@
     let gate =
         Gate { listener, host: host.clone(), most, closing: closing.clone(), succeeded: Rc::new(|| false) };
     let boxes = Rc::new(Boxes::new(operator.box_export.clone(), connect, idle));
-    let keeper =
-        operator.write_back.as_ref().map(|set| Keeper::open(host.clone(), boxes.clone(), &operator, set));
-    let keeper = keeper.transpose()?;
+    let open = |settings| WriteBackCache::open(host.clone(), boxes.clone(), &operator, settings);
+    let write_back = operator.write_back.as_ref().map(open).transpose().map_err(|error| error.to_string())?;
     let memory = Arc::new(Semaphore::new(MEMORY_KIB));
-    let kept = keeper.clone();
-    let shared = Rc::new(Shared { keeper, host, operator, boxes, memory });
+    let cache = write_back.clone();
+    let shared = Rc::new(Shared { write_back, host, operator, boxes, memory });
     gate.serve(stop, |stream| connection(shared.clone(), closing.clone(), stream)).await;
-    if let Some(keeper) = kept {
-        keeper.close().await;
+    if let Some(cache) = cache {
+        cache.close().await;
     }
     Ok(())
 }
@@ -417,31 +416,31 @@
     }
 
     /// A write or flush of an export whose writes are buffered.
-    async fn buffer(&self, keeper: &Keeper, request: &Request, parts: &[Part], data: &Bytes) {
+    async fn buffer(&self, cache: &WriteBackCache, request: &Request, parts: &[Part], data: &Bytes) {
         let settings = self.shared.host.settings();
         let class = self.shared.operator.classes.write;
         let patience = settings.classes.get(class as usize).map_or(Duration::ZERO, |c| c.deadline);
         let done = if request.command == cmd::FLUSH {
-            keeper.flush(&self.export, patience).await
+            cache.flush(&self.export, patience).await
         } else {
-            let piece = |part: &Part| NewPiece {
-                from: request.offset + u64::from(part.skip),
+            let piece = |part: &Part| BufferedPiece {
+                export_offset: request.offset + u64::from(part.skip),
                 shard: part.shard,
-                at: part.at,
+                endpoint_offset: part.at,
                 data: data.slice(part.skip as usize..(part.skip + part.length) as usize),
             };
             let pieces = parts.iter().map(piece).collect();
-            keeper.write(&self.export, pieces, request.flags & flag::FUA != 0, patience).await
+            cache.write(&self.export, pieces, request.flags & flag::FUA != 0, patience).await
         };
         match done {
             Ok(()) if self.structured => {
                 self.say(chunk_head(chunk::DONE, chunk::NONE, request.cookie, 0), Bytes::new(), None).await;
             }
             Ok(()) => self.say(simple_reply(0, request.cookie), Bytes::new(), None).await,
-            Err(Refusal::Full) => {
+            Err(WriteError::LogFull) => {
                 self.error(request.cookie, errno::NOMEM, "refused: the buffer is full", None).await;
             }
-            Err(Refusal::TooLarge | Refusal::Failed) => {
+            Err(WriteError::TooLarge | WriteError::NotDurableInTime) => {
                 self.error(request.cookie, errno::IO, "failed: the buffer takes nothing", None).await;
             }
         }
@@ -451,24 +450,24 @@
     async fn execute(&self, request: Request, data: Bytes, memory: Arc<OwnedSemaphorePermit>) {
         let (cookie, read) = (request.cookie, request.command == cmd::READ);
         let parts = self.parts(&request);
-        let keeper = self.shared.keeper.as_ref().filter(|_| self.export.write_back);
-        if let Some(keeper) = keeper.filter(|_| !read) {
-            return self.buffer(keeper, &request, &parts, &data).await;
+        let cache = self.shared.write_back.as_ref().filter(|_| self.export.write_back);
+        if let Some(cache) = cache.filter(|_| !read) {
+            return self.buffer(cache, &request, &parts, &data).await;
         }
         // Taken before any box is asked: what leaves the buffer meanwhile may not be in what they answer.
         let overlay =
-            keeper.map(|k| k.overlay(&self.export, request.offset, request.length)).unwrap_or_default();
-        let overlay = overlay.as_slice();
+            cache.map(|c| c.overlay(&self.export, request.offset, request.length)).unwrap_or_default();
+        let overlay = &overlay;
         let asks = parts.iter().map(|part| async {
             let from = request.offset + u64::from(part.skip);
-            if read && covers(from, part.length, overlay) {
-                let bytes = patch(from, vec![0; part.length as usize], overlay);
+            if read && overlay.covers(from, part.length) {
+                let bytes = overlay.apply(from, vec![0; part.length as usize]);
                 return (*part, Answer::Served(bytes.into()));
             }
-            let _needs = self.shared.keeper.as_ref().map(|keeper| keeper.needs(part.shard));
+            let _demand = self.shared.write_back.as_ref().map(|cache| cache.client_request(part.shard));
             let answer = match self.ask(&request, *part, &data).await {
                 Answer::Served(bytes) if !overlay.is_empty() => {
-                    Answer::Served(patch(from, bytes.into(), overlay).into())
+                    Answer::Served(overlay.apply(from, bytes.into()).into())
                 }
                 answer => answer,
             };
