--- a/src/app/configuration.rs
+++ b/src/app/configuration.rs
@@ -89,7 +89,7 @@
 fn read_file(file: &str) -> Result<Vec<u8>, ReadError> {
     std::fs::read(file).map_err(|error| {
         let why = format!("{file}: {error}");
-        if sockets::is_passing(&error) {
+        if sockets::is_transient(&error) {
             ReadError::Transient(why)
         } else {
             ReadError::Invalid(why)
--- a/src/etcd.rs
+++ b/src/etcd.rs
@@ -8,7 +8,7 @@
 use crate::json::{self, JsonError, JsonField};
 use crate::operator::Etcd;
 use crate::runtime::host::Host;
-use crate::runtime::objects::{self, Objects};
+use crate::runtime::json_stream::{JsonObjects, StreamEnd};
 use crate::runtime::sockets::http_client;
 use awc::Client;
 use base64::engine::general_purpose::STANDARD;
@@ -170,13 +170,13 @@
         Ok(Err(error)) => return Over::Broken(format!("watch could not be asked: {error}")),
         Err(_) => return Over::Broken("no answer to a watch".into()),
     };
-    let mut messages = Objects::new(response);
+    let mut messages = JsonObjects::new(response);
     loop {
         // etcd sends nothing while nothing changes: whether the watch is dead only the whole list tells.
         let message = match messages.next(SILENT).await {
             Ok(None) => continue,
             Ok(Some(message)) => message,
-            Err(objects::Over::Silent) => return Over::Silent,
+            Err(StreamEnd::TimedOut) => return Over::Silent,
             Err(why) => return Over::Broken(format!("watch {why}")),
         };
         match news(message, etcd, revision) {
--- a/src/nbd/boxes.rs
+++ b/src/nbd/boxes.rs
@@ -4,7 +4,7 @@
 use crate::broker::{AttemptProgress, AttemptResult};
 use crate::outcome::TransportOutcome;
 use crate::runtime::host::{Errand, Tell};
-use crate::runtime::sockets::{connect, end_of_connect, Uninterrupted};
+use crate::runtime::sockets::{connect, connect_outcome, Uninterrupted};
 use bytes::Bytes;
 use futures_util::future::{FutureExt, LocalBoxFuture};
 use std::cell::RefCell;
@@ -97,7 +97,7 @@
         }
         let open = async {
             let connected = connect(to, self.connect_timeout).await;
-            let stream = connected.map_err(|why| end_of_connect(&why))?;
+            let stream = connected.map_err(|why| connect_outcome(&why))?;
             let _ = stream.set_nodelay(true);
             Link::handshake(stream, &self.export).await.map_err(|_| TransportOutcome::HandshakeFailed)
         };
--- a/src/nbd/front.rs
+++ b/src/nbd/front.rs
@@ -4,8 +4,9 @@
 use super::codec::*;
 use crate::broker::{Answer, IncomingRequest};
 use crate::operator::{Export, Operator};
-use crate::runtime::gate::{Closing, Gate};
 use crate::runtime::host::Host;
+use crate::runtime::listener::FrontListener;
+use crate::runtime::shutdown::Shutdown;
 use crate::runtime::sockets::Uninterrupted;
 use crate::writeback::{WriteBackCache, WriteError};
 use bytes::Bytes;
@@ -68,25 +69,30 @@
     let or = |span: Duration, other: Duration| if span.is_zero() { other } else { span };
     let connect = or(settings.connect_timeout, Duration::from_millis(250));
     let idle = or(settings.keep_alive_timeout, Duration::from_secs(5)) * 6 / 10;
-    let closing = Closing::default();
+    let shutdown = Shutdown::default();
     // A client's connection may have several to boxes in use.
     let most = (operator.sockets / 4).max(1);
-    let gate =
-        Gate { listener, host: host.clone(), most, closing: closing.clone(), succeeded: Rc::new(|| false) };
+    let listener = FrontListener {
+        listener,
+        host: host.clone(),
+        max_connections: most,
+        shutdown: shutdown.clone(),
+        succeeded: Rc::new(|| false),
+    };
     let boxes = Rc::new(Boxes::new(operator.box_export.clone(), connect, idle));
     let open = |settings| WriteBackCache::open(host.clone(), boxes.clone(), &operator, settings);
     let write_back = operator.write_back.as_ref().map(open).transpose().map_err(|error| error.to_string())?;
     let memory = Arc::new(Semaphore::new(MEMORY_KIB));
     let cache = write_back.clone();
     let shared = Rc::new(Shared { write_back, host, operator, boxes, memory });
-    gate.serve(stop, |stream| connection(shared.clone(), closing.clone(), stream)).await;
+    listener.serve(stop, |stream| connection(shared.clone(), shutdown.clone(), stream)).await;
     if let Some(cache) = cache {
         cache.close().await;
     }
     Ok(())
 }
 
-async fn connection(shared: Rc<Shared>, closing: Closing, stream: TcpStream) {
+async fn connection(shared: Rc<Shared>, shutdown: Shutdown, stream: TcpStream) {
     let (reader, writer) = stream.into_split();
     let (mut reader, mut writer) = (BufReader::new(Uninterrupted(reader)), Uninterrupted(writer));
     let shaken = tokio::time::timeout(HANDSHAKE, handshake(&shared, &mut reader, &mut writer)).await;
@@ -96,7 +102,7 @@
     let mut writing = std::pin::pin!(write(writer, outs));
     // Whichever way a client leaves, its requests are dropped with this future, and the core is told.
     let finished = tokio::select! {
-        end = session.commands(reader, closing) => end.is_ok(),
+        end = session.commands(reader, shutdown) => end.is_ok(),
         () = &mut writing => false,
     };
     if finished {
@@ -286,10 +292,10 @@
 
 impl Session {
     /// Takes commands until the client ends, or the program does; `Err`: the client left its answers.
-    async fn commands(self: Rc<Self>, mut reader: Reader, closing: Closing) -> io::Result<()> {
+    async fn commands(self: Rc<Self>, mut reader: Reader, shutdown: Shutdown) -> io::Result<()> {
         let mut tasks = JoinSet::new();
         let places = Arc::new(Semaphore::new(PIPELINED));
-        let mut closing = std::pin::pin!(closing.told());
+        let mut closing = std::pin::pin!(shutdown.closing());
         loop {
             while tasks.try_join_next().is_some() {}
             let request = tokio::select! {
--- a/src/net/boxes.rs
+++ b/src/net/boxes.rs
@@ -5,7 +5,7 @@
 use crate::interface::Settings;
 use crate::outcome::TransportOutcome;
 use crate::runtime::host::{Errand, Host, Tell};
-use crate::runtime::sockets::{address_of, connect, end_of_connect};
+use crate::runtime::sockets::{address_of, connect, connect_outcome};
 use actix_http::body::{BodyStream, SizedStream};
 use actix_http::error::ParseError;
 use actix_http::header::HeaderValue;
@@ -358,7 +358,7 @@
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => TransportOutcome::LostAwaitingResponse,
         SendRequestError::Connect(ConnectError::Timeout) => TransportOutcome::ConnectTimedOut,
-        SendRequestError::Connect(ConnectError::Io(why)) => end_of_connect(why),
+        SendRequestError::Connect(ConnectError::Io(why)) => connect_outcome(why),
         SendRequestError::Connect(_) | SendRequestError::Url(_) => TransportOutcome::Unreachable,
         SendRequestError::Send(_) => TransportOutcome::LostWhileWriting,
         SendRequestError::Timeout => TransportOutcome::TimedOut,
--- a/src/net/crowd.rs
+++ b/src/net/crowd.rs
@@ -5,8 +5,8 @@
 
 use super::ahead::{Arrivals, KeptByAll};
 use super::client::ClientStream;
-use crate::runtime::gate::Closing;
 use crate::runtime::host::Host;
+use crate::runtime::shutdown::Shutdown;
 use crate::runtime::sockets::Uninterrupted;
 use futures_util::FutureExt;
 use std::cell::{Cell, RefCell};
@@ -243,9 +243,9 @@
         ClientStream::new(socket, line, self.kept.clone())
     }
 
-    /// Ends connections whose time is over, for as long as the front serves; `most` are let in. Once `closing` is
+    /// Ends connections whose time is over, for as long as the front serves; `most` are let in. Once `shutdown` is
     /// told every one ends on which nothing is asked.
-    pub async fn keep(self, host: Host, most: usize, closing: Closing) {
+    pub async fn keep(self, host: Host, most: usize, shutdown: Shutdown) {
         let mut told = None;
         loop {
             tokio::time::sleep(LOOK).await;
@@ -254,13 +254,13 @@
             lines.retain(|line| line.strong_count() > 0);
             // Nobody waits for a place of a process that another one has succeeded.
             let most = (most as f64 * host.part()).ceil() as usize;
-            let full = lines.len() >= most || closing.is_short();
+            let full = lines.len() >= most || shutdown.is_short_of_descriptors();
             let (open, full) = (lines.len(), full && host.succeeded_since().is_none());
             let mut cut = 0;
             let live = || lines.iter().filter_map(Weak::upgrade);
             live().filter(|l| l.is_waited_for() && l.is_left()).for_each(|line| line.cut.notify_one());
             let succeeded = host.succeeded_since().map(|since| (since, SUCCEEDED));
-            if closing.is_told() {
+            if shutdown.is_closing() {
                 live().for_each(|line| line.end_quietly());
             } else if let Some((since, leave)) = succeeded.or(host.leaves_since().map(|since| (since, LEAVE)))
             {
@@ -277,7 +277,7 @@
                     }
                 }
             }
-            let stops = closing.is_told();
+            let stops = shutdown.is_closing();
             cut += live().filter(|l| l.is_over(now, full, stops)).map(|line| line.cut.notify_one()).count();
             if full && told.is_none_or(|at| now > at + Duration::from_secs(1)) {
                 warn!(
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -5,8 +5,9 @@
 use super::crowd::{Crowd, Line};
 use crate::broker::{Answer, Broker, IncomingRequest};
 use crate::interface::VolumeId;
-use crate::runtime::gate::{Closing, Gate};
 use crate::runtime::host::{Host, Passing};
+use crate::runtime::listener::FrontListener;
+use crate::runtime::shutdown::Shutdown;
 use actix_http::body::{BodyStream, BoxBody, SizedStream};
 use actix_http::header::{HeaderMap, HeaderValue};
 use actix_http::{
@@ -45,18 +46,24 @@
 /// Serves until `stop` ends, and then what was taken.
 pub async fn serve(front: Front, listener: TcpListener, stop: impl std::future::Future<Output = ()>) {
     let Front { host, boxes, most, traces, succeeded } = front;
-    let closing = Closing::default();
+    let shutdown = Shutdown::default();
     let core = host.clone();
-    let gate = Gate { listener, host: host.clone(), most, closing: closing.clone(), succeeded };
+    let listener = FrontListener {
+        listener,
+        host: host.clone(),
+        max_connections: most,
+        shutdown: shutdown.clone(),
+        succeeded,
+    };
     let open = Rc::new(Open { host, boxes, traces });
-    let closes = closing.clone();
+    let closing = shutdown.clone();
     let handler = fn_service(move |request: Request| {
-        let (open, closes) = (open.clone(), closes.clone());
+        let (open, closing) = (open.clone(), closing.clone());
         async move {
             let line = request.conn_data::<Rc<Line>>().cloned();
             let mut response = open.handle(request).await;
             let leaves = open.host.leaves_since().or(open.host.succeeded_since()).is_some();
-            let ends = leaves || closes.is_told();
+            let ends = leaves || closing.is_closing();
             if line.is_some_and(|line| line.floods() || ends && !line.has_more()) {
                 response.head_mut().set_connection_type(ConnectionType::Close);
             }
@@ -77,7 +84,7 @@
         .h1(handler);
     let Ok(http) = http.new_service(()).await else { return error!("the front could not be set up") };
     let crowd = Crowd::default();
-    let keeper = actix_rt::spawn(crowd.clone().keep(core, most, closing));
+    let keeper = actix_rt::spawn(crowd.clone().keep(core, most, shutdown));
     // How a client's connection ends is the client's affair; its request knows by being dropped.
     let serve = |stream| {
         let stream = crowd.join(stream);
@@ -90,7 +97,7 @@
             }
         }
     };
-    gate.serve(stop, serve).await;
+    listener.serve(stop, serve).await;
     keeper.abort();
 }
 
--- a/src/net/watch.rs
+++ b/src/net/watch.rs
@@ -5,7 +5,7 @@
 use crate::endpoint_list_poll::{CallEnd, EndpointListPoll, NOTIFIED_WITHIN};
 use crate::interface::EndpointListKind;
 use crate::runtime::host::Host;
-use crate::runtime::objects::Objects;
+use crate::runtime::json_stream::JsonObjects;
 use crate::runtime::sockets::http_client;
 use awc::Client;
 use std::cell::Cell;
@@ -198,7 +198,7 @@
             Err(_) => return (CallEnd::TimedOut, "no answer".into()),
         };
         let (mut objects, mut first) =
-            (Objects::new(response), Some(EndpointListPoll::first_object_timeout(&settings)));
+            (JsonObjects::new(response), Some(EndpointListPoll::first_object_timeout(&settings)));
         loop {
             // What an agent holds it tells at once: a head and no more is as good as none.
             let next = objects.next(EndpointListPoll::silence_limit());
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -89,7 +89,7 @@
     pub async fn start(host: Host, set: &operator::Peers, me: Observer) -> io::Result<Self> {
         let tcp = sockets::listen(set.listen).await?;
         let at = tcp.local_addr()?;
-        let udp = sockets::retry_shortage(|| UdpSocket::bind(at)).await?;
+        let udp = sockets::retry_while_short(|| UdpSocket::bind(at)).await?;
         let epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let peer = Peer { name: me.name.clone(), life: me.life, epoch: epoch.as_millis() as u64, at };
         info!(at = %at, name = me.name, listed = set.join.len(), "listens for peers");
--- a/src/runtime/sockets.rs
+++ b/src/runtime/sockets.rs
@@ -16,12 +16,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// A listener that the system has no socket for is asked for again so often, and for so long in all.
-const BIND_AGAIN: Duration = Duration::from_millis(20);
-const BIND_MOST: Duration = Duration::from_secs(3);
-/// A connection that failed on this machine is tried again so often, for that part of the time that it may take.
-const CONNECT_AGAIN: Duration = Duration::from_millis(5);
-const CONNECT_PART: f64 = 0.9;
+/// A listener that the system has no socket for is asked for again after this time,
+const BIND_INTERVAL: Duration = Duration::from_millis(20);
+/// and no longer than this in all.
+const BIND_TIMEOUT: Duration = Duration::from_secs(3);
+/// A connection that failed on this machine is tried again after this time,
+const CONNECT_INTERVAL: Duration = Duration::from_millis(5);
+/// for this part of the time that it may take.
+const CONNECT_TIME_SHARE: f64 = 0.9;
 
 // Numbers of errors on Linux.
 const EINTR: i32 = 4;
@@ -39,7 +41,7 @@
 }
 
 /// A file can't be opened or read just now, which says nothing of what is in it.
-pub fn is_passing(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     is_shortage(error) || matches!(error.raw_os_error(), Some(EINTR | EIO | EAGAIN))
 }
 
@@ -54,17 +56,19 @@
 /// It failed in another way, or there was no socket all that time.
 pub async fn connect(to: SocketAddr, within: Duration) -> io::Result<TcpStream> {
     // The caller's own clock for it is not to run out before this one says why.
-    let until = Instant::now() + within.mul_f64(CONNECT_PART);
+    let until = Instant::now() + within.mul_f64(CONNECT_TIME_SHARE);
     loop {
         match TcpStream::connect(to).await {
-            Err(why) if is_local(&why) && Instant::now() < until => tokio::time::sleep(CONNECT_AGAIN).await,
+            Err(why) if is_local(&why) && Instant::now() < until => {
+                tokio::time::sleep(CONNECT_INTERVAL).await
+            }
             done => return done,
         }
     }
 }
 
 /// How an attempt ended whose connection could not be begun or did not come up.
-pub fn end_of_connect(error: &io::Error) -> TransportOutcome {
+pub fn connect_outcome(error: &io::Error) -> TransportOutcome {
     if is_local(error) {
         TransportOutcome::NoDescriptor
     } else {
@@ -77,19 +81,19 @@
 /// # Errors
 /// The address can't be had, or there was no socket for 3 s.
 pub async fn listen(at: SocketAddr) -> io::Result<TcpListener> {
-    retry_shortage(|| TcpListener::bind(at)).await
+    retry_while_short(|| TcpListener::bind(at)).await
 }
 
 /// Carries out what makes a socket again for as long as the system has none to give.
 ///
 /// # Errors
 /// It failed in another way, or the system had none for 3 s.
-pub async fn retry_shortage<T, F: Future<Output = io::Result<T>>>(make: impl Fn() -> F) -> io::Result<T> {
-    let until = Instant::now() + BIND_MOST;
+pub async fn retry_while_short<T, F: Future<Output = io::Result<T>>>(make: impl Fn() -> F) -> io::Result<T> {
+    let until = Instant::now() + BIND_TIMEOUT;
     loop {
         match make().await {
             Err(why) if is_shortage(&why) && Instant::now() < until => {
-                tokio::time::sleep(BIND_AGAIN).await;
+                tokio::time::sleep(BIND_INTERVAL).await;
             }
             done => return done,
         }
@@ -120,7 +124,7 @@
 #[derive(Debug)]
 pub struct Uninterrupted<S>(pub S);
 
-fn again<T>(mut call: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+fn retry_interrupted<T>(mut call: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
     loop {
         match call() {
             Poll::Ready(Err(why)) if why.kind() == io::ErrorKind::Interrupted => {}
@@ -135,13 +139,13 @@
         cx: &mut Context<'_>,
         out: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        again(|| Pin::new(&mut self.0).poll_read(cx, out))
+        retry_interrupted(|| Pin::new(&mut self.0).poll_read(cx, out))
     }
 }
 
 impl<S: AsyncWrite + Unpin> AsyncWrite for Uninterrupted<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        again(|| Pin::new(&mut self.0).poll_write(cx, bytes))
+        retry_interrupted(|| Pin::new(&mut self.0).poll_write(cx, bytes))
     }
 
     fn poll_write_vectored(
@@ -149,7 +153,7 @@
         cx: &mut Context<'_>,
         parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        again(|| Pin::new(&mut self.0).poll_write_vectored(cx, parts))
+        retry_interrupted(|| Pin::new(&mut self.0).poll_write_vectored(cx, parts))
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -157,11 +161,11 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        again(|| Pin::new(&mut self.0).poll_flush(cx))
+        retry_interrupted(|| Pin::new(&mut self.0).poll_flush(cx))
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        again(|| Pin::new(&mut self.0).poll_shutdown(cx))
+        retry_interrupted(|| Pin::new(&mut self.0).poll_shutdown(cx))
     }
 }
 
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -8,7 +8,7 @@
 use shaletack::nbd::codec::{cmd, errno};
 use shaletack::net::watch::Watch;
 use shaletack::outcome::TransportOutcome;
-use shaletack::runtime::objects::{Objects, Over};
+use shaletack::runtime::json_stream::{JsonObjects, StreamEnd};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 
@@ -516,7 +516,7 @@
         for text in layouts {
             for size in 1..=text.len() {
                 let pieces = text.as_bytes().chunks(size).map(|p| Ok::<_, String>(Bytes::copy_from_slice(p)));
-                let mut objects = Objects::new(stream::iter(pieces.collect::<Vec<_>>()));
+                let mut objects = JsonObjects::new(stream::iter(pieces.collect::<Vec<_>>()));
                 let mut found = Vec::new();
                 let over = loop {
                     match objects.next(Duration::from_secs(1)).await {
@@ -524,7 +524,7 @@
                         Err(over) => break over,
                     }
                 };
-                assert!(matches!(over, Over::Closed), "{over}: {text} in pieces of {size}");
+                assert!(matches!(over, StreamEnd::Closed), "{over}: {text} in pieces of {size}");
                 let read = |text: &Vec<u8>| serde_json::from_slice::<serde_json::Value>(text).unwrap();
                 assert_eq!(
                     found.iter().map(read).collect::<Vec<_>>(),
@@ -534,7 +534,10 @@
             }
         }
         let spoilt = stream::iter([Ok::<_, String>(Bytes::from_static(b"<html>"))]);
-        assert!(matches!(Objects::new(spoilt).next(Duration::from_secs(1)).await, Err(Over::Unreadable(_))));
+        assert!(matches!(
+            JsonObjects::new(spoilt).next(Duration::from_secs(1)).await,
+            Err(StreamEnd::Unreadable(_))
+        ));
     });
 }
 
