--- a/crates/core/src/broker/effect.rs
+++ b/crates/core/src/broker/effect.rs
@@ -4,7 +4,7 @@
 use crate::interface::RequestId;
 use crate::operator_event::OperatorEvent;
 use bytes::Bytes;
-use shaletack_knowledge::Told;
+use shaletack_observations::Report;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -45,5 +45,5 @@
     /// Something for the operators to know.
     Log(OperatorEvent),
     /// All that this process observes of endpoints now, for its peers; the receiver filters what is new.
-    Broadcast(Vec<Told>),
+    Broadcast(Vec<Report>),
 }
--- a/crates/core/src/broker/endpoints.rs
+++ b/crates/core/src/broker/endpoints.rs
@@ -153,7 +153,7 @@
             zone: context.zone_number(record),
             shard: record.shard,
             readiness: if drained { Readiness::Draining } else { record.readiness },
-            started_at: state.started_at().max(advice.born.unwrap_or_default()),
+            started_at: state.started_at().max(advice.started_at.unwrap_or_default()),
             start_id: state.start_id(),
         })
     }
--- a/crates/core/src/broker/input.rs
+++ b/crates/core/src/broker/input.rs
@@ -7,7 +7,7 @@
 use crate::outcome::TransportOutcome;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
-use shaletack_knowledge::{Observer, Told};
+use shaletack_observations::{Observer, Report};
 use std::time::Duration;
 
 /// One attempt of a request.
@@ -152,10 +152,10 @@
         /// The round trip of the exchange.
         round_trip: Duration,
         /// Its reports.
-        reports: Vec<Told>,
+        reports: Vec<Report>,
     },
     /// Reports that were new among the peers, checked by whoever brings them.
-    GossipMerged(Vec<Told>),
+    GossipMerged(Vec<Report>),
     /// The sums over all other initiators.
     PeerTotals(Totals),
     /// The timer that [`Effect::SetTimer`](super::Effect::SetTimer) set has fired.
--- a/crates/core/src/broker/mod.rs
+++ b/crates/core/src/broker/mod.rs
@@ -32,7 +32,7 @@
 use current_settings::CurrentSettings;
 use endpoints::{Endpoints, UpdateContext};
 use requests::Requests;
-use shaletack_knowledge::Observer;
+use shaletack_observations::Observer;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/core/src/broker/peers.rs
+++ b/crates/core/src/broker/peers.rs
@@ -7,12 +7,12 @@
 use crate::gossip::{Contribution, Peers, Totals};
 use crate::interface::{EndpointListKind, Event};
 use crate::operator_event::OperatorEvent;
-use shaletack_knowledge::{Observer, Told};
+use shaletack_observations::{Observer, Report};
 use std::time::{Duration, Instant};
 
 impl Broker {
     /// What a peer is told in an exchange, most needed first; nothing where there are no peers.
-    pub fn peer_reports(&self, now: Instant) -> Vec<Told> {
+    pub fn peer_reports(&self, now: Instant) -> Vec<Report> {
         let now = self.clock.time(now);
         let Some(peers) = &self.peers else { return Vec::new() };
         peers.tell(now, &self.endpoints.known(), &self.scheduler)
@@ -30,19 +30,19 @@
         &mut self,
         from: Observer,
         round_trip: Duration,
-        reports: Vec<Told>,
+        reports: Vec<Report>,
         step: &mut Step,
     ) {
         step.review_due = true;
         let Some(peers) = &mut self.peers else { return };
-        let unsound = peers.hear(step.now, round_trip, &from, reports).unsound;
+        let unsound = peers.hear(step.now, round_trip, &from, reports).invalid;
         if unsound > 0 {
             step.log(OperatorEvent::PeerReportsRejected { from: from.name, unsound });
         }
     }
 
     /// Takes reports that were new among the peers.
-    pub(super) fn merge_gossip(&mut self, reports: Vec<Told>, step: &mut Step) {
+    pub(super) fn merge_gossip(&mut self, reports: Vec<Report>, step: &mut Step) {
         step.review_due = true;
         if let Some(peers) = &mut self.peers {
             peers.learn(step.now, reports);
@@ -83,7 +83,7 @@
                 id: change.id.clone(),
                 stopped: change.advice.stop_until.is_some(),
                 held: change.advice.hold_until.is_some(),
-                started_ago: change.advice.born.map(|born| now.saturating_sub(born)),
+                started_ago: change.advice.started_at.map(|born| now.saturating_sub(born)),
             });
         }
         let context = UpdateContext::new(self.settings.get(), self.peers.as_ref());
--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -6,10 +6,11 @@
 use crate::interface::{
     AttemptOutcome, EndedAttempt, EndpointId, Event, PeerGossip, Readiness, SharedRules, VolumeId,
 };
-use shaletack_knowledge::fact::Topic;
-use shaletack_knowledge::{
-    demand, spent, weigh, Advice, Fact, Health, Knowledge, Observer, Own, Refused, Standing, Told, What,
-    KEPT, RATES,
+
+use shaletack_observations::{
+    reported_demand, reported_slow_start_units, Advice, AttemptHistory, Claim, EndpointHealth, LocalView,
+    Observation, ObservationStore, Observer, RejectedReports, Report, ReportedReadiness, Subject,
+    DEMAND_LIFETIME, OBSERVATION_LIFETIME,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -63,14 +64,14 @@
 #[derive(Clone, Debug)]
 pub struct Peers {
     me: Observer,
-    knowledge: Knowledge,
+    knowledge: ObservationStore,
     /// When the own list last spoke.
     dated: Option<Duration>,
     /// The start that each box had when it was last listed, and when that was first known.
     met: BTreeMap<String, (u64, Duration)>,
     /// When the own list last said that a box takes no work.
     unready: BTreeMap<String, Duration>,
-    health: BTreeMap<EndpointId, Health>,
+    health: BTreeMap<EndpointId, AttemptHistory>,
     advice: BTreeMap<String, Advice>,
     /// When this process last said what it sees.
     said_at: Duration,
@@ -113,7 +114,7 @@
     pub fn new(me: Observer) -> Self {
         Peers {
             me,
-            knowledge: Knowledge::default(),
+            knowledge: ObservationStore::default(),
             dated: None,
             met: BTreeMap::new(),
             unready: BTreeMap::new(),
@@ -131,14 +132,20 @@
     }
 
     /// Takes what a peer told.
-    pub fn hear(&mut self, at: Duration, trip: Duration, from: &Observer, told: Vec<Told>) -> Refused {
-        self.knowledge.hear(at, trip, &self.me, from, told).1
+    pub fn hear(
+        &mut self,
+        at: Duration,
+        trip: Duration,
+        from: &Observer,
+        told: Vec<Report>,
+    ) -> RejectedReports {
+        self.knowledge.merge_reports(at, trip, &self.me, from, told).rejected
     }
 
     /// Takes what was news among the peers, checked by whoever brings it.
-    pub fn learn(&mut self, at: Duration, told: Vec<Told>) {
-        for told in told.into_iter().filter(|told| told.by != self.me) {
-            self.knowledge.learn(told.heard(at, Duration::ZERO));
+    pub fn learn(&mut self, at: Duration, told: Vec<Report>) {
+        for told in told.into_iter().filter(|told| told.observer != self.me) {
+            self.knowledge.merge(told.into_observation(at, Duration::ZERO));
         }
     }
 
@@ -160,19 +167,19 @@
                 continue;
             };
             let health = self.health.entry(*node).or_default();
-            let was = health.verdict().map(|(failing, _)| failing);
+            let was = health.verdict().map(|verdict| verdict.health);
             match ending {
-                AttemptOutcome::Served => health.answers(at),
+                AttemptOutcome::Served => health.record_success(at),
                 AttemptOutcome::Error
                 | AttemptOutcome::TimedOut
                 | AttemptOutcome::ConnectionLost
                 | AttemptOutcome::ConnectFailed => {
-                    watched.failing |= health.fails(at);
+                    watched.failing |= health.record_failure(at);
                 }
                 AttemptOutcome::Rejected | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
             }
-            let is = health.verdict().map(|(failing, _)| failing);
-            watched.tells |= is != was || (again && is == Some(true));
+            let is = health.verdict().map(|verdict| verdict.health);
+            watched.tells |= is != was || (again && is == Some(EndpointHealth::Failing));
         }
         watched
     }
@@ -184,20 +191,21 @@
 
     /// When advice comes to say something else by itself.
     pub fn changes_at(&self) -> Option<Duration> {
-        self.advice.values().filter_map(Advice::changes_at).min()
+        self.advice.values().filter_map(Advice::next_change).min()
     }
 
     /// Weighs all anew: which boxes' advice changed. Only boxes that somebody speaks of, or that fail here, are looked
     /// at one by one: there is no advice on the others.
     pub fn review(&mut self, at: Duration, boxes: &BTreeMap<&str, KnownEndpoint>) -> Vec<Change> {
-        self.knowledge.forget(at, |id| boxes.contains_key(id));
+        self.knowledge.expire(at, |id| boxes.contains_key(id));
         self.met.retain(|id, _| boxes.contains_key(id.as_str()));
-        self.unready.retain(|id, seen| boxes.contains_key(id.as_str()) && at <= *seen + KEPT);
+        self.unready.retain(|id, seen| boxes.contains_key(id.as_str()) && at <= *seen + OBSERVATION_LIFETIME);
         if !self.health.is_empty() {
             let nodes: BTreeSet<EndpointId> = boxes.values().map(|b| b.node).collect();
             self.health.retain(|node, _| nodes.contains(node));
         }
-        let mut spoken_of: BTreeSet<&str> = self.knowledge.facts().filter_map(|f| f.what.about()).collect();
+        let mut spoken_of: BTreeSet<&str> =
+            self.knowledge.iter().filter_map(|f| f.claim.endpoint()).collect();
         for (id, listed) in boxes {
             let start = listed.start();
             match self.met.get_mut(*id) {
@@ -210,17 +218,17 @@
             if !listed.is_ready() {
                 self.unready.insert((*id).to_owned(), at);
             }
-            if self.health.get(&listed.node).is_some_and(|health| health.failing().is_some()) {
+            if self.health.get(&listed.node).is_some_and(|health| health.failing_at().is_some()) {
                 spoken_of.insert(id);
             }
         }
-        let own = |id: &str, listed: &KnownEndpoint, replaced: bool| Own {
-            start: listed.start(),
-            dated: self.dated,
-            met: self.met.get(id).map_or(at, |(_, met)| *met),
-            answered: self.health.get(&listed.node).and_then(|h| h.answered),
-            failing: self.health.get(&listed.node).and_then(Health::failing),
-            replaced,
+        let own = |id: &str, listed: &KnownEndpoint, replaced: bool| LocalView {
+            endpoint_incarnation: listed.start(),
+            list_confirmed_at: self.dated,
+            incarnation_known_since: self.met.get(id).map_or(at, |(_, met)| *met),
+            last_success: self.health.get(&listed.node).and_then(AttemptHistory::last_success),
+            failing_at: self.health.get(&listed.node).and_then(AttemptHistory::failing_at),
+            has_alternative: replaced,
         };
         let spoken_of: Vec<(&str, &KnownEndpoint)> =
             spoken_of.into_iter().filter_map(|id| Some((id, boxes.get(id)?))).collect();
@@ -230,7 +238,9 @@
             *serving.entry(listed.member.shard).or_default() += usize::from(listed.is_ready());
         }
         for (id, listed) in &spoken_of {
-            let stopped = weigh(&self.knowledge, id, &own(id, listed, false), at).stop_until.is_some();
+            let stopped = Advice::from_observations(&self.knowledge, id, &own(id, listed, false), at)
+                .stop_until
+                .is_some();
             if stopped && listed.is_ready() {
                 *serving.entry(listed.member.shard).or_default() -= 1;
             }
@@ -238,7 +248,7 @@
         let mut fresh = BTreeMap::new();
         for (id, listed) in spoken_of {
             let others = serving.entry(listed.member.shard).or_default();
-            let advice = weigh(&self.knowledge, id, &own(id, listed, *others > 1), at);
+            let advice = Advice::from_observations(&self.knowledge, id, &own(id, listed, *others > 1), at);
             if advice.hold_until.is_some() && advice.stop_until.is_none() && listed.is_ready() {
                 *others -= 1;
             }
@@ -250,7 +260,7 @@
         let ids: BTreeSet<&String> = old.keys().chain(self.advice.keys()).collect();
         let change = |id: &&String| {
             let (was, is) = (old.get(*id).copied().unwrap_or_default(), self.advice(id));
-            let shape = |a: Advice| (a.stop_until.is_some(), a.hold_until.is_some(), a.born);
+            let shape = |a: Advice| (a.stop_until.is_some(), a.hold_until.is_some(), a.started_at);
             let news = shape(was) != shape(is);
             (was != is).then(|| Change { id: (*id).clone(), advice: is, news })
         };
@@ -266,26 +276,28 @@
     ) -> PeerGossip {
         let holds = boxes.iter().filter_map(|(id, b)| Some((b.node, self.advice(id).hold_until?)));
         // Facts come from those of the release before, which are in no sum; the rest is in the sums.
-        let at_boxes = self.knowledge.facts().filter_map(|f| match &f.what {
-            What::Spent(id, _) => Some(id.as_str()),
+        let at_boxes = self.knowledge.iter().filter_map(|f| match &f.claim {
+            Claim::SlowStartUnits { endpoint: id, .. } => Some(id.as_str()),
             _ => None,
         });
         let at_boxes: BTreeSet<&str> = at_boxes.chain(self.spent.keys().map(|(id, _)| id.as_str())).collect();
         let spent = at_boxes.into_iter().filter_map(|id| {
             let listed = boxes.get(id)?;
-            let told = spent(&self.knowledge, id, listed.start(), window, at);
+            let told = reported_slow_start_units(&self.knowledge, id, listed.start(), window, at);
             let summed = self.spent.get(&(id.to_owned(), listed.start()));
             let summed = summed.filter(|(_, seen)| at < *seen + window).map_or(0, |(units, _)| *units);
             Some((listed.node, told.saturating_add(summed) as f64 / MILLI))
         });
-        let asked = self.knowledge.facts().filter_map(|f| match f.what {
-            What::Demand(volume, _) => Some(volume),
+        let asked = self.knowledge.iter().filter_map(|f| match f.claim {
+            Claim::Demand { volume, .. } => Some(volume),
             _ => None,
         });
-        let summed = |volume: &VolumeId| self.demand.get(volume).filter(|(_, seen)| at <= *seen + RATES);
+        let summed =
+            |volume: &VolumeId| self.demand.get(volume).filter(|(_, seen)| at <= *seen + DEMAND_LIFETIME);
         let volumes: BTreeSet<VolumeId> = asked.chain(self.demand.keys().copied()).collect();
         let demand = volumes.into_iter().filter_map(|volume| {
-            let told = demand(&self.knowledge, volume, &self.me, at);
+            let told = reported_demand(&self.knowledge, volume, &self.me, at);
+            let told = told.map(|told| (told.milli_units_per_second, told.age));
             let summed = summed(&volume).map(|(rate, seen)| (*rate, at.saturating_sub(*seen)));
             let (rate, age) = match (told, summed) {
                 (Some(a), Some(b)) => (a.0.saturating_add(b.0), a.1.max(b.1)),
@@ -306,16 +318,24 @@
         at: Duration,
         boxes: &BTreeMap<&str, KnownEndpoint>,
         scheduler: &Scheduler,
-    ) -> Vec<Told> {
+    ) -> Vec<Report> {
         let mut own = self.sees(at, boxes, scheduler);
-        let mut say = |what, start| own.push(Fact { what, by: self.me.clone(), start, hops: 0, seen: at });
+        let mut say = |what, start| {
+            own.push(Observation {
+                claim: what,
+                observer: self.me.clone(),
+                endpoint_incarnation: start,
+                hops: 0,
+                observed_at: at,
+            })
+        };
         for (id, start, units) in self.spends(at, boxes, scheduler).into_iter().filter(|s| s.2 > 0) {
-            say(What::Spent(id, units), start);
+            say(Claim::SlowStartUnits { endpoint: id, milli_units: units }, start);
         }
         for (volume, rate) in scheduler.demands(at) {
-            say(What::Demand(volume, (rate * MILLI) as u64), 0);
+            say(Claim::Demand { volume, milli_units_per_second: (rate * MILLI) as u64 }, 0);
         }
-        self.knowledge.tell(at, &self.me, own)
+        self.knowledge.reports_for_exchange(at, &self.me, own)
     }
 
     /// What this process sees first-hand, for all to hear.
@@ -324,9 +344,9 @@
         at: Duration,
         boxes: &BTreeMap<&str, KnownEndpoint>,
         scheduler: &Scheduler,
-    ) -> Vec<Told> {
+    ) -> Vec<Report> {
         self.said_at = at;
-        self.sees(at, boxes, scheduler).iter().filter_map(|fact| fact.told(at, &self.me)).collect()
+        self.sees(at, boxes, scheduler).iter().filter_map(|fact| fact.to_report(at, &self.me)).collect()
     }
 
     /// What this process spent at cold boxes within the window that the rules name, in thousandths of a unit, by box
@@ -373,32 +393,49 @@
         Some(listed.born.min(met)).filter(|born| at < *born + rules.slow_start_duration)
     }
 
-    fn sees(&self, at: Duration, boxes: &BTreeMap<&str, KnownEndpoint>, scheduler: &Scheduler) -> Vec<Fact> {
+    fn sees(
+        &self,
+        at: Duration,
+        boxes: &BTreeMap<&str, KnownEndpoint>,
+        scheduler: &Scheduler,
+    ) -> Vec<Observation> {
         let mut own = Vec::new();
-        let mut say = |what, start, seen| own.push(Fact { what, by: self.me.clone(), start, hops: 0, seen });
+        let mut say = |what, start, seen| {
+            own.push(Observation {
+                claim: what,
+                observer: self.me.clone(),
+                endpoint_incarnation: start,
+                hops: 0,
+                observed_at: seen,
+            })
+        };
         let rules = scheduler.rules();
         for (id, listed) in boxes {
             let (name, start) = (|| (*id).to_owned(), listed.start());
             let standing = match listed.member.readiness {
-                _ if listed.suspended => Some((Standing::Draining, at)),
-                Readiness::Ready => self.dated.map(|seen| (Standing::Ready, seen)),
-                Readiness::Draining => self.dated.map(|seen| (Standing::Draining, seen)),
-                Readiness::Removed => self.dated.map(|seen| (Standing::Gone, seen)),
+                _ if listed.suspended => Some((ReportedReadiness::Draining, at)),
+                Readiness::Ready => self.dated.map(|seen| (ReportedReadiness::Ready, seen)),
+                Readiness::Draining => self.dated.map(|seen| (ReportedReadiness::Draining, seen)),
+                Readiness::Removed => self.dated.map(|seen| (ReportedReadiness::Removed, seen)),
             };
             // That a box takes work is news only where somebody may think otherwise.
             let doubted = || {
-                let known = self.knowledge.get(&Topic::Standing(name()));
-                known.is_some_and(|f| !matches!(f.what, What::Standing(_, Standing::Ready)))
+                let known = self.knowledge.get(&Subject::Readiness(name()));
+                known.is_some_and(|f| {
+                    !matches!(f.claim, Claim::Readiness { readiness: ReportedReadiness::Ready, .. })
+                })
+            };
+            let needed = |s: ReportedReadiness| {
+                s != ReportedReadiness::Ready || self.unready.contains_key(*id) || doubted()
             };
-            let needed = |s: Standing| s != Standing::Ready || self.unready.contains_key(*id) || doubted();
             if let Some((standing, seen)) = standing.filter(|(s, _)| needed(*s)) {
-                say(What::Standing(name(), standing), start, seen);
+                say(Claim::Readiness { endpoint: name(), readiness: standing }, start, seen);
             }
-            if let Some((failing, seen)) = self.health.get(&listed.node).and_then(Health::verdict) {
-                say(What::Failing(name(), failing), start, seen);
+            if let Some(verdict) = self.health.get(&listed.node).and_then(AttemptHistory::verdict) {
+                say(Claim::Health { endpoint: name(), health: verdict.health }, start, verdict.observed_at);
             }
             if let Some(born) = self.cold_since(id, listed, rules, at) {
-                say(What::Started(name(), at.saturating_sub(born)), start, at);
+                say(Claim::Started { endpoint: name(), uptime: at.saturating_sub(born) }, start, at);
             }
         }
         own
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -9,7 +9,7 @@
 };
 use shaletack_core::operator_event::OperatorEvent;
 use shaletack_core::outcome::TransportOutcome;
-use shaletack_knowledge::{Observer, Standing, Told, What};
+use shaletack_observations::{Claim, EndpointHealth, Observer, Report, ReportedReadiness};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -55,7 +55,7 @@
 }
 
 fn observer(name: &str) -> Observer {
-    Observer { name: name.into(), life: 7 }
+    Observer { name: name.into(), incarnation: 7 }
 }
 
 /// A box that started so long before the test's zero; `None`: long ago.
@@ -169,11 +169,11 @@
         }
     }
 
-    fn tell(&self) -> Vec<Told> {
+    fn tell(&self) -> Vec<Report> {
         self.broker.peer_reports(self.zero + self.now)
     }
 
-    fn hear(&mut self, from: &str, told: Vec<Told>) {
+    fn hear(&mut self, from: &str, told: Vec<Report>) {
         self.feed(Input::PeerReports { from: observer(from), round_trip: 2 * MS, reports: told });
     }
 
@@ -186,9 +186,9 @@
     Some(TransportOutcome::Complete)
 }
 
-fn says(by: &str, what: What, up_for: Option<Duration>, age: Duration) -> Told {
+fn says(by: &str, what: Claim, up_for: Option<Duration>, age: Duration) -> Report {
     let start = up_for.map_or(0, |ago| (UNIX - ago).as_millis() as u64);
-    Told { what, by: observer(by), start, hops: 0, age }
+    Report { claim: what, observer: observer(by), endpoint_incarnation: start, hops: 0, age }
 }
 
 fn id(number: u16) -> String {
@@ -203,7 +203,7 @@
     peer.list(EndpointListKind::Delta, vec![member(1, Readiness::Removed, None)]);
     peer.now = 500 * S;
     peer.feed(Input::EndpointListCurrent);
-    let run = |told: Option<Vec<Told>>| {
+    let run = |told: Option<Vec<Report>>| {
         let mut back = Node::new("a", 2, EndpointListKind::Cached, vec![ready(1), ready(2)]);
         told.into_iter().for_each(|told| back.hear("b", told));
         for _ in 0..5 {
@@ -226,7 +226,15 @@
     node.ask();
     assert_eq!(node.sent_to(1), 1);
     node.pass(100 * MS, served);
-    node.hear("b", vec![says("b", What::Standing(id(1), Standing::Draining), None, S)]);
+    node.hear(
+        "b",
+        vec![says(
+            "b",
+            Claim::Readiness { endpoint: id(1), readiness: ReportedReadiness::Draining },
+            None,
+            S,
+        )],
+    );
     node.ask();
     assert_eq!(node.sent_to(1), 1, "in the same step");
     node.pass(10 * MS, served);
@@ -234,7 +242,15 @@
     assert_eq!(node.sent_to(1), 2, "the own list is newer and says ready");
     node.pass(100 * MS, served);
     // And what the peer saw before that changes nothing any more.
-    node.hear("b", vec![says("b", What::Standing(id(1), Standing::Gone), None, 300 * MS)]);
+    node.hear(
+        "b",
+        vec![says(
+            "b",
+            Claim::Readiness { endpoint: id(1), readiness: ReportedReadiness::Removed },
+            None,
+            300 * MS,
+        )],
+    );
     node.ask();
     assert_eq!(node.sent_to(1), 3);
 }
@@ -244,8 +260,27 @@
     let drains = vec![member(1, Readiness::Draining, None)];
     let mut node = Node::new("a", 1, EndpointListKind::Full, drains);
     node.pass(S, served);
-    let ready = |n| says("b", What::Standing(id(n), Standing::Ready), None, Duration::ZERO);
-    node.hear("b", vec![ready(1), ready(2), says("b", What::Failing(id(1), false), None, Duration::ZERO)]);
+    let ready = |n| {
+        says(
+            "b",
+            Claim::Readiness { endpoint: id(n), readiness: ReportedReadiness::Ready },
+            None,
+            Duration::ZERO,
+        )
+    };
+    node.hear(
+        "b",
+        vec![
+            ready(1),
+            ready(2),
+            says(
+                "b",
+                Claim::Health { endpoint: id(1), health: EndpointHealth::Healthy },
+                None,
+                Duration::ZERO,
+            ),
+        ],
+    );
     node.ask();
     node.pass(2 * S, served);
     assert!(node.sent.is_empty());
@@ -277,10 +312,20 @@
     let idle = |node: &mut Node| {
         for by in ["b", "c"] {
             let facts = vec![
-                says(by, What::Spent(id(1), 0), cold, Duration::ZERO),
-                says(by, What::Failing(id(1), false), cold, Duration::ZERO),
-                says(by, What::Started(id(1), 15 * S), cold, Duration::ZERO),
-                says(by, What::Standing(id(1), Standing::Ready), cold, Duration::ZERO),
+                says(by, Claim::SlowStartUnits { endpoint: id(1), milli_units: 0 }, cold, Duration::ZERO),
+                says(
+                    by,
+                    Claim::Health { endpoint: id(1), health: EndpointHealth::Healthy },
+                    cold,
+                    Duration::ZERO,
+                ),
+                says(by, Claim::Started { endpoint: id(1), uptime: 15 * S }, cold, Duration::ZERO),
+                says(
+                    by,
+                    Claim::Readiness { endpoint: id(1), readiness: ReportedReadiness::Ready },
+                    cold,
+                    Duration::ZERO,
+                ),
             ];
             node.hear(by, facts);
         }
@@ -289,7 +334,15 @@
     assert_eq!(most_in_window(idle, 3 * S), alone, "not one unit more");
     // By the fourth second a box bears 16 x (1 + 5.25 x 4/16) = 37 units; a peer took all but 2.
     let busy = |node: &mut Node| {
-        node.hear("b", vec![says("b", What::Spent(id(1), 34_500), cold, Duration::ZERO)]);
+        node.hear(
+            "b",
+            vec![says(
+                "b",
+                Claim::SlowStartUnits { endpoint: id(1), milli_units: 34_500 },
+                cold,
+                Duration::ZERO,
+            )],
+        );
     };
     let left = most_in_window(busy, S);
     assert!(left < alone && left <= 8.0, "{left} of {alone}");
@@ -298,7 +351,7 @@
 #[test]
 fn a_start_that_only_a_peer_knows_of_makes_the_box_cold_here_too() {
     let old = Some(900 * S);
-    let run = |told: Vec<Told>| {
+    let run = |told: Vec<Report>| {
         let mut node = Node::new("a", 2, EndpointListKind::Cached, vec![member(1, Readiness::Ready, old)]);
         node.pass(4 * S, served);
         node.hear("b", told);
@@ -310,11 +363,19 @@
     };
     let (warm, cold) = (
         run(Vec::new()),
-        run(vec![says("b", What::Started(id(1), S), Some(Duration::ZERO), Duration::ZERO)]),
+        run(vec![says(
+            "b",
+            Claim::Started { endpoint: id(1), uptime: S },
+            Some(Duration::ZERO),
+            Duration::ZERO,
+        )]),
     );
     assert!(cold < warm, "{cold} sends to a cold box, {warm} to a warm one");
     // The same words of an earlier start than the one listed change nothing.
-    assert_eq!(run(vec![says("b", What::Started(id(1), S), Some(999 * S), Duration::ZERO)]), warm);
+    assert_eq!(
+        run(vec![says("b", Claim::Started { endpoint: id(1), uptime: S }, Some(999 * S), Duration::ZERO)]),
+        warm
+    );
 }
 
 /// Its clock is five minutes ahead: a box that started a second ago looks warm by the list's time alone.
@@ -324,7 +385,7 @@
     let cold = Some(S);
     let mut peer = Node::new("b", 2, EndpointListKind::Full, vec![member(1, Readiness::Ready, cold)]);
     peer.pass(10 * MS, served);
-    let run = |told: Vec<Told>| {
+    let run = |told: Vec<Report>| {
         let boxes = vec![member(1, Readiness::Ready, cold)];
         let mut node = Node::with_clock("a", 2, EndpointListKind::Cached, boxes, ahead);
         node.pass(4 * S, served);
@@ -336,15 +397,18 @@
         node.sent.len()
     };
     let told = peer.tell();
-    assert!(told.iter().any(|t| matches!(&t.what, What::Started(_, ago) if *ago <= S + 20 * MS)), "{told:?}");
+    assert!(
+        told.iter().any(|t| matches!(&t.claim, Claim::Started { uptime: ago, .. } if *ago <= S + 20 * MS)),
+        "{told:?}"
+    );
     assert!(run(told) < run(Vec::new()));
     // One whose clock is behind must not call the same box new for minutes.
     let behind = UNIX - 300 * S;
     let mut late =
         Node::with_clock("c", 2, EndpointListKind::Full, vec![member(1, Readiness::Ready, cold)], behind);
     late.pass(10 * S, served);
-    let ago = late.tell().into_iter().find_map(|t| match t.what {
-        What::Started(_, ago) => Some(ago),
+    let ago = late.tell().into_iter().find_map(|t| match t.claim {
+        Claim::Started { uptime: ago, .. } => Some(ago),
         _ => None,
     });
     assert!(ago.is_some_and(|ago| ago >= 9 * S), "{ago:?}");
@@ -356,8 +420,8 @@
     let mut all: Vec<Node> =
         ["a", "b", "c"].iter().map(|name| Node::new(name, 3, EndpointListKind::Cached, boxes())).collect();
     for round in 0..3 {
-        let told: Vec<Vec<Told>> = all.iter().map(Node::tell).collect();
-        assert!(told.iter().flatten().all(|t| t.what.about().is_none()), "round {round}: {told:?}");
+        let told: Vec<Vec<Report>> = all.iter().map(Node::tell).collect();
+        assert!(told.iter().flatten().all(|t| t.claim.endpoint().is_none()), "round {round}: {told:?}");
         for (to, node) in all.iter_mut().enumerate() {
             for (from, told) in told.iter().enumerate().filter(|(from, _)| *from != to) {
                 node.hear(["a", "b", "c"][from], told.clone());
@@ -401,7 +465,14 @@
 #[test]
 fn a_box_that_fails_elsewhere_is_tried_last_and_tried_all_the_same() {
     let boxes = || vec![member(1, Readiness::Ready, None), member(2, Readiness::Ready, None)];
-    let fails = || vec![says("b", What::Failing(id(1), true), None, Duration::ZERO)];
+    let fails = || {
+        vec![says(
+            "b",
+            Claim::Health { endpoint: id(1), health: EndpointHealth::Failing },
+            None,
+            Duration::ZERO,
+        )]
+    };
     let mut node = Node::new("a", 1, EndpointListKind::Full, boxes());
     node.hear("b", fails());
     for _ in 0..10 {
@@ -449,7 +520,10 @@
         node.list(EndpointListKind::Full, vec![member(1, Readiness::Ready, None)]);
         node.pass(S, served);
         if let Some(age) = told {
-            node.hear("b", vec![says("b", What::Demand(1, 38_000), None, age)]);
+            node.hear(
+                "b",
+                vec![says("b", Claim::Demand { volume: 1, milli_units_per_second: 38_000 }, None, age)],
+            );
         }
         (0..30).for_each(|_| node.ask_over(2.0));
         node.pass(500 * MS, served);
@@ -460,20 +534,23 @@
     assert_eq!(run(Some(5 * S)), even, "old news says nothing");
 }
 
-fn lie() -> impl Strategy<Value = Vec<Told>> {
+fn lie() -> impl Strategy<Value = Vec<Report>> {
     let what = (0u16..4, 0u8..7, 0u64..60_000).prop_map(|(box_no, kind, figure)| match kind {
-        0 => What::Standing(id(box_no), Standing::Ready),
-        1 => What::Standing(id(box_no), Standing::Draining),
-        2 => What::Standing(id(box_no), Standing::Gone),
-        3 => What::Failing(id(box_no), figure % 2 == 0),
-        4 => What::Started(id(box_no), Duration::from_millis(figure)),
-        5 => What::Spent(id(box_no), figure),
-        _ => What::Demand(1, figure),
+        0 => Claim::Readiness { endpoint: id(box_no), readiness: ReportedReadiness::Ready },
+        1 => Claim::Readiness { endpoint: id(box_no), readiness: ReportedReadiness::Draining },
+        2 => Claim::Readiness { endpoint: id(box_no), readiness: ReportedReadiness::Removed },
+        3 => Claim::Health {
+            endpoint: id(box_no),
+            health: [EndpointHealth::Healthy, EndpointHealth::Failing][usize::from(figure % 2 == 0)],
+        },
+        4 => Claim::Started { endpoint: id(box_no), uptime: Duration::from_millis(figure) },
+        5 => Claim::SlowStartUnits { endpoint: id(box_no), milli_units: figure },
+        _ => Claim::Demand { volume: 1, milli_units_per_second: figure },
     });
-    let told = (what, 0u64..3, 0u64..20_000, 0u8..2).prop_map(|(what, start, age, by)| Told {
-        what,
-        by: observer(["b", "c"][by as usize]),
-        start: [0, UNIX.as_millis() as u64, u64::MAX][start as usize],
+    let told = (what, 0u64..3, 0u64..20_000, 0u8..2).prop_map(|(what, start, age, by)| Report {
+        claim: what,
+        observer: observer(["b", "c"][by as usize]),
+        endpoint_incarnation: [0, UNIX.as_millis() as u64, u64::MAX][start as usize],
         hops: 0,
         age: Duration::from_millis(age),
     });
@@ -493,7 +570,7 @@
         node.pass(4 * S, served);
         for told in lies {
             for by in ["b", "c"] {
-                node.hear(by, told.iter().filter(|t| t.by.name == by).cloned().collect());
+                node.hear(by, told.iter().filter(|t| t.observer.name == by).cloned().collect());
             }
             (0..3).for_each(|_| node.ask());
             node.pass(100 * MS, |_| None);
--- a/crates/gossip/src/codec.rs
+++ b/crates/gossip/src/codec.rs
@@ -5,7 +5,7 @@
 
 use crate::{aggregation, Locality};
 use serde::{Deserialize, Serialize};
-use shaletack_knowledge::{Observer, Told};
+use shaletack_observations::{Observer, Report};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Item {
     /// Something that was seen of an endpoint.
-    Observation(Told),
+    Observation(Report),
     /// Who an initiator is.
     Member(MembershipRecord),
     /// Known observations that still hold.
--- a/crates/gossip/src/directory.rs
+++ b/crates/gossip/src/directory.rs
@@ -89,7 +89,7 @@
         self.changed = true;
         let returned = self.departed.remove(&address) == Some(incarnation);
         let stored = self.records.get(&address);
-        let introduced = stored.is_some_and(|stored| stored.record.process.life == incarnation);
+        let introduced = stored.is_some_and(|stored| stored.record.process.incarnation == incarnation);
         if returned || introduced {
             self.confirm(address);
         } else {
@@ -175,7 +175,7 @@
     pub(crate) fn store(&mut self, now: Duration, record: MembershipRecord) -> RecordOutcome {
         let address = record.address;
         let member = self.members.get(&address).copied();
-        let superseded = member.is_some_and(|member| member.incarnation != record.process.life);
+        let superseded = member.is_some_and(|member| member.incarnation != record.process.incarnation);
         let known = self.records.get(&address).is_some_and(|stored| stored.record == record);
         if superseded || known {
             return RecordOutcome::Redundant;
--- a/crates/gossip/src/events.rs
+++ b/crates/gossip/src/events.rs
@@ -3,7 +3,7 @@
 use crate::aggregation::{Key, Total};
 use crate::codec::DecodeError;
 use crate::ConfigRollout;
-use shaletack_knowledge::{Observer, Told};
+use shaletack_observations::{Observer, Report};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     /// Whoever is at that address speaks this protocol version.
     SupportConfirmed(SocketAddr),
     /// Everything that this process sees first-hand now. Only what is new to it is passed on.
-    LocalObservations(Vec<Told>),
+    LocalObservations(Vec<Report>),
     /// What an exchange over TCP brought.
     Exchanged {
         /// Who answered.
@@ -35,7 +35,7 @@
         /// The exchange's round trip.
         round_trip: Duration,
         /// What it reported.
-        reports: Vec<Told>,
+        reports: Vec<Report>,
     },
     /// This process's amounts, in thousandths of a unit; replaces the last ones. 0 asks for a key's total and adds nobody.
     LocalAmounts(Vec<(Key, u64)>),
@@ -63,7 +63,7 @@
         bytes: Vec<u8>,
     },
     /// Observations that were new, already validated.
-    Learned(Vec<Told>),
+    Learned(Vec<Report>),
     /// The sums over all other initiators as they are now.
     Totals(Vec<(Key, Total)>),
     /// How far this process's configuration version is in force, when that has changed.
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -15,7 +15,7 @@
 use crate::{ConfigRollout, Effect, Input, Locality};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use shaletack_knowledge::{Knowledge, Observer, Told, KEPT};
+use shaletack_observations::{ObservationStore, Observer, Report, OBSERVATION_LIFETIME};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 /// The least time from one timer to the next.
 const MIN_TIMER: Duration = Duration::from_millis(1);
 /// The internal clock shows at least this at the start, so that what was seen before has a moment on it.
-const MIN_START: Duration = KEPT.saturating_mul(2);
+const MIN_START: Duration = OBSERVATION_LIFETIME.saturating_mul(2);
 
 /// One process's part in gossip. Moments are on the caller's monotonic clock, which may begin with the process.
 #[derive(Debug)]
@@ -54,7 +54,8 @@
         let clock_offset = MIN_START.saturating_sub(now);
         let now = now + clock_offset;
         let mut rng = StdRng::seed_from_u64(seed);
-        let member = aggregation::Member { address, incarnation: process.life, locality: locality.clone() };
+        let member =
+            aggregation::Member { address, incarnation: process.incarnation, locality: locality.clone() };
         let aggregation = Aggregation::new(member, rng.random());
         Gossip {
             clock_offset,
@@ -87,7 +88,7 @@
     }
 
     /// The observations that are held, on the internal clock: the caller's, where that showed two minutes at the start.
-    pub fn observations(&self) -> &Knowledge {
+    pub fn observations(&self) -> &ObservationStore {
         &self.replica.observations
     }
 
@@ -157,8 +158,8 @@
     }
 
     /// The caller has taken the exchange itself, amounts included; here its news is only passed on.
-    fn merge_exchange(&mut self, now: Duration, from: &Observer, round_trip: Duration, reports: Vec<Told>) {
-        let reports = reports.into_iter().filter(|report| !report.what.is_amount());
+    fn merge_exchange(&mut self, now: Duration, from: &Observer, round_trip: Duration, reports: Vec<Report>) {
+        let reports = reports.into_iter().filter(|report| !report.claim.is_contribution());
         let items = reports.map(Item::Observation).collect();
         let source = Source { process: from, one_way: round_trip / 2, delivery: Delivery::Pushed };
         merge(&mut self.replica, now, &source, items);
@@ -203,7 +204,7 @@
                 self.send_records(now, from, &anti_entropy::requested(records, ids), effects);
             }
             Body::Aggregation(message) => {
-                let answers = self.aggregation.receive(now, from, process.life, message);
+                let answers = self.aggregation.receive(now, from, process.incarnation, message);
                 effects.extend(answers.into_iter().map(|answer| self.aggregation_datagram(answer)));
             }
         }
@@ -319,7 +320,7 @@
                 String::new()
             }
         };
-        let bytes = encode(&Message { from: Observer { name, life: process.life }, body });
+        let bytes = encode(&Message { from: Observer { name, incarnation: process.incarnation }, body });
         let sent = self.anti_entropy.try_acquire(now, bytes.len() + IP_UDP_HEADER_BYTES);
         if sent {
             effects.push(Effect::Send { to, bytes });
@@ -438,7 +439,7 @@
 
     /// There are many of these, and address and incarnation are enough to know the sender: it has no name.
     fn aggregation_datagram(&self, envelope: aggregation::Envelope) -> Effect {
-        let from = Observer { name: String::new(), life: self.replica.own_process().life };
+        let from = Observer { name: String::new(), incarnation: self.replica.own_process().incarnation };
         let body = Body::Aggregation(envelope.message);
         Effect::Send { to: envelope.to, bytes: encode(&Message { from, body }) }
     }
--- a/crates/gossip/src/limits.rs
+++ b/crates/gossip/src/limits.rs
@@ -3,7 +3,7 @@
 
 use crate::codec::{IP_UDP_HEADER_BYTES, MAX_DATAGRAM_BYTES};
 use crate::rate_limiter::RateLimiter;
-use shaletack_knowledge::NAME_MOST;
+use shaletack_observations::MAX_NAME_BYTES;
 use std::time::Duration;
 
 /// Bytes a second that updates and digests may send together, headers included; half of it each.
@@ -21,9 +21,9 @@
 /// Bytes of items that a datagram is filled up to.
 pub(crate) const MAX_PAYLOAD_BYTES: usize = 1200;
 /// Bytes that any one item fits into.
-pub(crate) const MAX_ITEM_BYTES: usize = 2 * NAME_MOST + 64;
+pub(crate) const MAX_ITEM_BYTES: usize = 2 * MAX_NAME_BYTES + 64;
 /// Bytes that surround the items of a datagram: headers, and the sender with the longest name.
-pub(crate) const ENVELOPE_BYTES: usize = IP_UDP_HEADER_BYTES + NAME_MOST + 24;
+pub(crate) const ENVELOPE_BYTES: usize = IP_UDP_HEADER_BYTES + MAX_NAME_BYTES + 24;
 
 const _: () = assert!(MAX_PAYLOAD_BYTES + 100 < MAX_DATAGRAM_BYTES);
 
--- a/crates/gossip/src/local_observations.rs
+++ b/crates/gossip/src/local_observations.rs
@@ -10,7 +10,7 @@
 use crate::peer_selection::Peers;
 use crate::push::{RefreshState, Subject};
 use crate::replica::{Replica, REFRESH_PRIORITY};
-use shaletack_knowledge::{Fact, Told, What, KEPT};
+use shaletack_observations::{Claim, Observation, Report, OBSERVATION_LIFETIME};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -33,19 +33,21 @@
 }
 
 /// Takes everything that this process sees now. Known observations are refreshed once the oldest is of `refresh_age`.
-pub(crate) fn observe(replica: &mut Replica, now: Duration, reports: Vec<Told>, refresh_age: Duration) {
+pub(crate) fn observe(replica: &mut Replica, now: Duration, reports: Vec<Report>, refresh_age: Duration) {
     let mut still_seen = StillSeen::default();
-    for report in reports.into_iter().filter(|report| !report.what.is_amount()) {
+    for report in reports.into_iter().filter(|report| !report.claim.is_contribution()) {
         let own = replica.own_process().clone();
-        let observation = Fact { hops: 0, by: own, ..report.heard(now, Duration::ZERO) };
-        let known = replica.observations.get(&observation.topic());
+        let observation =
+            Observation { hops: 0, observer: own, ..report.into_observation(now, Duration::ZERO) };
+        let known = replica.observations.get(&observation.subject());
         if let Some(known) = known.filter(|known| still_holds(known, &observation, now)) {
             still_seen.oldest_age = still_seen.oldest_age.max(known.age(now));
-            still_seen.last_seen_at = still_seen.last_seen_at.max(observation.seen);
+            still_seen.last_seen_at = still_seen.last_seen_at.max(observation.observed_at);
             still_seen.record_ids.push(observation_id(&observation));
         } else if novelty(&replica.observations, &observation) == Novelty::New {
-            let (subject, priority) = (Subject::Observation(observation.topic()), observation.what.need());
-            replica.observations.learn(observation);
+            let (subject, priority) =
+                (Subject::Observation(observation.subject()), observation.claim.send_order());
+            replica.observations.merge(observation);
             replica.updates.start(now, subject, priority);
         }
     }
@@ -57,22 +59,23 @@
 }
 
 /// Whether this process sees again what is known.
-fn still_holds(known: &Fact, observation: &Fact, now: Duration) -> bool {
-    matches!(observation.what, What::Standing(..))
-        && known.what == observation.what
-        && known.start == observation.start
-        && known.age(now) <= KEPT
+fn still_holds(known: &Observation, observation: &Observation, now: Duration) -> bool {
+    matches!(observation.claim, Claim::Readiness { .. })
+        && known.claim == observation.claim
+        && known.endpoint_incarnation == observation.endpoint_incarnation
+        && known.age(now) <= OBSERVATION_LIFETIME
 }
 
 fn refresh(replica: &mut Replica, now: Duration, mut still_seen: StillSeen) {
     still_seen.record_ids.truncate(MAX_RECORD_IDS);
     let ids: BTreeSet<u32> = still_seen.record_ids.iter().copied().collect();
-    let named = replica.observations.facts().filter(|known| ids.contains(&observation_id(known)));
-    let named: Vec<Fact> = named.cloned().collect();
+    let named = replica.observations.iter().filter(|known| ids.contains(&observation_id(known)));
+    let named: Vec<Observation> = named.cloned().collect();
     let own = replica.own_process().clone();
     for known in named {
-        let refreshed = Fact { by: own.clone(), hops: 0, seen: still_seen.last_seen_at, ..known };
-        replica.observations.learn(refreshed);
+        let refreshed =
+            Observation { observer: own.clone(), hops: 0, observed_at: still_seen.last_seen_at, ..known };
+        replica.observations.merge(refreshed);
     }
     let state = RefreshState { seen_at: still_seen.last_seen_at, hops: 0, record_ids: still_seen.record_ids };
     replica.updates.start_refresh(now, own, REFRESH_PRIORITY, state);
--- a/crates/gossip/src/merge.rs
+++ b/crates/gossip/src/merge.rs
@@ -9,7 +9,9 @@
 use crate::observations::{novelty, observation_id, Novelty};
 use crate::push::{RefreshState, Subject};
 use crate::replica::{Replica, MEMBER_PRIORITY, REFRESH_PRIORITY};
-use shaletack_knowledge::{Fact, Observer, Told, What, HOPS_MOST, KEPT, NAME_MOST};
+use shaletack_observations::{
+    Claim, Observation, Observer, Report, MAX_HOPS, MAX_NAME_BYTES, OBSERVATION_LIFETIME,
+};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -39,7 +41,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Merged {
     /// Observations that were new.
-    pub(crate) learned: Vec<Told>,
+    pub(crate) learned: Vec<Report>,
     /// Items that are out of range or in another's name.
     pub(crate) invalid: usize,
     /// Subjects of which this process knows something newer.
@@ -67,13 +69,13 @@
 }
 
 impl Merge<'_> {
-    fn observation(&mut self, report: Told) {
-        let is_own = report.by == *self.replica.own_process();
-        let is_valid = report.is_sound()
-            && !report.what.is_amount()
-            && (report.hops == 0) == (report.by == *self.source.process);
-        let observation = report.heard(self.now, self.source.one_way);
-        let subject = Subject::Observation(observation.topic());
+    fn observation(&mut self, report: Report) {
+        let is_own = report.observer == *self.replica.own_process();
+        let is_valid = report.is_valid()
+            && !report.claim.is_contribution()
+            && (report.hops == 0) == (report.observer == *self.source.process);
+        let observation = report.into_observation(self.now, self.source.one_way);
+        let subject = Subject::Observation(observation.subject());
         if is_own {
             self.replica.updates.received_again(&subject);
             return;
@@ -85,18 +87,18 @@
         match novelty(&self.replica.observations, &observation) {
             Novelty::New => self.learn(subject, observation),
             Novelty::Same => {
-                self.replica.observations.learn(observation);
+                self.replica.observations.merge(observation);
                 self.replica.updates.received_again(&subject);
             }
             Novelty::Outdated => self.merged.outdated.push(subject),
         }
     }
 
-    fn learn(&mut self, subject: Subject, observation: Fact) {
+    fn learn(&mut self, subject: Subject, observation: Observation) {
         let is_recent = observation.age(self.now) <= MAX_PUSHED_ON_AGE;
-        let priority = observation.what.need();
-        self.merged.learned.extend(observation.told(self.now, self.replica.own_process()));
-        self.replica.observations.learn(observation);
+        let priority = observation.claim.send_order();
+        self.merged.learned.extend(observation.to_report(self.now, self.replica.own_process()));
+        self.replica.observations.merge(observation);
         if self.source.delivery == Delivery::Pushed || is_recent {
             self.replica.updates.start(self.now, subject, priority);
         }
@@ -126,8 +128,8 @@
             return;
         }
         let is_valid = (refresh.hops == 0) == (refresh.observer == *self.source.process)
-            && refresh.hops <= HOPS_MOST
-            && refresh.age <= KEPT
+            && refresh.hops <= MAX_HOPS
+            && refresh.age <= OBSERVATION_LIFETIME
             && refresh.record_ids.len() <= MAX_RECORD_IDS;
         if !is_valid {
             self.merged.invalid += 1;
@@ -140,27 +142,27 @@
             return;
         }
         for observation in refreshed {
-            self.merged.learned.extend(observation.told(self.now, self.replica.own_process()));
-            self.replica.observations.learn(observation);
+            self.merged.learned.extend(observation.to_report(self.now, self.replica.own_process()));
+            self.replica.observations.merge(observation);
         }
-        if refresh.hops < HOPS_MOST {
+        if refresh.hops < MAX_HOPS {
             let state = RefreshState { seen_at, hops: refresh.hops + 1, record_ids: refresh.record_ids };
             self.replica.updates.start_refresh(self.now, refresh.observer, REFRESH_PRIORITY, state);
         }
     }
 
     /// The observations that a refresh makes younger, as they are then.
-    fn refreshed(&self, refresh: &Refresh, seen_at: Duration) -> Vec<Fact> {
+    fn refreshed(&self, refresh: &Refresh, seen_at: Duration) -> Vec<Observation> {
         let ids: BTreeSet<u32> = refresh.record_ids.iter().copied().collect();
-        let is_named = |observation: &&Fact| {
-            matches!(observation.what, What::Standing(..)) && ids.contains(&observation_id(observation))
+        let is_named = |observation: &&Observation| {
+            matches!(observation.claim, Claim::Readiness { .. }) && ids.contains(&observation_id(observation))
         };
-        let named = self.replica.observations.facts().filter(is_named);
-        let stale = named.filter(|observation| observation.seen + FRESH_FOR < seen_at);
-        let refreshed = stale.map(|observation| Fact {
-            by: refresh.observer.clone(),
+        let named = self.replica.observations.iter().filter(is_named);
+        let stale = named.filter(|observation| observation.observed_at + FRESH_FOR < seen_at);
+        let refreshed = stale.map(|observation| Observation {
+            observer: refresh.observer.clone(),
             hops: refresh.hops,
-            seen: seen_at,
+            observed_at: seen_at,
             ..observation.clone()
         });
         refreshed.collect()
@@ -168,7 +170,7 @@
 }
 
 fn is_valid_record(record: &MembershipRecord) -> bool {
-    let fits = |name: &str| name.len() <= NAME_MOST;
+    let fits = |name: &str| name.len() <= MAX_NAME_BYTES;
     let name = &record.process.name;
     !name.is_empty() && fits(name) && fits(&record.locality.zone) && fits(&record.locality.region)
 }
--- a/crates/gossip/src/observations.rs
+++ b/crates/gossip/src/observations.rs
@@ -3,7 +3,9 @@
 //! Many initiators see the same event at about the same time. Each of them starting an update of its own would cost the
 //! fleet one push storm an initiator; so what says the same within a while counts as one, whoever saw it.
 
-use shaletack_knowledge::{Fact, Knowledge, What, HELD, KEPT};
+use shaletack_observations::{
+    Claim, Observation, ObservationStore, FAILURE_HOLD_DURATION, OBSERVATION_LIFETIME,
+};
 use std::cmp::Ordering;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -27,32 +29,39 @@
 }
 
 /// Compares an observation with what is known.
-pub(crate) fn novelty(known: &Knowledge, observation: &Fact) -> Novelty {
-    let Some(known) = known.get(&observation.topic()) else { return Novelty::New };
+pub(crate) fn novelty(known: &ObservationStore, observation: &Observation) -> Novelty {
+    let Some(known) = known.get(&observation.subject()) else { return Novelty::New };
     if is_same_news(known, observation) {
         Novelty::Same
     } else if known.cmp(observation) == Ordering::Less {
         Novelty::New
-    } else if known.what == observation.what {
+    } else if known.claim == observation.claim {
         Novelty::Same
     } else {
         Novelty::Outdated
     }
 }
 
-fn is_same_news(known: &Fact, new: &Fact) -> bool {
-    let seen_apart = known.seen.abs_diff(new.seen);
-    let same = match (&known.what, &new.what) {
-        (What::Started(..), What::Started(..)) => {
-            let (known_start, new_start) = (known.born().unwrap_or_default(), new.born().unwrap_or_default());
+fn is_same_news(known: &Observation, new: &Observation) -> bool {
+    let seen_apart = known.observed_at.abs_diff(new.observed_at);
+    let same = match (&known.claim, &new.claim) {
+        (Claim::Started { .. }, Claim::Started { .. }) => {
+            let (known_start, new_start) = (
+                known.endpoint_started_at().unwrap_or_default(),
+                new.endpoint_started_at().unwrap_or_default(),
+            );
             known_start.abs_diff(new_start) <= SAME_START_WINDOW
         }
-        (What::Failing(_, a), What::Failing(_, b)) => a == b && seen_apart < HELD,
-        (What::Standing(_, a), What::Standing(_, b)) => a == b && seen_apart < SAME_STATE_WINDOW,
+        (Claim::Health { health: a, .. }, Claim::Health { health: b, .. }) => {
+            a == b && seen_apart < FAILURE_HOLD_DURATION
+        }
+        (Claim::Readiness { readiness: a, .. }, Claim::Readiness { readiness: b, .. }) => {
+            a == b && seen_apart < SAME_STATE_WINDOW
+        }
         // Amounts come first-hand only, and each replaces the last.
         _ => false,
     };
-    same && known.start == new.start
+    same && known.endpoint_incarnation == new.endpoint_incarnation
 }
 
 /// A record's id: the hash of its encoding.
@@ -61,20 +70,24 @@
 }
 
 /// An observation's id: of what it says, not of who saw it when.
-pub(crate) fn observation_id(observation: &Fact) -> u32 {
-    let claim = match &observation.what {
+pub(crate) fn observation_id(observation: &Observation) -> u32 {
+    let claim = match &observation.claim {
         // Observers of one start may differ in its moment.
-        What::Started(id, _) => What::Started(id.clone(), Duration::ZERO),
+        Claim::Started { endpoint: id, .. } => {
+            Claim::Started { endpoint: id.clone(), uptime: Duration::ZERO }
+        }
         other => other.clone(),
     };
-    record_id(&(claim, observation.start))
+    record_id(&(claim, observation.endpoint_incarnation))
 }
 
 /// Whether an observation is in digests: it lives on for a while, and is no amount.
-pub(crate) fn is_digested(observation: &Fact, now: Duration) -> bool {
-    match observation.what {
-        What::Standing(..) | What::Started(..) => observation.age(now) + MIN_DIGEST_LIFETIME < KEPT,
-        What::Failing(..) => observation.age(now) < HELD,
-        What::Spent(..) | What::Demand(..) => false,
+pub(crate) fn is_digested(observation: &Observation, now: Duration) -> bool {
+    match observation.claim {
+        Claim::Readiness { .. } | Claim::Started { .. } => {
+            observation.age(now) + MIN_DIGEST_LIFETIME < OBSERVATION_LIFETIME
+        }
+        Claim::Health { .. } => observation.age(now) < FAILURE_HOLD_DURATION,
+        Claim::SlowStartUnits { .. } | Claim::Demand { .. } => false,
     }
 }
--- a/crates/gossip/src/push.rs
+++ b/crates/gossip/src/push.rs
@@ -5,8 +5,8 @@
 
 use crate::limits::{half_of_gossip_bytes, ENVELOPE_BYTES, MAX_ITEM_BYTES, MAX_PAYLOAD_BYTES, MAX_UPDATES};
 use crate::rate_limiter::RateLimiter;
-use shaletack_knowledge::fact::Topic;
-use shaletack_knowledge::Observer;
+use shaletack_observations::Observer;
+use shaletack_observations::Subject as ObservationSubject;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Subject {
     /// An observation.
-    Observation(Topic),
+    Observation(ObservationSubject),
     /// Observations that somebody still sees.
     Refresh(Observer),
     /// The membership record of that address.
--- a/crates/gossip/src/replica.rs
+++ b/crates/gossip/src/replica.rs
@@ -5,7 +5,7 @@
 use crate::directory::Directory;
 use crate::observations::{is_digested, observation_id};
 use crate::push::{PushQueue, Subject};
-use shaletack_knowledge::{Knowledge, Observer, KEPT};
+use shaletack_observations::{ObservationStore, Observer, OBSERVATION_LIFETIME};
 use std::time::Duration;
 
 /// The priority of membership records: after everything about endpoints.
@@ -16,7 +16,7 @@
 /// One process's copy of what the fleet knows.
 #[derive(Debug)]
 pub(crate) struct Replica {
-    pub(crate) observations: Knowledge,
+    pub(crate) observations: ObservationStore,
     pub(crate) directory: Directory,
     pub(crate) updates: PushQueue,
 }
@@ -24,7 +24,7 @@
 impl Replica {
     pub(crate) fn new(own: MembershipRecord, now: Duration) -> Self {
         Replica {
-            observations: Knowledge::default(),
+            observations: ObservationStore::default(),
             directory: Directory::new(own),
             updates: PushQueue::new(now),
         }
@@ -39,7 +39,7 @@
     pub(crate) fn item(&self, now: Duration, subject: &Subject) -> Option<Item> {
         match subject {
             Subject::Observation(topic) => {
-                self.observations.get(topic)?.told(now, self.own_process()).map(Item::Observation)
+                self.observations.get(topic)?.to_report(now, self.own_process()).map(Item::Observation)
             }
             Subject::Member(address) => self.directory.record(*address).cloned().map(Item::Member),
             Subject::Refresh(observer) => {
@@ -47,7 +47,7 @@
                 let age = now.saturating_sub(state.seen_at);
                 let record_ids = state.record_ids.clone();
                 let refresh = Refresh { observer: observer.clone(), hops: state.hops, age, record_ids };
-                (age <= KEPT).then_some(Item::Refresh(refresh))
+                (age <= OBSERVATION_LIFETIME).then_some(Item::Refresh(refresh))
             }
         }
     }
@@ -56,7 +56,7 @@
     pub(crate) fn items_by_priority(&self, now: Duration, subjects: &[Subject]) -> Vec<Item> {
         let mut items: Vec<Item> = subjects.iter().filter_map(|subject| self.item(now, subject)).collect();
         items.sort_by_key(|item| match item {
-            Item::Observation(report) => report.what.need(),
+            Item::Observation(report) => report.claim.send_order(),
             Item::Refresh(_) | Item::Member(_) => MEMBER_PRIORITY,
         });
         items
@@ -64,17 +64,17 @@
 
     /// All records that digests cover.
     pub(crate) fn digest_records(&self, now: Duration) -> Vec<Record> {
-        let observations = self.observations.facts().filter(|observation| is_digested(observation, now));
+        let observations = self.observations.iter().filter(|observation| is_digested(observation, now));
         let observations = observations.map(|observation| Record {
             id: observation_id(observation),
-            subject: Subject::Observation(observation.topic()),
+            subject: Subject::Observation(observation.subject()),
         });
         observations.chain(self.directory.digest_records()).collect()
     }
 
     /// Drops what is too old.
     pub(crate) fn expire(&mut self, now: Duration) {
-        self.observations.forget(now, |_| true);
+        self.observations.expire(now, |_| true);
         self.directory.expire_records(now);
     }
 }
--- a/crates/gossip/tests/gossip/anti_entropy.rs
+++ b/crates/gossip/tests/gossip/anti_entropy.rs
@@ -3,8 +3,8 @@
 use crate::network::{address, draining, first_hand, ready, Network, Node, MILLISECOND, SECOND};
 use shaletack_gossip::limits::{GOSSIP_BURST_BYTES, GOSSIP_BYTES_PER_SECOND};
 use shaletack_gossip::Input;
-use shaletack_knowledge::fact::Topic;
-use shaletack_knowledge::{Fact, What, KEPT};
+use shaletack_observations::Subject;
+use shaletack_observations::{Claim, Observation, OBSERVATION_LIFETIME};
 use std::collections::BTreeSet;
 
 /// The nodes of one zone.
@@ -13,12 +13,14 @@
 }
 
 /// The topics that either side knows and that nobody is about to forget.
-fn lasting_topics(network: &Network) -> BTreeSet<Topic> {
+fn lasting_topics(network: &Network) -> BTreeSet<Subject> {
     // What has little left to live is worth nobody's while.
-    let lasts = |node: &Node, known: &Fact| known.age(node.clock(network.now)) + 8 * SECOND < KEPT;
+    let lasts = |node: &Node, known: &Observation| {
+        known.age(node.clock(network.now)) + 8 * SECOND < OBSERVATION_LIFETIME
+    };
     let sides = network.nodes[..2].iter();
-    let known = sides.flat_map(|node| node.gossip.observations().facts().map(move |known| (node, known)));
-    known.filter(|(node, known)| lasts(node, known)).map(|(_, known)| known.topic()).collect()
+    let known = sides.flat_map(|node| node.gossip.observations().iter().map(move |known| (node, known)));
+    known.filter(|(node, known)| lasts(node, known)).map(|(_, known)| known.subject()).collect()
 }
 
 /// A zone is cut off for a minute. Meanwhile both sides see hundreds of endpoints drain. When the cut heals, nobody pushes
@@ -53,11 +55,11 @@
     }
 }
 
-fn endpoints(claim: fn(&str) -> What) -> impl Iterator<Item = What> {
+fn endpoints(claim: fn(&str) -> Claim) -> impl Iterator<Item = Claim> {
     (0..400).map(move |number| claim(&format!("s-{number:03}")))
 }
 
-fn observe_all(network: &mut Network, node: usize, claim: fn(&str) -> What) {
+fn observe_all(network: &mut Network, node: usize, claim: fn(&str) -> Claim) {
     let reports = endpoints(claim).map(|what| first_hand(&network.nodes[node].process, what)).collect();
     network.step(node, Input::LocalObservations(reports));
 }
@@ -115,7 +117,7 @@
     // And all know the record of its new incarnation, not of the one before.
     let incarnations = |node: &Node| -> Vec<u64> {
         let records = node.gossip.membership_records().filter(|record| record.address == address(9));
-        records.map(|record| record.process.life).collect()
+        records.map(|record| record.process.incarnation).collect()
     };
     let is_replaced = |network: &Network| {
         let mut others = network.nodes.iter().enumerate().filter(|(node, _)| *node != 9);
--- a/crates/gossip/tests/gossip/limits.rs
+++ b/crates/gossip/tests/gossip/limits.rs
@@ -3,7 +3,7 @@
 use crate::network::{datagram, draining, first_hand, process, push_of, Network, MILLISECOND, SECOND};
 use shaletack_gossip::limits::{GOSSIP_BURST_BYTES, GOSSIP_BYTES_PER_SECOND, MAX_DATAGRAMS_PER_SECOND};
 use shaletack_gossip::Input;
-use shaletack_knowledge::What;
+use shaletack_observations::{Claim, EndpointHealth};
 
 /// Something shakes the fleet, and ten initiators report failures of hundreds of endpoints each second. Each stays within
 /// its byte limit, and an endpoint that drains meanwhile does not wait behind the failures.
@@ -15,7 +15,15 @@
         let node = round % 10;
         let process = &network.nodes[node].process;
         let failing = (0..100)
-            .map(|number| first_hand(process, What::Failing(format!("f-{round}-{number}"), true)))
+            .map(|number| {
+                first_hand(
+                    process,
+                    Claim::Health {
+                        endpoint: format!("f-{round}-{number}"),
+                        health: EndpointHealth::Failing,
+                    },
+                )
+            })
             .collect();
         network.step(node, Input::LocalObservations(failing));
         network.run(100 * MILLISECOND);
--- a/crates/gossip/tests/gossip/membership.rs
+++ b/crates/gossip/tests/gossip/membership.rs
@@ -3,8 +3,8 @@
 use crate::network::{address, draining, first_hand, process, Network, MILLISECOND, SECOND};
 use rand::RngExt;
 use shaletack_gossip::{Effect, Input};
-use shaletack_knowledge::fact::Topic;
-use shaletack_knowledge::{Fact, Knowledge, Observer, Told, What};
+use shaletack_observations::Subject;
+use shaletack_observations::{Claim, Observation, ObservationStore, Observer, Report};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
         let unconfirmed: Vec<SocketAddr> = network.nodes[node].gossip.unconfirmed_members().collect();
         assert_eq!(unconfirmed, [older]);
     }
-    let from = Observer { name: "older".into(), life: 5 };
+    let from = Observer { name: "older".into(), incarnation: 5 };
     let reports = vec![
         first_hand(&from, draining("s-1")),
-        first_hand(&from, What::Demand(3, 4000)),
-        Told { hops: 3, by: process(77, 1), ..first_hand(&from, draining("s-2")) },
+        first_hand(&from, Claim::Demand { volume: 3, milli_units_per_second: 4000 }),
+        Report { hops: 3, observer: process(77, 1), ..first_hand(&from, draining("s-2")) },
     ];
     network.step(2, Input::Exchanged { from, round_trip: 10 * MILLISECOND, reports });
     let reached =
@@ -62,30 +62,36 @@
 }
 
 fn older_process(older: usize) -> Observer {
-    Observer { name: format!("older{older}"), life: 5 }
+    Observer { name: format!("older{older}"), incarnation: 5 }
 }
 
 /// What a process that exchanges over TCP knows, and what of it it has seen itself.
 #[derive(Clone, Default)]
 struct Exchanger {
-    known: Knowledge,
-    own: Vec<Fact>,
+    known: ObservationStore,
+    own: Vec<Observation>,
 }
 
 impl Exchanger {
-    fn sees(&mut self, what: &What, by: Observer, seen: Duration) {
-        self.own.push(Fact { what: what.clone(), by, start: 0, hops: 0, seen });
+    fn sees(&mut self, what: &Claim, by: Observer, seen: Duration) {
+        self.own.push(Observation {
+            claim: what.clone(),
+            observer: by,
+            endpoint_incarnation: 0,
+            hops: 0,
+            observed_at: seen,
+        });
     }
 
-    fn reports(&self, now: Duration, process: &Observer) -> Vec<Told> {
-        self.known.tell(now, process, self.own.clone())
+    fn reports(&self, now: Duration, process: &Observer) -> Vec<Report> {
+        self.known.reports_for_exchange(now, process, self.own.clone())
     }
 
-    fn takes(&mut self, now: Duration, process: &Observer, from: &Observer, reports: Vec<Told>) {
+    fn takes(&mut self, now: Duration, process: &Observer, from: &Observer, reports: Vec<Report>) {
         let in_range = reports.iter().all(|report| report.hops <= PREVIOUS_HOPS);
         assert!(in_range, "the previous release takes no more hops");
-        let (_, refused) = self.known.hear(now, ROUND_TRIP, process, from, reports);
-        assert_eq!(refused.unsound, 0);
+        let refused = self.known.merge_reports(now, ROUND_TRIP, process, from, reports).rejected;
+        assert_eq!(refused.invalid, 0);
     }
 }
 
@@ -116,7 +122,7 @@
         for (node, core) in self.network.nodes.iter_mut().zip(&mut self.cores) {
             let clock = node.clock(now);
             for (_, report) in std::mem::take(&mut node.learned) {
-                core.known.learn(report.heard(clock, Duration::ZERO));
+                core.known.merge(report.into_observation(clock, Duration::ZERO));
             }
         }
     }
@@ -176,7 +182,7 @@
             fleet.older_asks(index, second);
             fleet.newer_asks(index);
         }
-        let topic = Topic::Standing("s-new".into());
+        let topic = Subject::Readiness("s-new".into());
         let older_know = fleet.older.iter().all(|older| older.known.get(&topic).is_some());
         let newer_know = (0..EACH_RELEASE).all(|node| fleet.network.knows(node, &by_older));
         if older_know && newer_know {
--- a/crates/gossip/tests/gossip/network.rs
+++ b/crates/gossip/tests/gossip/network.rs
@@ -5,7 +5,7 @@
 use shaletack_gossip::aggregation::{Key, Total};
 use shaletack_gossip::codec::{decode, encode, Body, Item, Message, IP_UDP_HEADER_BYTES, MAX_DATAGRAM_BYTES};
 use shaletack_gossip::{ConfigRollout, Effect, Gossip, Input, Locality};
-use shaletack_knowledge::{Fact, Observer, Standing, Told, What};
+use shaletack_observations::{Claim, Observation, Observer, Report, ReportedReadiness};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,20 +20,20 @@
 }
 
 pub fn process(node: usize, incarnation: u64) -> Observer {
-    Observer { name: format!("n{node}"), life: incarnation }
+    Observer { name: format!("n{node}"), incarnation }
 }
 
-pub fn draining(endpoint: &str) -> What {
-    What::Standing(endpoint.into(), Standing::Draining)
+pub fn draining(endpoint: &str) -> Claim {
+    Claim::Readiness { endpoint: endpoint.into(), readiness: ReportedReadiness::Draining }
 }
 
-pub fn ready(endpoint: &str) -> What {
-    What::Standing(endpoint.into(), Standing::Ready)
+pub fn ready(endpoint: &str) -> Claim {
+    Claim::Readiness { endpoint: endpoint.into(), readiness: ReportedReadiness::Ready }
 }
 
 /// What a process has seen itself just now.
-pub fn first_hand(by: &Observer, what: What) -> Told {
-    Told { what, by: by.clone(), start: 0, hops: 0, age: Duration::ZERO }
+pub fn first_hand(by: &Observer, what: Claim) -> Report {
+    Report { claim: what, observer: by.clone(), endpoint_incarnation: 0, hops: 0, age: Duration::ZERO }
 }
 
 /// A datagram of that node in its first incarnation.
@@ -42,7 +42,7 @@
 }
 
 /// A pushed observation.
-pub fn push_of(report: Told) -> Body {
+pub fn push_of(report: Report) -> Body {
     Body::Push(vec![Item::Observation(report)])
 }
 
@@ -68,7 +68,7 @@
     wake_at: Duration,
     /// Its clock goes faster by this part.
     clock_skew: f64,
-    pub learned: Vec<(Duration, Told)>,
+    pub learned: Vec<(Duration, Report)>,
     pub sent: Vec<SentDatagram>,
     pub rejected: Vec<Effect>,
     pub totals: BTreeMap<Key, Total>,
@@ -269,18 +269,24 @@
     }
 
     /// A node sees something itself.
-    pub fn observe(&mut self, node: usize, what: What) {
+    pub fn observe(&mut self, node: usize, what: Claim) {
         let report = first_hand(&self.nodes[node].process, what);
         self.step(node, Input::LocalObservations(vec![report]));
     }
 
-    pub fn knows(&self, node: usize, what: &What) -> bool {
-        let fact = Fact { what: what.clone(), by: process(0, 0), start: 0, hops: 0, seen: self.now };
-        let known = self.nodes[node].gossip.observations().get(&fact.topic());
-        known.is_some_and(|known| known.what == *what)
+    pub fn knows(&self, node: usize, what: &Claim) -> bool {
+        let fact = Observation {
+            claim: what.clone(),
+            observer: process(0, 0),
+            endpoint_incarnation: 0,
+            hops: 0,
+            observed_at: self.now,
+        };
+        let known = self.nodes[node].gossip.observations().get(&fact.subject());
+        known.is_some_and(|known| known.claim == *what)
     }
 
-    pub fn all_know(&self, what: &What) -> bool {
+    pub fn all_know(&self, what: &Claim) -> bool {
         (0..self.nodes.len()).all(|node| self.knows(node, what))
     }
 
@@ -302,7 +308,7 @@
         self.nodes[index] = Node::new(index, incarnation, locality, seed, self.now);
         for other in (0..self.nodes.len()).filter(|other| *other != index) {
             self.step(other, Input::MemberUp { address: address(index), incarnation });
-            let incarnation = self.nodes[other].process.life;
+            let incarnation = self.nodes[other].process.incarnation;
             self.step(index, Input::MemberUp { address: address(other), incarnation });
         }
     }
--- a/crates/gossip/tests/gossip/observation_age.rs
+++ b/crates/gossip/tests/gossip/observation_age.rs
@@ -4,8 +4,8 @@
     address, datagram, draining, first_hand, process, push_of, ready, Network, MILLISECOND, SECOND,
 };
 use shaletack_gossip::{Effect, Gossip, Input, Locality};
-use shaletack_knowledge::fact::Topic;
-use shaletack_knowledge::{Told, What, KEPT};
+use shaletack_observations::Subject;
+use shaletack_observations::{Claim, Report, OBSERVATION_LIFETIME};
 use std::time::Duration;
 
 /// Clocks run off by a thousandth and latencies differ. An observation that looked younger than it is could undo a later
@@ -22,7 +22,7 @@
         assert!(report.age <= age + 2 * SECOND, "nor much older: {age:?}, reported as {:?}", report.age);
     }
     for node in &network.nodes {
-        let known = node.gossip.observations().get(&Topic::Standing("s-1".into())).unwrap();
+        let known = node.gossip.observations().get(&Subject::Readiness("s-1".into())).unwrap();
         assert!(known.age(node.clock(network.now)) + 20 * MILLISECOND >= network.now - observed_at);
     }
 }
@@ -32,7 +32,7 @@
 #[test]
 fn observations_that_somebody_still_sees_are_refreshed_and_others_expire() {
     let mut network = Network::settled(40, 2, 11);
-    let claims: Vec<What> = (0..30).map(|number| draining(&format!("s-{number}"))).collect();
+    let claims: Vec<Claim> = (0..30).map(|number| draining(&format!("s-{number}"))).collect();
     let observe_all = |network: &mut Network, node: usize| {
         let process = &network.nodes[node].process;
         let reports = claims.iter().map(|what| first_hand(process, what.clone())).collect();
@@ -54,7 +54,7 @@
         network.run(2 * SECOND);
         assert!(all_known(&network), "lost at {:?}", network.now);
     }
-    network.run(KEPT + 3 * SECOND);
+    network.run(OBSERVATION_LIFETIME + 3 * SECOND);
     let all_expired = network.nodes.iter().all(|node| node.gossip.observations().is_empty());
     assert!(all_expired, "nobody sees it any more");
 }
@@ -65,7 +65,7 @@
 fn an_observation_older_than_its_receiver_keeps_its_age_and_order() {
     let mut gossip = Gossip::new(process(0, 1), address(0), Locality::default(), 1, Duration::ZERO);
     let push =
-        |age: Duration, what: What| datagram(1, push_of(Told { age, ..first_hand(&process(1, 1), what) }));
+        |age: Duration, what: Claim| datagram(1, push_of(Report { age, ..first_hand(&process(1, 1), what) }));
     // Drained 50 s ago and back 10 s ago; the two come in either order.
     gossip.step(SECOND, push(10 * SECOND, ready("s-1")));
     let effects = gossip.step(SECOND, push(50 * SECOND, draining("s-1")));
@@ -74,8 +74,8 @@
         Effect::Learned(reports) => reports.clone(),
         _ => Vec::new(),
     });
-    let learned: Vec<(What, Duration)> = learned.map(|report| (report.what, report.age)).collect();
-    let known = gossip.observations().get(&Topic::Standing("s-1".into())).map(|known| known.what.clone());
+    let learned: Vec<(Claim, Duration)> = learned.map(|report| (report.claim, report.age)).collect();
+    let known = gossip.observations().get(&Subject::Readiness("s-1".into())).map(|known| known.claim.clone());
     assert_eq!(known, Some(ready("s-1")));
     assert!(learned.iter().all(|(_, age)| *age >= 50 * SECOND), "{learned:?}");
 }
--- a/crates/gossip/tests/gossip/push.rs
+++ b/crates/gossip/tests/gossip/push.rs
@@ -6,7 +6,7 @@
 };
 use shaletack_gossip::codec::{Body, Item};
 use shaletack_gossip::Input;
-use shaletack_knowledge::{Told, What};
+use shaletack_observations::{Claim, EndpointHealth, Report};
 use std::collections::BTreeSet;
 
 /// Regions are 60 ms apart, and one datagram in twenty is lost.
@@ -114,7 +114,7 @@
     let mut network = Network::settled(3, 1, 19);
     network.observe(0, ready("s-1"));
     let now = network.nodes[0].clock(network.now);
-    let outdated = Told { age: 30 * SECOND, ..first_hand(&process(1, 1), draining("s-1")) };
+    let outdated = Report { age: 30 * SECOND, ..first_hand(&process(1, 1), draining("s-1")) };
     let effects = network.nodes[0].gossip.step(now, datagram(1, push_of(outdated)));
     let newer = Body::Records(vec![Item::Observation(first_hand(&process(0, 1), ready("s-1")))]);
     assert_eq!(sent_bodies(&effects), [(address(1), newer)]);
@@ -126,7 +126,9 @@
     let mut network = Network::settled(5, 1, 22);
     let now = network.nodes[0].clock(network.now);
     let own = process(0, 1);
-    let failing = (0..100).map(|number| first_hand(&own, What::Failing(format!("f-{number}"), true)));
+    let failing = (0..100).map(|number| {
+        first_hand(&own, Claim::Health { endpoint: format!("f-{number}"), health: EndpointHealth::Failing })
+    });
     let draining_last = [first_hand(&own, draining("a-1")), first_hand(&own, draining("z-1"))];
     let reports = failing.chain(draining_last).collect();
     let gossip = &mut network.nodes[0].gossip;
@@ -137,6 +139,6 @@
     let pushed = pushed.expect("it is pushed at once");
     assert!(pushed.len() > 10 && pushed.len() < 100, "{}", pushed.len());
     for (item, endpoint) in pushed.iter().zip(["a-1", "z-1"]) {
-        assert!(matches!(item, Item::Observation(report) if report.what == draining(endpoint)), "{item:?}");
+        assert!(matches!(item, Item::Observation(report) if report.claim == draining(endpoint)), "{item:?}");
     }
 }
--- a/crates/gossip/tests/gossip/validation.rs
+++ b/crates/gossip/tests/gossip/validation.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::{any, prop, prop_assert, proptest, ProptestConfig};
 use shaletack_gossip::codec::{decode, encode, Body, Item, MembershipRecord, Message, Refresh};
 use shaletack_gossip::{Effect, Gossip, Input, Locality};
-use shaletack_knowledge::{Told, What, HOPS_MOST, KEPT};
+use shaletack_observations::{Claim, Report, MAX_HOPS, OBSERVATION_LIFETIME};
 
 /// A faulty or malicious peer reports in another's name, passes on what may not be, or names what is out of range. All of
 /// it is counted and dropped.
@@ -15,14 +15,22 @@
     let sound = first_hand(&liar, draining("s-1"));
     let items = vec![
         Item::Observation(first_hand(&other, draining("s-1"))),
-        Item::Observation(Told { hops: 1, ..sound.clone() }),
-        Item::Observation(Told { hops: HOPS_MOST + 1, by: other.clone(), ..sound.clone() }),
-        Item::Observation(Told { age: KEPT + SECOND, ..sound.clone() }),
-        Item::Observation(first_hand(&liar, What::Spent("s-1".into(), 9))),
-        Item::Observation(first_hand(&liar, What::Demand(1, 9))),
+        Item::Observation(Report { hops: 1, ..sound.clone() }),
+        Item::Observation(Report { hops: MAX_HOPS + 1, observer: other.clone(), ..sound.clone() }),
+        Item::Observation(Report { age: OBSERVATION_LIFETIME + SECOND, ..sound.clone() }),
+        Item::Observation(first_hand(
+            &liar,
+            Claim::SlowStartUnits { endpoint: "s-1".into(), milli_units: 9 },
+        )),
+        Item::Observation(first_hand(&liar, Claim::Demand { volume: 1, milli_units_per_second: 9 })),
         Item::Observation(first_hand(&liar, draining(""))),
         Item::Refresh(Refresh { observer: other.clone(), hops: 0, age: SECOND, record_ids: vec![1] }),
-        Item::Refresh(Refresh { observer: liar.clone(), hops: 0, age: KEPT + SECOND, record_ids: vec![1] }),
+        Item::Refresh(Refresh {
+            observer: liar.clone(),
+            hops: 0,
+            age: OBSERVATION_LIFETIME + SECOND,
+            record_ids: vec![1],
+        }),
         Item::Member(MembershipRecord {
             process: process(9, 1),
             address: address(40),
@@ -35,7 +43,7 @@
     assert!(network.nodes[0].gossip.observations().is_empty() && network.nodes[0].learned.is_empty());
     // What comes back of its own is nothing new either.
     let own = first_hand(&network.nodes[0].process.clone(), draining("s-9"));
-    network.step(0, datagram(1, push_of(Told { hops: 1, ..own })));
+    network.step(0, datagram(1, push_of(Report { hops: 1, ..own })));
     assert!(network.nodes[0].gossip.observations().is_empty());
 }
 
@@ -43,7 +51,7 @@
 fn a_refresh_of_more_hops_than_allowed_is_rejected() {
     let mut network = Network::settled(3, 1, 21);
     let invalid = Effect::InvalidItems { from: "n1".into(), count: 1 };
-    for (hops, rejected) in [(HOPS_MOST, vec![]), (HOPS_MOST + 1, vec![invalid])] {
+    for (hops, rejected) in [(MAX_HOPS, vec![]), (MAX_HOPS + 1, vec![invalid])] {
         let refresh = Refresh { observer: process(2, 1), hops, age: SECOND, record_ids: vec![1] };
         network.step(0, datagram(1, Body::Push(vec![Item::Refresh(refresh)])));
         assert_eq!(network.nodes[0].rejected, rejected, "{hops}");
--- a/crates/gossip/tests/wire_fixtures.rs
+++ b/crates/gossip/tests/wire_fixtures.rs
@@ -4,7 +4,7 @@
 use shaletack_gossip::aggregation::{self, Key, KeyRow, Layout, PackedTotal, Page, PageKind, TotalsPage};
 use shaletack_gossip::codec::{decode, encode, Body, Item, MembershipRecord, Message, Refresh};
 use shaletack_gossip::Locality;
-use shaletack_knowledge::{Observer, Standing, Told, What};
+use shaletack_observations::{Claim, EndpointHealth, Observer, Report, ReportedReadiness};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -18,12 +18,12 @@
 }
 
 fn process(name: &str) -> Observer {
-    Observer { name: name.into(), life: 0x0123_4567_89ab_cdef }
+    Observer { name: name.into(), incarnation: 0x0123_4567_89ab_cdef }
 }
 
-fn report(what: What, hops: u8) -> Item {
+fn report(what: Claim, hops: u8) -> Item {
     let (by, start, age) = (process("initiator-1"), 1_764_700_000_123, Duration::new(7, 250_000_000));
-    Item::Observation(Told { what, by, start, hops, age })
+    Item::Observation(Report { claim: what, observer: by, endpoint_incarnation: start, hops, age })
 }
 
 fn record(address: &str) -> Item {
@@ -44,14 +44,14 @@
 /// One item of each kind, and of each claim.
 fn items() -> Vec<Item> {
     vec![
-        report(What::Standing("endpoint-1".into(), Standing::Ready), 0),
-        report(What::Standing("endpoint-2".into(), Standing::Draining), 1),
-        report(What::Standing("endpoint-3".into(), Standing::Gone), 32),
-        report(What::Failing("endpoint-4".into(), true), 0),
-        report(What::Failing("endpoint-4".into(), false), 0),
-        report(What::Started("endpoint-5".into(), Duration::from_millis(4321)), 3),
-        report(What::Spent("endpoint-6".into(), 123_456), 0),
-        report(What::Demand(77, u64::MAX), 0),
+        report(Claim::Readiness { endpoint: "endpoint-1".into(), readiness: ReportedReadiness::Ready }, 0),
+        report(Claim::Readiness { endpoint: "endpoint-2".into(), readiness: ReportedReadiness::Draining }, 1),
+        report(Claim::Readiness { endpoint: "endpoint-3".into(), readiness: ReportedReadiness::Removed }, 32),
+        report(Claim::Health { endpoint: "endpoint-4".into(), health: EndpointHealth::Failing }, 0),
+        report(Claim::Health { endpoint: "endpoint-4".into(), health: EndpointHealth::Healthy }, 0),
+        report(Claim::Started { endpoint: "endpoint-5".into(), uptime: Duration::from_millis(4321) }, 3),
+        report(Claim::SlowStartUnits { endpoint: "endpoint-6".into(), milli_units: 123_456 }, 0),
+        report(Claim::Demand { volume: 77, milli_units_per_second: u64::MAX }, 0),
         record("10.1.2.3:7700"),
         record("[fd00::1]:7700"),
         refresh(),
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -12,8 +12,8 @@
     EndpointListKind, Idempotency, Plan, Readiness, RequestClass, Settings, SharedRules,
 };
 use shaletack_core::outcome::TransportOutcome;
-use shaletack_knowledge::Observer;
-use shaletack_peers::frame;
+use shaletack_membership::frame;
+use shaletack_observations::Observer;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -172,14 +172,14 @@
     }
 
     fn initiator(&mut self, i: usize, listens_from: Duration) -> Initiator {
-        let me = Observer { name: format!("n{i}"), life: self.rng.random() };
+        let me = Observer { name: format!("n{i}"), incarnation: self.rng.random() };
         let now = self.zero + self.now;
         let set = Settings { rank: i as u32, ..settings(&self.shape) };
         let broker = Broker::new(set, self.rng.random(), Clock::new(self.zero, UNIX), now);
         let broker = if self.shape.peers { broker.among_peers(me.clone()) } else { broker };
         Initiator {
             broker,
-            life: Some(me.life),
+            life: Some(me.incarnation),
             me,
             wake: 0,
             next_peer: i + 1,
@@ -196,7 +196,7 @@
         let entries = (0..self.boxes.len()).map(|b| self.member(b, fresh)).collect();
         let revision = if fresh { self.revision } else { 1 };
         self.feed(i, Input::EndpointList(EndpointList { revision, kind, entries }));
-        let life = self.initiators[i].me.life;
+        let life = self.initiators[i].me.incarnation;
         if self.shape.peers {
             if !fresh {
                 (0..self.shape.initiators).for_each(|peer| self.exchange(i, peer));
@@ -352,7 +352,11 @@
             let message = frame::decode(bytes).unwrap_or_else(|why| panic!("the own frame: {why}"));
             self.feed(
                 to,
-                Input::PeerReports { from: message.from, round_trip: message.trip, reports: message.facts },
+                Input::PeerReports {
+                    from: message.from,
+                    round_trip: message.round_trip,
+                    reports: message.reports,
+                },
             );
         }
     }
@@ -381,7 +385,7 @@
 
     fn feed(&mut self, i: usize, input: Input) {
         let effects = self.initiators[i].broker.step(self.zero + self.now, input);
-        let life = self.initiators[i].me.life;
+        let life = self.initiators[i].me.incarnation;
         for effect in effects {
             match effect {
                 Effect::StartAttempt { attempt: AttemptId { request, number }, to, .. } => {
--- a/crates/lab/src/hollow/initiator.rs
+++ b/crates/lab/src/hollow/initiator.rs
@@ -10,9 +10,9 @@
 use shaletack_gossip::aggregation::{Key, Total};
 use shaletack_gossip::codec::MAGIC as GOSSIP_MAGIC;
 use shaletack_gossip::{Gossip, Locality};
-use shaletack_knowledge::Observer;
-use shaletack_peers::frame::{self, Message, HEAD, SPREADS};
-use shaletack_peers::membership::{self, Membership, Peer, DATAGRAM_MOST};
+use shaletack_membership::frame::{self, Message, GOSSIP_CAPABLE, HEADER_BYTES};
+use shaletack_membership::{self as membership, Membership, MAX_DATAGRAM_BYTES};
+use shaletack_observations::Observer;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -137,17 +137,26 @@
     let (me, at, start) = (observer(set), tcp.local_addr()?, Instant::now());
     let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let me = Observer { name: format!("h{index}"), ..me };
-    let peer = Peer { name: me.name.clone(), life: me.life, epoch: unix.as_millis() as u64, at };
+    let peer = membership::Member {
+        name: me.name.clone(),
+        incarnation: me.incarnation,
+        epoch: unix.as_millis() as u64,
+        address: at,
+    };
     let place =
         Locality { region: format!("g{}", index % ZONES / REGION), zone: format!("z{}", index % ZONES) };
-    let spread = Gossip::new(me.clone(), at, place, me.life, Duration::ZERO);
-    let core =
-        broker::Broker::new(operator.settings.clone(), me.life, broker::Clock::new(start, unix), start);
+    let spread = Gossip::new(me.clone(), at, place, me.incarnation, Duration::ZERO);
+    let core = broker::Broker::new(
+        operator.settings.clone(),
+        me.incarnation,
+        broker::Clock::new(start, unix),
+        start,
+    );
     let hollow = Rc::new(Hollow {
         index,
         start,
         udp,
-        membership: RefCell::new(Membership::new(peer, set.join.clone(), me.life)),
+        membership: RefCell::new(Membership::new(peer, set.join.clone(), me.incarnation)),
         spread: RefCell::new(spread),
         broker: RefCell::new(core.among_peers(me.clone())),
         said: RefCell::default(),
@@ -160,14 +169,14 @@
     for to in set.join.clone() {
         spawn_local(hollow.clone().ask(to));
     }
-    hollow.members(membership::Input::Woke).await;
+    hollow.members(membership::Input::TimerExpired).await;
     spawn_local(hollow.clone().keep_asking());
     hollow.run(tcp).await
 }
 
 impl Hollow {
     async fn run(self: Rc<Self>, tcp: TcpListener) -> io::Result<()> {
-        let mut bytes = [0; DATAGRAM_MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         let served = Arc::new(tokio::sync::Semaphore::new(SERVED_MOST));
         let mut adds = tokio::time::interval(ADDED_EVERY);
         self.spread(gossip::Input::TimerFired).await;
@@ -179,7 +188,7 @@
                     let datagram = bytes[..length].to_vec();
                     match datagram.first() {
                         Some(&GOSSIP_MAGIC) => self.spread(gossip::Input::Datagram { from, bytes: datagram }).await,
-                        _ => self.members(membership::Input::Datagram(datagram.into())).await,
+                        _ => self.members(membership::Input::DatagramReceived(datagram.into())).await,
                     }
                 },
                 came = tcp.accept(), if served.available_permits() > 0 => {
@@ -203,7 +212,7 @@
                         due.then(|| wake.set(None)).is_some()
                     };
                     if due(&self.wakes[0]) {
-                        self.members(membership::Input::Woke).await;
+                        self.members(membership::Input::TimerExpired).await;
                     }
                     if due(&self.wakes[1]) {
                         self.core(broker::Input::TimerFired);
@@ -235,19 +244,29 @@
         let effects = self.membership.borrow_mut().step(self.start.elapsed(), input);
         for effect in effects {
             match effect {
-                membership::Effect::Send(to, bytes) => {
+                membership::Effect::Send { to, datagram: bytes } => {
                     self.send(to, &bytes).await;
                 }
-                membership::Effect::Wake(at) => self.wakes[0].set(Some(self.start + at)),
-                membership::Effect::Up(peer) => {
-                    self.spread(gossip::Input::MemberUp { address: peer.at, incarnation: peer.life }).await;
+                membership::Effect::SetTimer(at) => self.wakes[0].set(Some(self.start + at)),
+                membership::Effect::MemberUp(peer) => {
+                    self.spread(gossip::Input::MemberUp {
+                        address: peer.address,
+                        incarnation: peer.incarnation,
+                    })
+                    .await;
                     self.tell(What::Up(peer.name));
                 }
-                membership::Effect::Down(peer) => {
-                    self.spread(gossip::Input::MemberDown { address: peer.at, incarnation: peer.life }).await;
+                membership::Effect::MemberDown(peer) => {
+                    self.spread(gossip::Input::MemberDown {
+                        address: peer.address,
+                        incarnation: peer.incarnation,
+                    })
+                    .await;
                     self.tell(What::Down(peer.name));
                 }
-                membership::Effect::Twins(..) | membership::Effect::Bad(_) => self.tell(What::Warned),
+                membership::Effect::DuplicateName { .. } | membership::Effect::DatagramFailed(_) => {
+                    self.tell(What::Warned)
+                }
             }
         }
     }
@@ -303,13 +322,13 @@
 
     /// A frame that ends where its head says.
     async fn read(stream: &mut TcpStream) -> io::Result<(Message, usize)> {
-        let bad = |why: frame::Bad| io::Error::other(why.to_string());
-        let mut first = [0; HEAD];
+        let bad = |why: frame::FrameError| io::Error::other(why.to_string());
+        let mut first = [0; HEADER_BYTES];
         stream.read_exact(&mut first).await?;
-        let head = frame::head(&first).map_err(bad)?;
-        let mut bytes = vec![0; head.length];
+        let head = frame::decode_header(&first).map_err(bad)?;
+        let mut bytes = vec![0; head.message_bytes];
         stream.read_exact(&mut bytes).await?;
-        Ok((frame::message(head, &bytes).map_err(bad)?, HEAD + bytes.len()))
+        Ok((frame::decode_message(head, &bytes).map_err(bad)?, HEADER_BYTES + bytes.len()))
     }
 
     fn frame(&self, trip: Duration) -> Vec<u8> {
@@ -328,7 +347,7 @@
             stream.write_all(&frame).await?;
             let (message, length) = Self::read(&mut stream).await?;
             self.ledger.moved(self.index, 0, other, over_tcp(length, ASKED_PACKETS));
-            if message.trip == SPREADS {
+            if message.round_trip == GOSSIP_CAPABLE {
                 self.spread(gossip::Input::SupportConfirmed(to)).await;
             }
             self.exchanged(message, sent.elapsed()).await;
@@ -344,21 +363,21 @@
         let (message, length) = Self::read(&mut stream).await?;
         let other = self.ledger.real.get(&message.from.name);
         self.ledger.moved(self.index, 0, other, over_tcp(length, ASKER_PACKETS));
-        let frame = self.frame(SPREADS);
+        let frame = self.frame(GOSSIP_CAPABLE);
         stream.write_all(&frame).await?;
         self.ledger.moved(self.index, 1, other, over_tcp(frame.len(), ASKED_PACKETS));
-        let trip = message.trip;
+        let trip = message.round_trip;
         self.exchanged(message, trip).await;
         Ok(())
     }
 
     /// What one that speaks the spread is asked for is in the sums.
     async fn exchanged(&self, message: Message, trip: Duration) {
-        let Message { from, mut facts, .. } = message;
-        if message.trip == SPREADS
+        let Message { from, reports: mut facts, .. } = message;
+        if message.round_trip == GOSSIP_CAPABLE
             || self.spread.borrow().membership_records().any(|record| record.process == from)
         {
-            facts.retain(|told| !told.what.is_amount());
+            facts.retain(|told| !told.claim.is_contribution());
         }
         let trip = trip.min(EXCHANGE);
         self.core(broker::Input::PeerReports {
@@ -371,7 +390,7 @@
 
     /// Members that are not known to speak the spread are asked over TCP.
     async fn keep_asking(self: Rc<Self>) {
-        let mut rng = StdRng::seed_from_u64(self.me.life);
+        let mut rng = StdRng::seed_from_u64(self.me.incarnation);
         loop {
             sleep(ASKED_EVERY).await;
             let unmet = self.spread.borrow().unconfirmed_members().choose(&mut rng);
--- a/crates/lab/src/mutants.rs
+++ b/crates/lab/src/mutants.rs
@@ -121,7 +121,7 @@
     }
     let folder = tempfile::tempdir().map_err(wrong(&std::env::temp_dir()))?;
     let work = folder.path();
-    for name in ["crates/gossip", "crates/knowledge"] {
+    for name in ["crates/gossip", "crates/observations"] {
         copy(Path::new(name), &work.join(name))?;
     }
     std::fs::copy("Cargo.lock", work.join("Cargo.lock")).map_err(wrong(work))?;
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -19,9 +19,9 @@
 use shaletack_gossip::codec::{HEADER_BYTES as GOSSIP_HEADER_BYTES, MAGIC as GOSSIP_MAGIC};
 use shaletack_gossip::limits::{GOSSIP_BURST_BYTES, GOSSIP_BYTES_PER_SECOND};
 use shaletack_gossip::{Gossip, Locality};
-use shaletack_knowledge::{Observer, HOPS_EXCHANGED, HOPS_MOST};
-use shaletack_peers::frame;
-use shaletack_peers::membership::{self, Membership, Peer};
+use shaletack_membership::frame;
+use shaletack_membership::{self as membership, Membership};
+use shaletack_observations::{Observer, MAX_EXCHANGE_HOPS, MAX_HOPS};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
@@ -276,9 +276,10 @@
     /// A process that knows its list as it was and two addresses.
     fn hollow(&mut self, i: usize, named: usize, boot: u64) -> Hollow {
         let life = self.rng.random();
-        let me = Observer { name: format!("init-{named:04}"), life };
+        let me = Observer { name: format!("init-{named:04}"), incarnation: life };
         let epoch = (UNIX + self.now).as_millis() as u64;
-        let peer = Peer { name: me.name.clone(), life, epoch, at: address(i) };
+        let peer =
+            membership::Member { name: me.name.clone(), incarnation: life, epoch, address: address(i) };
         let boxes = Figures {
             capacity: 4000.0,
             start: 0.16,
@@ -334,7 +335,7 @@
     fn begin(&mut self, i: usize, kind: EndpointListKind) {
         let entries = (0..self.size.boxes).map(|b| self.member(b, Readiness::Ready)).collect();
         self.broker(i, Input::EndpointList(EndpointList { revision: 1, kind, entries }), false);
-        self.members(i, membership::Input::Woke);
+        self.members(i, membership::Input::TimerExpired);
         if self.talks {
             // All that are listed are asked at once, before anything else.
             for to in JOINED.into_iter().filter(|to| *to != i) {
@@ -364,9 +365,12 @@
     fn start_talk(&mut self) {
         self.talks = true;
         for i in 0..self.hollows.len() {
-            let members: Vec<Peer> = self.hollows[i].membership.peers().cloned().collect();
+            let members: Vec<membership::Member> = self.hollows[i].membership.others().cloned().collect();
             for peer in members {
-                self.spread(i, gossip::Input::MemberUp { address: peer.at, incarnation: peer.life });
+                self.spread(
+                    i,
+                    gossip::Input::MemberUp { address: peer.address, incarnation: peer.incarnation },
+                );
             }
         }
     }
@@ -465,7 +469,7 @@
     /// The part of all pairs of processes that live of which the first knows the second.
     pub fn met_part(&self) -> f64 {
         let alive = self.hollows.iter().filter(|h| h.alive).count();
-        let known = self.hollows.iter().filter(|h| h.alive).map(|h| h.membership.peers().count());
+        let known = self.hollows.iter().filter(|h| h.alive).map(|h| h.membership.others().count());
         known.sum::<usize>() as f64 / (alive * (alive - 1)).max(1) as f64
     }
 
@@ -537,7 +541,7 @@
                             gossip::Input::Datagram { from: address(from), bytes: bytes.to_vec() },
                         );
                     } else {
-                        self.members(to, membership::Input::Datagram(bytes));
+                        self.members(to, membership::Input::DatagramReceived(bytes));
                     }
                 }
             }
@@ -548,7 +552,7 @@
                 }
                 self.hollows[at].wakes[part as usize].1 = Duration::MAX;
                 match part {
-                    Part::Members => self.members(at, membership::Input::Woke),
+                    Part::Members => self.members(at, membership::Input::TimerExpired),
                     // Nearly all of these are for requests.
                     Part::Broker => self.broker(at, Input::TimerFired, false),
                     Part::Spread => self.spread(at, gossip::Input::TimerFired),
@@ -622,20 +626,27 @@
         let effects = timed(&mut hollow.cpu[Part::Members as usize], || hollow.membership.step(now, input));
         for effect in effects {
             match effect {
-                membership::Effect::Send(to, bytes) => self.send(i, index(to), bytes),
-                membership::Effect::Wake(at) => self.wake(i, Part::Members, at),
-                membership::Effect::Down(peer) => {
-                    let of = index(peer.at);
-                    let there = self.hollows.get(of).is_some_and(|h| h.alive && h.me.life == peer.life);
+                membership::Effect::Send { to, datagram: bytes } => self.send(i, index(to), bytes),
+                membership::Effect::SetTimer(at) => self.wake(i, Part::Members, at),
+                membership::Effect::MemberDown(peer) => {
+                    let of = index(peer.address);
+                    let there =
+                        self.hollows.get(of).is_some_and(|h| h.alive && h.me.incarnation == peer.incarnation);
                     let troubled = self.now < self.troubled_until || !self.links.joins(i, of);
                     self.seen.taken_for_dead += u64::from(there && !troubled);
-                    self.spread(i, gossip::Input::MemberDown { address: peer.at, incarnation: peer.life });
+                    self.spread(
+                        i,
+                        gossip::Input::MemberDown { address: peer.address, incarnation: peer.incarnation },
+                    );
                 }
-                membership::Effect::Up(peer) => {
-                    self.spread(i, gossip::Input::MemberUp { address: peer.at, incarnation: peer.life });
+                membership::Effect::MemberUp(peer) => {
+                    self.spread(
+                        i,
+                        gossip::Input::MemberUp { address: peer.address, incarnation: peer.incarnation },
+                    );
                 }
-                membership::Effect::Twins(..) => {}
-                membership::Effect::Bad(_) => self.seen.bad += 1,
+                membership::Effect::DuplicateName { .. } => {}
+                membership::Effect::DatagramFailed(_) => self.seen.bad += 1,
             }
         }
     }
@@ -781,7 +792,7 @@
         }
         let last = hollow.last_asked;
         let next = timed(&mut hollow.cpu[Part::Spread as usize], || {
-            let mut peers: Vec<SocketAddr> = hollow.membership.peers().map(|peer| peer.at).collect();
+            let mut peers: Vec<SocketAddr> = hollow.membership.others().map(|peer| peer.address).collect();
             peers.sort();
             let after = |at: &&SocketAddr| last.is_none_or(|last| **at > last);
             peers.iter().find(after).or(peers.first()).copied()
@@ -837,7 +848,7 @@
         }
         let hollow = &mut self.hollows[i];
         let now = self.zero + hollow.local(self.now);
-        let answers = if self.arm == Arm::After { frame::SPREADS } else { Duration::ZERO };
+        let answers = if self.arm == Arm::After { frame::GOSSIP_CAPABLE } else { Duration::ZERO };
         let answer = timed(&mut hollow.cpu[Part::Spread as usize], || {
             frame::encode(&hollow.me, answers, hollow.broker.peer_reports(now))
         });
@@ -866,19 +877,19 @@
         let hollow = &mut self.hollows[i];
         match timed(&mut hollow.cpu[Part::Spread as usize], || frame::decode(bytes)) {
             Ok(message) if message.from != hollow.me => {
-                let (trip, from, mut facts) = (trip.min(EXCHANGE), message.from, message.facts);
+                let (trip, from, mut facts) = (trip.min(EXCHANGE), message.from, message.reports);
                 match self.arm {
                     // What has gone three hops went no further before.
                     Arm::Before => {
-                        let last = facts.iter_mut().filter(|told| told.hops >= HOPS_EXCHANGED);
-                        last.for_each(|told| told.hops = HOPS_MOST);
+                        let last = facts.iter_mut().filter(|told| told.hops >= MAX_EXCHANGE_HOPS);
+                        last.for_each(|told| told.hops = MAX_HOPS);
                     }
                     Arm::After => {
-                        if message.trip == frame::SPREADS {
+                        if message.round_trip == frame::GOSSIP_CAPABLE {
                             let at = self.at_of(&from);
                             self.spread(i, gossip::Input::SupportConfirmed(at));
                         }
-                        facts.retain(|told| !told.what.is_amount());
+                        facts.retain(|told| !told.claim.is_contribution());
                         let input = gossip::Input::Exchanged {
                             from: from.clone(),
                             round_trip: trip,
--- a/crates/peers/tests/fixtures.rs
+++ b/crates/membership/tests/fixtures.rs
@@ -1,10 +1,10 @@
 //! What initiators send each other, frames and datagrams of membership, as the release of 2 December 2026 wrote them.
 //! Two releases run side by side in one installation, so each has to read these bytes and to write the same ones.
 
-use foca::{Codec, Header, Member, Message, PostcardCodec};
-use shaletack_knowledge::{Observer, Standing, Told, What};
-use shaletack_peers::frame::{decode, encode, status, SPREADS};
-use shaletack_peers::membership::{Effect, Input, Membership, Peer, VERSION};
+use foca::{Codec, Header, Message, PostcardCodec};
+use shaletack_membership::frame::{decode, encode, status_request, GOSSIP_CAPABLE};
+use shaletack_membership::{Effect, Input, Member, Membership, DATAGRAM_VERSION};
+use shaletack_observations::{Claim, EndpointHealth, Observer, Report, ReportedReadiness};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -25,65 +25,74 @@
 }
 
 fn observer() -> Observer {
-    Observer { name: "n1".into(), life: u64::MAX - 7 }
+    Observer { name: "n1".into(), incarnation: u64::MAX - 7 }
 }
 
-fn reports() -> Vec<(&'static str, Told)> {
+fn reports() -> Vec<(&'static str, Report)> {
     let id = || "s-00000001".to_owned();
     let claims = [
-        ("ready", What::Standing(id(), Standing::Ready)),
-        ("draining", What::Standing(id(), Standing::Draining)),
-        ("gone", What::Standing(id(), Standing::Gone)),
-        ("failing", What::Failing(id(), true)),
-        ("well", What::Failing(id(), false)),
-        ("started", What::Started(id(), Duration::new(12, 345_678_901))),
-        ("spent", What::Spent(id(), 1_234_567)),
-        ("demand", What::Demand(4_242, u64::MAX)),
+        ("ready", Claim::Readiness { endpoint: id(), readiness: ReportedReadiness::Ready }),
+        ("draining", Claim::Readiness { endpoint: id(), readiness: ReportedReadiness::Draining }),
+        ("gone", Claim::Readiness { endpoint: id(), readiness: ReportedReadiness::Removed }),
+        ("failing", Claim::Health { endpoint: id(), health: EndpointHealth::Failing }),
+        ("well", Claim::Health { endpoint: id(), health: EndpointHealth::Healthy }),
+        ("started", Claim::Started { endpoint: id(), uptime: Duration::new(12, 345_678_901) }),
+        ("spent", Claim::SlowStartUnits { endpoint: id(), milli_units: 1_234_567 }),
+        ("demand", Claim::Demand { volume: 4_242, milli_units_per_second: u64::MAX }),
     ];
-    let report = |(name, what): (&'static str, What)| {
-        let hops = if what.is_amount() { 0 } else { 3 };
-        let told =
-            Told { what, by: observer(), start: 1_700_000_000_000, hops, age: Duration::from_millis(2500) };
+    let report = |(name, what): (&'static str, Claim)| {
+        let hops = if what.is_contribution() { 0 } else { 3 };
+        let told = Report {
+            claim: what,
+            observer: observer(),
+            endpoint_incarnation: 1_700_000_000_000,
+            hops,
+            age: Duration::from_millis(2500),
+        };
         (name, told)
     };
     claims.into_iter().map(report).collect()
 }
 
 /// Each frame's name, the round trip that it says, and its reports.
-fn frames() -> Vec<(String, Duration, Vec<Told>)> {
+fn frames() -> Vec<(String, Duration, Vec<Report>)> {
     let trip = Duration::new(0, 1_250_000);
     let mut frames = vec![("empty".to_owned(), trip, Vec::new())];
     for (name, report) in reports() {
         frames.push((name.to_owned(), trip, vec![report]));
     }
-    let all: Vec<Told> = reports().into_iter().map(|(_, report)| report).collect();
+    let all: Vec<Report> = reports().into_iter().map(|(_, report)| report).collect();
     frames.push(("all".to_owned(), trip, all.clone()));
-    frames.push(("answer".to_owned(), SPREADS, all));
+    frames.push(("answer".to_owned(), GOSSIP_CAPABLE, all));
     frames
 }
 
 #[test]
 fn frames_of_the_release_before_are_read_and_written_the_same() {
     let mut kept = kept(include_str!("fixtures/frames.hex"));
-    assert_eq!(hex(&kept.remove("status").unwrap()), hex(&status()));
+    assert_eq!(hex(&kept.remove("status").unwrap()), hex(&status_request()));
     for (name, trip, facts) in frames() {
         let bytes = kept.remove(&name).unwrap_or_else(|| panic!("{name} is not among the kept"));
         let message = decode(&bytes).unwrap();
-        assert_eq!((&message.from, message.trip, &message.facts), (&observer(), trip, &facts), "{name}");
-        assert_eq!(hex(&encode(&message.from, message.trip, message.facts)), hex(&bytes), "{name}");
+        assert_eq!(
+            (&message.from, message.round_trip, &message.reports),
+            (&observer(), trip, &facts),
+            "{name}"
+        );
+        assert_eq!(hex(&encode(&message.from, message.round_trip, message.reports)), hex(&bytes), "{name}");
     }
     assert!(kept.is_empty(), "kept, but read by nothing: {:?}", kept.keys());
 }
 
 /// A datagram of membership: its header, and what it says of members.
 struct Datagram {
-    header: Header<Peer>,
-    members: Option<Vec<Member<Peer>>>,
+    header: Header<Member>,
+    members: Option<Vec<foca::Member<Member>>>,
 }
 
 /// By foca's description of a packet: a header, the number of updates, and the updates.
 fn read_datagram(bytes: &[u8]) -> Datagram {
-    assert_eq!(bytes[..2], [MARK, VERSION]);
+    assert_eq!(bytes[..2], [MARK, DATAGRAM_VERSION]);
     let mut rest = &bytes[2..];
     let header = PostcardCodec.decode_header(&mut rest).unwrap();
     if rest.is_empty() {
@@ -97,7 +106,7 @@
 }
 
 fn write_datagram(datagram: &Datagram) -> Vec<u8> {
-    let mut bytes = vec![MARK, VERSION];
+    let mut bytes = vec![MARK, DATAGRAM_VERSION];
     PostcardCodec.encode_header(&datagram.header, &mut bytes).unwrap();
     if let Some(members) = &datagram.members {
         bytes.extend((members.len() as u16).to_be_bytes());
@@ -108,7 +117,7 @@
     bytes
 }
 
-fn kind(message: &Message<Peer>) -> &'static str {
+fn kind(message: &Message<Member>) -> &'static str {
     match message {
         Message::Ping(_) => "ping",
         Message::Ack(_) => "ack",
@@ -135,8 +144,11 @@
         assert_eq!(hex(&write_datagram(&datagram)), hex(&bytes), "{name}");
         // Whom it was sent to takes it as it is.
         let mut receiver = Membership::new(datagram.header.dst, Vec::new(), 1);
-        let effects = receiver.step(Duration::from_secs(1), Input::Datagram(bytes.into()));
-        assert!(!effects.iter().any(|effect| matches!(effect, Effect::Bad(_))), "{name}: {effects:?}");
+        let effects = receiver.step(Duration::from_secs(1), Input::DatagramReceived(bytes.into()));
+        assert!(
+            !effects.iter().any(|effect| matches!(effect, Effect::DatagramFailed(_))),
+            "{name}: {effects:?}"
+        );
     }
     let all =
         "ack announce feed forwarded-ack gossip indirect-ack indirect-ping ping ping-request turn-undead";
--- a/crates/peers/tests/frame.rs
+++ b/crates/membership/tests/frame.rs
@@ -1,19 +1,24 @@
 //! Frames: what is whole comes back as it went, everything else has its reason.
 
 use proptest::prelude::*;
-use shaletack_knowledge::{Observer, Told, What};
-use shaletack_peers::frame::*;
+use shaletack_membership::frame::{
+    decode, encode, FrameError, GOSSIP_CAPABLE, HEADER_BYTES, MAX_MESSAGE_BYTES,
+};
+use shaletack_observations::{Claim, EndpointHealth, Observer, Report};
 use std::time::Duration;
 
 fn me() -> Observer {
-    Observer { name: "a".into(), life: 9 }
+    Observer { name: "a".into(), incarnation: 9 }
 }
 
-fn facts(count: usize) -> Vec<Told> {
-    let fact = |i: usize| Told {
-        what: What::Failing(format!("s-{i:08x}"), i.is_multiple_of(2)),
-        by: me(),
-        start: 1_700_000_000_000 + i as u64,
+fn facts(count: usize) -> Vec<Report> {
+    let fact = |i: usize| Report {
+        claim: Claim::Health {
+            endpoint: format!("s-{i:08x}"),
+            health: [EndpointHealth::Healthy, EndpointHealth::Failing][usize::from(i.is_multiple_of(2))],
+        },
+        observer: me(),
+        endpoint_incarnation: 1_700_000_000_000 + i as u64,
         hops: 0,
         age: Duration::from_millis(i as u64),
     };
@@ -27,10 +32,17 @@
 #[test]
 fn a_frame_comes_back_as_it_went_and_leaves_out_the_last_where_not_all_fits() {
     let message = decode(&frame(100)).unwrap();
-    assert_eq!((message.from, message.trip, message.facts), (me(), Duration::from_millis(3), facts(100)));
+    assert_eq!(
+        (message.from, message.round_trip, message.reports),
+        (me(), Duration::from_millis(3), facts(100))
+    );
     let large = frame(50_000);
-    assert!(large.len() <= HEAD + MESSAGE_MOST && large.len() > MESSAGE_MOST - 512, "{}", large.len());
-    let kept = decode(&large).unwrap().facts;
+    assert!(
+        large.len() <= HEADER_BYTES + MAX_MESSAGE_BYTES && large.len() > MAX_MESSAGE_BYTES - 512,
+        "{}",
+        large.len()
+    );
+    let kept = decode(&large).unwrap().reports;
     assert!(kept.len() > 1000 && kept[..] == facts(50_000)[..kept.len()]);
 }
 
@@ -38,20 +50,20 @@
 /// it, of no time.
 #[test]
 fn a_frame_is_of_the_form_of_the_release_before() {
-    let fact = Told {
-        what: What::Failing("s-1".into(), true),
-        by: me(),
-        start: 300,
+    let fact = Report {
+        claim: Claim::Health { endpoint: "s-1".into(), health: EndpointHealth::Failing },
+        observer: me(),
+        endpoint_incarnation: 300,
         hops: 1,
         age: Duration::from_millis(1500),
     };
-    let bytes = encode(&me(), SPREADS, vec![fact]);
+    let bytes = encode(&me(), GOSSIP_CAPABLE, vec![fact]);
     let head = [b'S', b'T', b'P', b'X', 0, 1, 0, 0, 0, 24];
     assert_eq!(bytes[..10], head);
     // Name and life; seconds and nanoseconds; one fact: its kind, box and word, its observer, start, hops and age.
     let message =
         [1, b'a', 9, 0, 1, 1, 1, 3, b's', b'-', b'1', 1, 1, b'a', 9, 172, 2, 1, 1, 128, 202, 181, 238, 1];
-    assert_eq!(bytes[HEAD..], message);
+    assert_eq!(bytes[HEADER_BYTES..], message);
 }
 
 #[test]
@@ -62,18 +74,18 @@
         frame[at..at + bytes.len()].copy_from_slice(bytes);
         decode(&frame).unwrap_err()
     };
-    assert_eq!(with(0, b"HTTP"), Bad::Noise);
-    assert_eq!(with(4, &[0, 2]), Bad::Version(2));
-    assert_eq!(with(6, &[0xff; 4]), Bad::Oversize(u32::MAX));
-    assert_eq!(with(10, &[0; 4]), Bad::Sum);
-    assert_eq!(with(good.len() - 1, &[0xee]), Bad::Sum);
-    assert_eq!(decode(&good[..HEAD - 1]).unwrap_err(), Bad::Cut);
-    assert_eq!(decode(&good[..good.len() - 1]).unwrap_err(), Bad::Cut);
-    assert_eq!(decode(&[&good[..], &[0]].concat()).unwrap_err(), Bad::Sum);
+    assert_eq!(with(0, b"HTTP"), FrameError::NotAFrame);
+    assert_eq!(with(4, &[0, 2]), FrameError::UnsupportedVersion { theirs: 2 });
+    assert_eq!(with(6, &[0xff; 4]), FrameError::TooLong { length: u32::MAX });
+    assert_eq!(with(10, &[0; 4]), FrameError::ChecksumMismatch);
+    assert_eq!(with(good.len() - 1, &[0xee]), FrameError::ChecksumMismatch);
+    assert_eq!(decode(&good[..HEADER_BYTES - 1]).unwrap_err(), FrameError::Truncated);
+    assert_eq!(decode(&good[..good.len() - 1]).unwrap_err(), FrameError::Truncated);
+    assert_eq!(decode(&[&good[..], &[0]].concat()).unwrap_err(), FrameError::ChecksumMismatch);
     // A right sum over what is no message.
-    let mut empty = good[..HEAD].to_vec();
+    let mut empty = good[..HEADER_BYTES].to_vec();
     empty[6..14].fill(0);
-    assert_eq!(decode(&empty).unwrap_err(), Bad::Unreadable);
+    assert_eq!(decode(&empty).unwrap_err(), FrameError::Malformed);
 }
 
 proptest! {
--- a/crates/peers/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,6 +1,6 @@
 //! Members over a network in virtual time, which may lose, delay and part.
 
-use shaletack_peers::membership::*;
+use shaletack_membership::{Effect, Input, Member, Membership, MAX_DATAGRAM_BYTES};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,8 +12,8 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn peer(name: &str, port: u16, epoch: u64) -> Peer {
-    Peer { name: name.into(), life: u64::from(port) + epoch, epoch, at: at(port) }
+fn peer(name: &str, port: u16, epoch: u64) -> Member {
+    Member { name: name.into(), incarnation: u64::from(port) + epoch, epoch, address: at(port) }
 }
 
 #[derive(Default)]
@@ -34,8 +34,8 @@
 }
 
 impl Net {
-    fn start(&mut self, me: Peer, seeds: &[u16]) {
-        let port = me.at.port();
+    fn start(&mut self, me: Member, seeds: &[u16]) {
+        let port = me.address.port();
         let seeds = seeds.iter().map(|p| at(*p)).collect();
         self.nodes.insert(port, (Membership::new(me, seeds, u64::from(port)), Some(self.now)));
     }
@@ -45,8 +45,8 @@
         *wake = None;
         for effect in node.step(self.now, input) {
             match effect {
-                Effect::Send(to, bytes) => {
-                    assert!(bytes.len() <= DATAGRAM_MOST);
+                Effect::Send { to, datagram: bytes } => {
+                    assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
                     self.sent += 1;
                     let together =
                         |group: &BTreeSet<u16>| group.contains(&port) && group.contains(&to.port());
@@ -59,7 +59,7 @@
                         self.flying.insert((self.now + way, self.sent), (to.port(), bytes));
                     }
                 }
-                Effect::Wake(at) => *wake = Some(at),
+                Effect::SetTimer(at) => *wake = Some(at),
                 other => self.news.push((self.now, port, other)),
             }
         }
@@ -71,16 +71,16 @@
             self.now += MS;
             while let Some(entry) = self.flying.first_entry().filter(|e| e.key().0 <= self.now) {
                 let (port, bytes) = entry.remove();
-                self.step(port, Input::Datagram(bytes));
+                self.step(port, Input::DatagramReceived(bytes));
             }
             let due: Vec<u16> =
                 self.nodes.iter().filter(|n| n.1 .1.is_some_and(|w| w <= self.now)).map(|n| *n.0).collect();
-            due.into_iter().for_each(|port| self.step(port, Input::Woke));
+            due.into_iter().for_each(|port| self.step(port, Input::TimerExpired));
         }
     }
 
     fn sees(&self, port: u16) -> Vec<String> {
-        let mut names: Vec<String> = self.nodes[&port].0.peers().map(|p| p.name.clone()).collect();
+        let mut names: Vec<String> = self.nodes[&port].0.others().map(|p| p.name.clone()).collect();
         names.sort();
         names
     }
@@ -117,13 +117,13 @@
     net.pass(1500 * MS);
     net.parted.clear();
     net.pass(10 * S);
-    let downs = net.news.iter().filter(|n| matches!(n.2, Effect::Down(_))).count();
+    let downs = net.news.iter().filter(|n| matches!(n.2, Effect::MemberDown(_))).count();
     assert_eq!(downs, 0, "a silence of 1.5 s is suspicion at most");
     let died = net.now;
     net.nodes.remove(&4);
     net.pass(12 * S);
     assert_eq!(net.sees(1), ["b", "c"]);
-    let noticed = net.news.iter().find(|n| matches!(&n.2, Effect::Down(p) if p.name == "d")).unwrap().0;
+    let noticed = net.news.iter().find(|n| matches!(&n.2, Effect::MemberDown(p) if p.name == "d")).unwrap().0;
     assert!(noticed - died < 10 * S && noticed - died >= 3 * S, "after {:?}", noticed - died);
 }
 
@@ -140,7 +140,7 @@
     assert!((1..=ALL).all(|port| net.sees(port).len() == usize::from(ALL) - 1), "all have met");
     net.news.clear();
     net.pass(90 * S);
-    let downs = net.news.iter().filter(|n| matches!(n.2, Effect::Down(_))).count();
+    let downs = net.news.iter().filter(|n| matches!(n.2, Effect::MemberDown(_))).count();
     assert_eq!(downs, 0, "taken for dead, over {ALL} members' views in 90 s");
     let died = net.now;
     net.nodes.remove(&ALL);
@@ -158,7 +158,7 @@
     net.pass(2 * S);
     assert_eq!(net.sees(1), ["b", "c"]);
     let last =
-        net.news.iter().filter(|n| matches!(&n.2, Effect::Down(p) if p.name == "d")).map(|n| n.0).max();
+        net.news.iter().filter(|n| matches!(&n.2, Effect::MemberDown(p) if p.name == "d")).map(|n| n.0).max();
     assert!(last.unwrap() - left < 2 * S);
 }
 
@@ -169,7 +169,7 @@
     net.pass(2 * S);
     assert_eq!(net.sees(4), ["a", "b", "c"]);
     assert_eq!(net.sees(1), ["b", "c", "d"]);
-    let life = net.nodes[&1].0.peers().find(|p| p.name == "d").unwrap().epoch;
+    let life = net.nodes[&1].0.others().find(|p| p.name == "d").unwrap().epoch;
     assert_eq!(life, 2);
     // One whose clock was set back comes in as well, later.
     net.start(peer("d", 4, 0), &[3]);
@@ -196,7 +196,7 @@
     let told: BTreeSet<u16> = net
         .news
         .iter()
-        .filter(|n| matches!(&n.2, Effect::Twins(x, y) if x.name == "b" && y.name == "b"))
+        .filter(|n| matches!(&n.2, Effect::DuplicateName { known: x, joined: y } if x.name == "b" && y.name == "b"))
         .map(|n| n.1)
         .collect();
     assert!(told.contains(&2) && told.contains(&5) && told.contains(&1), "{told:?}");
@@ -210,12 +210,12 @@
     for bytes in
         [&b"GET / HTTP/1.1"[..], &[], &[0xd7], &[0xd7, 9, 1, 2], &[0xd7, 1], &[0xd7, 1, 255, 255, 255, 3]]
     {
-        net.step(1, Input::Datagram(bytes::Bytes::copy_from_slice(bytes)));
+        net.step(1, Input::DatagramReceived(bytes::Bytes::copy_from_slice(bytes)));
     }
     let bad: Vec<String> = net
         .news
         .iter()
-        .filter_map(|n| if let Effect::Bad(why) = &n.2 { Some(why.to_string()) } else { None })
+        .filter_map(|n| if let Effect::DatagramFailed(why) = &n.2 { Some(why.to_string()) } else { None })
         .collect();
     assert_eq!(bad.len(), 6, "{bad:?}");
     assert!(bad[3].starts_with("version 9"));
--- a/crates/knowledge/tests/fixtures.rs
+++ b/crates/observations/tests/fixtures.rs
@@ -3,43 +3,46 @@
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use shaletack_knowledge::{Observer, Standing, Told, What};
+use shaletack_observations::{Claim, EndpointHealth, Observer, Report, ReportedReadiness};
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 use std::time::Duration;
 
 fn observer() -> Observer {
-    Observer { name: "n1".into(), life: u64::MAX - 7 }
+    Observer { name: "n1".into(), incarnation: u64::MAX - 7 }
 }
 
-fn standings() -> Vec<(&'static str, Standing)> {
+fn standings() -> Vec<(&'static str, ReportedReadiness)> {
     vec![
-        ("standing.ready", Standing::Ready),
-        ("standing.draining", Standing::Draining),
-        ("standing.gone", Standing::Gone),
+        ("standing.ready", ReportedReadiness::Ready),
+        ("standing.draining", ReportedReadiness::Draining),
+        ("standing.gone", ReportedReadiness::Removed),
     ]
 }
 
-fn claims() -> Vec<(&'static str, What)> {
+fn claims() -> Vec<(&'static str, Claim)> {
     let id = || "s-00000001".to_owned();
     vec![
-        ("claim.ready", What::Standing(id(), Standing::Ready)),
-        ("claim.draining", What::Standing(id(), Standing::Draining)),
-        ("claim.gone", What::Standing(id(), Standing::Gone)),
-        ("claim.failing", What::Failing(id(), true)),
-        ("claim.well", What::Failing(id(), false)),
-        ("claim.started", What::Started(id(), Duration::new(12, 345_678_901))),
-        ("claim.spent", What::Spent(id(), 1_234_567)),
-        ("claim.demand", What::Demand(4_242, u64::MAX)),
+        ("claim.ready", Claim::Readiness { endpoint: id(), readiness: ReportedReadiness::Ready }),
+        ("claim.draining", Claim::Readiness { endpoint: id(), readiness: ReportedReadiness::Draining }),
+        ("claim.gone", Claim::Readiness { endpoint: id(), readiness: ReportedReadiness::Removed }),
+        ("claim.failing", Claim::Health { endpoint: id(), health: EndpointHealth::Failing }),
+        ("claim.well", Claim::Health { endpoint: id(), health: EndpointHealth::Healthy }),
+        ("claim.started", Claim::Started { endpoint: id(), uptime: Duration::new(12, 345_678_901) }),
+        ("claim.spent", Claim::SlowStartUnits { endpoint: id(), milli_units: 1_234_567 }),
+        ("claim.demand", Claim::Demand { volume: 4_242, milli_units_per_second: u64::MAX }),
     ]
 }
 
-fn reports() -> Vec<(String, Told)> {
-    let report = |(number, (name, what)): (usize, (&str, What))| {
-        let hops = if what.is_amount() { 0 } else { number as u8 * 7 };
+fn reports() -> Vec<(String, Report)> {
+    let report = |(number, (name, what)): (usize, (&str, Claim))| {
+        let hops = if what.is_contribution() { 0 } else { number as u8 * 7 };
         let age = Duration::new(number as u64, 500_000_000 + number as u32);
         let start = 1_700_000_000_000 * number as u64;
-        (name.replace("claim", "report"), Told { what, by: observer(), start, hops, age })
+        (
+            name.replace("claim", "report"),
+            Report { claim: what, observer: observer(), endpoint_incarnation: start, hops, age },
+        )
     };
     claims().into_iter().enumerate().map(report).collect()
 }
--- a/src/peers/exchange.rs
+++ b/src/peers/exchange.rs
@@ -1,7 +1,7 @@
 //! One exchange over TCP: a frame each way, within a bounded time.
 
 use super::Peers;
-use shaletack_peers::frame::{self, Bad, Message, HEAD};
+use shaletack_membership::frame::{self, FrameError, Message, HEADER_BYTES};
 use std::fmt;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     /// No connection, or it broke.
     Broke(io::Error),
     /// What came is no message.
-    Bad(Bad),
+    Bad(FrameError),
     /// It took too long.
     Silent,
     /// It was this process itself.
@@ -47,14 +47,14 @@
 impl From<io::Error> for Failure {
     fn from(why: io::Error) -> Self {
         match why.kind() {
-            ErrorKind::UnexpectedEof => Failure::Bad(Bad::Cut),
+            ErrorKind::UnexpectedEof => Failure::Bad(FrameError::Truncated),
             _ => Failure::Broke(why),
         }
     }
 }
 
-impl From<Bad> for Failure {
-    fn from(why: Bad) -> Self {
+impl From<FrameError> for Failure {
+    fn from(why: FrameError) -> Self {
         Failure::Bad(why)
     }
 }
@@ -65,12 +65,12 @@
 
 /// A frame that ends where its head says; what follows it is not read.
 async fn read(stream: &mut TcpStream) -> Result<Message, Failure> {
-    let mut first = [0; HEAD];
+    let mut first = [0; HEADER_BYTES];
     stream.read_exact(&mut first).await?;
-    let head = frame::head(&first)?;
-    let mut bytes = vec![0; head.length];
+    let head = frame::decode_header(&first)?;
+    let mut bytes = vec![0; head.message_bytes];
     stream.read_exact(&mut bytes).await?;
-    Ok(frame::message(head, &bytes)?)
+    Ok(frame::decode_message(head, &bytes)?)
 }
 
 /// Tells a peer what this process knows; what the peer told, and the round trip.
@@ -95,12 +95,12 @@
 pub async fn status(at: SocketAddr) -> Result<String, Failure> {
     within(async {
         let mut stream = TcpStream::connect(at).await?;
-        stream.write_all(&frame::status()).await?;
+        stream.write_all(&frame::status_request()).await?;
         let mut text = String::new();
         // An answer is some kilobytes; whoever sends more is no initiator.
         stream.take(STATUS_MOST).read_to_string(&mut text).await?;
         match text.is_empty() {
-            true => Err(Failure::Bad(Bad::Cut)),
+            true => Err(Failure::Bad(FrameError::Truncated)),
             false => Ok(text),
         }
     })
@@ -111,14 +111,14 @@
 async fn answer(peers: &Peers, mut stream: TcpStream) -> Result<Option<Message>, Failure> {
     let _ = stream.set_nodelay(true);
     let message = match read(&mut stream).await {
-        Err(Failure::Bad(Bad::Version(frame::STATUS))) => {
+        Err(Failure::Bad(FrameError::UnsupportedVersion { theirs: frame::STATUS_REQUEST_VERSION })) => {
             stream.write_all(peers.status().to_string().as_bytes()).await?;
             return Ok(None);
         }
         read => read?,
     };
     // What it says bears on the answer only by the next exchange: neither side waits for the other's review.
-    stream.write_all(&frame::encode(peers.me(), frame::SPREADS, peers.told())).await?;
+    stream.write_all(&frame::encode(peers.me(), frame::GOSSIP_CAPABLE, peers.told())).await?;
     if message.from == *peers.me() {
         return Err(Failure::Oneself);
     }
@@ -137,7 +137,7 @@
                     match within(answer(&peers, stream)).await {
                         Ok(None) => {}
                         Ok(Some(message)) => {
-                            let trip = message.trip;
+                            let trip = message.round_trip;
                             peers.exchanged(message, trip).await;
                         }
                         Err(why) => warn!(peer = %from, %why, "a peer's exchange is not taken"),
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,5 +1,5 @@
 //! Initiators of one installation, told and asked what each knows of boxes: the sockets round
-//! `shaletack-peers`. Off unless the operator's file says otherwise, and never on the platform.
+//! `shaletack-membership`. Off unless the operator's file says otherwise, and never on the platform.
 //!
 //! It owns the peers' address (UDP for who is alive and for the spread, TCP for exchanges at a start and with the
 //! release before) and the pace of both. It weighs nothing: what comes in whole goes to the core, everything else is
@@ -21,9 +21,9 @@
 use shaletack_gossip::aggregation::{Key, Total};
 use shaletack_gossip::codec::MAGIC as GOSSIP_MAGIC;
 use shaletack_gossip::{ConfigRollout, Gossip, Locality};
-use shaletack_knowledge::{Observer, Told};
-use shaletack_peers::frame::{Message, SPREADS};
-use shaletack_peers::membership::{Effect, Input, Membership, Peer, DATAGRAM_MOST};
+use shaletack_membership::frame::{Message, GOSSIP_CAPABLE};
+use shaletack_membership::{Effect, Input, Member, Membership, MAX_DATAGRAM_BYTES};
+use shaletack_observations::{Observer, Report};
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,7 +49,7 @@
 
 /// What this process is to its peers: a new one with each start.
 pub fn observer(peers: &operator::Peers) -> Observer {
-    Observer { name: peers.name.clone(), life: drawn() }
+    Observer { name: peers.name.clone(), incarnation: drawn() }
 }
 
 /// A number that no other process draws.
@@ -91,7 +91,12 @@
         let at = tcp.local_addr()?;
         let udp = sockets::retry_shortage(|| UdpSocket::bind(at)).await?;
         let epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        let peer = Peer { name: me.name.clone(), life: me.life, epoch: epoch.as_millis() as u64, at };
+        let peer = Member {
+            name: me.name.clone(),
+            incarnation: me.incarnation,
+            epoch: epoch.as_millis() as u64,
+            address: at,
+        };
         info!(at = %at, name = me.name, listed = set.join.len(), "listens for peers");
         let place = Locality { region: set.region.clone(), zone: set.zone.clone() };
         let spread = Gossip::new(me.clone(), at, place, drawn(), Duration::ZERO);
@@ -117,7 +122,7 @@
         let answered = asked.into_iter().filter(|ok| *ok).count();
         let took_ms = peers.0.start.elapsed().as_millis() as u64;
         info!(answered, listed = set.join.len(), took_ms, "asked peers before the start");
-        peers.feed(Input::Woke).await;
+        peers.feed(Input::TimerExpired).await;
         peers.spawn(peers.clone().hear());
         peers.spawn(peers.clone().keep_time());
         peers.spawn(peers.clone().keep_spreading(said));
@@ -138,12 +143,12 @@
 
     /// Where it hears its peers.
     pub fn at(&self) -> SocketAddr {
-        self.0.membership.borrow().me().at
+        self.0.membership.borrow().me().address
     }
 
     /// The others that are alive, as this process sees them.
     pub fn names(&self) -> Vec<String> {
-        self.0.membership.borrow().peers().map(|peer| peer.name.clone()).collect()
+        self.0.membership.borrow().others().map(|peer| peer.name.clone()).collect()
     }
 
     fn me(&self) -> &Observer {
@@ -151,7 +156,7 @@
     }
 
     /// What an exchange tells.
-    fn told(&self) -> Vec<Told> {
+    fn told(&self) -> Vec<Report> {
         let now = Instant::now();
         self.0.host.look(|broker| broker.peer_reports(now))
     }
@@ -159,7 +164,7 @@
     async fn ask(&self, to: SocketAddr) -> bool {
         match ask(self, to).await {
             Ok((message, trip)) => {
-                if message.trip == SPREADS {
+                if message.round_trip == GOSSIP_CAPABLE {
                     self.spread(gossip::Input::SupportConfirmed(to)).await;
                 }
                 self.exchanged(message, trip).await;
@@ -174,11 +179,11 @@
 
     /// Takes what an exchange brought. What one that speaks the spread is asked for is in the sums.
     async fn exchanged(&self, message: Message, trip: Duration) {
-        let Message { from, mut facts, .. } = message;
-        if message.trip == SPREADS
+        let Message { from, reports: mut facts, .. } = message;
+        if message.round_trip == GOSSIP_CAPABLE
             || self.0.spread.borrow().membership_records().any(|record| record.process == from)
         {
-            facts.retain(|told| !told.what.is_amount());
+            facts.retain(|told| !told.claim.is_contribution());
         }
         let trip = trip.min(EXCHANGE);
         self.0.host.feed(broker::Input::PeerReports {
@@ -250,7 +255,7 @@
         let unmet: Vec<String> = spread.unconfirmed_members().map(|at| at.to_string()).collect();
         serde_json::json!({
             "name": self.0.me.name,
-            "members": self.0.membership.borrow().peers().count(),
+            "members": self.0.membership.borrow().others().count(),
             "of_the_release_before": unmet,
             "facts": spread.observations().len(),
             "configuration": in_force,
@@ -289,7 +294,7 @@
     }
 
     /// What this process sees goes out; what waits for its moment comes back then.
-    async fn keep_spreading(self, mut said: mpsc::Receiver<Vec<Told>>) {
+    async fn keep_spreading(self, mut said: mpsc::Receiver<Vec<Report>>) {
         self.spread(gossip::Input::TimerFired).await;
         let mut adds = tokio::time::interval(ADDED_EVERY);
         loop {
@@ -314,43 +319,53 @@
         let effects = inner.membership.borrow_mut().step(inner.start.elapsed(), input);
         for effect in effects {
             match effect {
-                Effect::Send(to, bytes) => {
+                Effect::Send { to, datagram: bytes } => {
                     // What is lost on the way is for the protocol to notice; so is what could not go.
                     let _ = inner.udp.send_to(&bytes, to).await;
                 }
-                Effect::Wake(at) => {
+                Effect::SetTimer(at) => {
                     inner.wake.set(Some(at));
                     inner.rearm.notify_one();
                 }
-                Effect::Up(peer) => {
-                    info!(name = peer.name, at = %peer.at, "a peer is there");
-                    self.spread(gossip::Input::MemberUp { address: peer.at, incarnation: peer.life }).await;
+                Effect::MemberUp(peer) => {
+                    info!(name = peer.name, at = %peer.address, "a peer is there");
+                    self.spread(gossip::Input::MemberUp {
+                        address: peer.address,
+                        incarnation: peer.incarnation,
+                    })
+                    .await;
                 }
-                Effect::Down(peer) => {
-                    info!(name = peer.name, at = %peer.at, "a peer is gone");
-                    self.spread(gossip::Input::MemberDown { address: peer.at, incarnation: peer.life }).await;
+                Effect::MemberDown(peer) => {
+                    info!(name = peer.name, at = %peer.address, "a peer is gone");
+                    self.spread(gossip::Input::MemberDown {
+                        address: peer.address,
+                        incarnation: peer.incarnation,
+                    })
+                    .await;
                 }
-                Effect::Twins(one, other) => {
-                    let mut places = [one.at.to_string(), other.at.to_string()];
+                Effect::DuplicateName { known: one, joined: other } => {
+                    let mut places = [one.address.to_string(), other.address.to_string()];
                     places.sort();
                     let [one, other] = places;
                     if inner.twins.borrow_mut().insert((one.clone(), other.clone())) {
                         error!(one, other, "two processes have one name among the peers");
                     }
                 }
-                Effect::Bad(why) => warn!(%why, "a peer's datagram is not taken"),
+                Effect::DatagramFailed(why) => warn!(%why, "a peer's datagram is not taken"),
             }
         }
     }
 
     async fn hear(self) {
-        let mut bytes = [0; DATAGRAM_MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             match self.0.udp.recv_from(&mut bytes).await {
                 Ok((length, from)) if bytes[0] == GOSSIP_MAGIC && length > 0 => {
                     self.spread(gossip::Input::Datagram { from, bytes: bytes[..length].to_vec() }).await;
                 }
-                Ok((length, _)) => self.feed(Input::Datagram(Bytes::copy_from_slice(&bytes[..length]))).await,
+                Ok((length, _)) => {
+                    self.feed(Input::DatagramReceived(Bytes::copy_from_slice(&bytes[..length]))).await
+                }
                 // Where nobody hears a datagram the next call may say so: no news.
                 Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
             }
@@ -366,7 +381,7 @@
                     () = rearmed => {}
                     () = tokio::time::sleep_until((self.0.start + at).into()) => {
                         self.0.wake.set(None);
-                        self.feed(Input::Woke).await;
+                        self.feed(Input::TimerExpired).await;
                     }
                 },
             }
--- a/src/runtime/host.rs
+++ b/src/runtime/host.rs
@@ -7,7 +7,7 @@
 use crate::interface::{RequestId, Settings};
 use crate::runtime::log;
 use futures_util::future::LocalBoxFuture;
-use shaletack_knowledge::Told;
+use shaletack_observations::Report;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
     succeeded: Cell<Option<Instant>>,
     part: Cell<f64>,
     passing: Cell<usize>,
-    peers: RefCell<Option<mpsc::Sender<Vec<Told>>>>,
+    peers: RefCell<Option<mpsc::Sender<Vec<Report>>>>,
 }
 
 /// The core and its loop, shared by the fronts.
@@ -114,7 +114,7 @@
     }
 
     /// Where what this process sees goes, for its peers.
-    pub fn say_to(&self, peers: mpsc::Sender<Vec<Told>>) {
+    pub fn say_to(&self, peers: mpsc::Sender<Vec<Report>>) {
         *self.0.peers.borrow_mut() = Some(peers);
     }
 
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -14,8 +14,8 @@
 use shaletack::peers::{observer, status, Peers};
 use shaletack::runtime::host::Host;
 use shaletack::runtime::log::Form;
-use shaletack_knowledge::{Observer, Standing, Told, What};
-use shaletack_peers::frame;
+use shaletack_membership::frame;
+use shaletack_observations::{Claim, Observer, Report, ReportedReadiness};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::process::Command;
@@ -117,10 +117,10 @@
         let said = Instant::now();
         all[5].0.feed(news);
         // What a core has taken it passes on; the log is cut to 50 lines a second, and so many start here at once.
-        let drains = What::Standing("s-1".into(), Standing::Draining);
+        let drains = Claim::Readiness { endpoint: "s-1".into(), readiness: ReportedReadiness::Draining };
         let knows = |host: &Host| {
             let told = host.look(|broker| broker.peer_reports(Instant::now()));
-            told.iter().any(|told| told.what == drains)
+            told.iter().any(|told| told.claim == drains)
         };
         until(|| all.iter().all(|(host, _)| knows(host))).await;
         assert!(said.elapsed() < Duration::from_secs(3), "{:?}", said.elapsed());
@@ -148,14 +148,14 @@
 fn bad_peers_cost_one_line_each_and_teach_nothing() {
     story(async {
         let (log, _guard) = Kept::start(Form::Text, LevelFilter::INFO);
-        let lie = Told {
-            what: What::Standing("s-1".into(), Standing::Gone),
-            by: Observer { name: "x".into(), life: 1 },
-            start: 0,
+        let lie = Report {
+            claim: Claim::Readiness { endpoint: "s-1".into(), readiness: ReportedReadiness::Removed },
+            observer: Observer { name: "x".into(), incarnation: 1 },
+            endpoint_incarnation: 0,
             hops: 0,
             age: Duration::ZERO,
         };
-        let good = frame::encode(&lie.by, Duration::ZERO, vec![lie.clone()]);
+        let good = frame::encode(&lie.observer, Duration::ZERO, vec![lie.clone()]);
         let with = |at: usize, bytes: &[u8]| {
             let mut frame = good.clone();
             frame[at..at + bytes.len()].copy_from_slice(bytes);
