--- a/src/app/serve_platform.rs
+++ b/src/app/serve_platform.rs
@@ -7,7 +7,8 @@
 use shaletack::broker::{Broker, Input};
 use shaletack::config::{self, Config};
 use shaletack::net::boxes::Boxes;
-use shaletack::net::front::{self, Front, Traces};
+use shaletack::net::downstream::front::{self, Front};
+use shaletack::net::downstream::request_ids::RequestIds;
 use shaletack::net::handover::{self, HandoverLink, HandoverState, Identity, ReceivedHandover};
 use shaletack::net::management;
 use shaletack::net::watch::Watch;
@@ -120,7 +121,7 @@
         let followable = identity.is_some();
         let identity = identity.unwrap_or(Identity { name: config.name.clone(), clients: config.listen });
         let link = HandoverLink::new(host.clone(), identity, &std::env::temp_dir());
-        let request_ids = Rc::new(RefCell::new(Traces::default()));
+        let request_ids = Rc::new(RefCell::new(RequestIds::default()));
         if let Some(given) = predecessor {
             restore(&host, &link, &request_ids, given);
         }
@@ -142,8 +143,8 @@
         }
         ready.set(true);
         let succeeded = Rc::new(move || link.is_connected().then(|| link.yield_budgets()).is_some());
-        let most = descriptors.clients.min(connections_in_memory(config.memory_mb));
-        let front = Front { host, boxes: endpoints, most, traces: request_ids, succeeded };
+        let max_connections = descriptors.clients.min(connections_in_memory(config.memory_mb));
+        let front = Front { host, boxes: endpoints, max_connections, request_ids, succeeded };
         let mut terminate = signals.terminate;
         front::serve(front, listener, async move {
             terminate.recv().await;
@@ -162,11 +163,11 @@
 }
 
 /// Goes on from what a predecessor handed over, sharing every budget with it.
-fn restore(host: &Host, link: &HandoverLink, request_ids: &RefCell<Traces>, given: ReceivedHandover) {
+fn restore(host: &Host, link: &HandoverLink, request_ids: &RefCell<RequestIds>, given: ReceivedHandover) {
     let ReceivedHandover { state, stream, .. } = given;
     let snapshot = Box::new(state.core);
     host.feed(Input::Restore { snapshot, budget_share: handover::SHARED_BUDGET });
-    request_ids.borrow_mut().inherit(state.request_ids);
+    request_ids.borrow_mut().restore(state.request_ids);
     link.follow_predecessor(stream);
 }
 
@@ -226,7 +227,7 @@
 fn accept_successors(
     link: &HandoverLink,
     host: &Host,
-    request_ids: &Rc<RefCell<Traces>>,
+    request_ids: &Rc<RefCell<RequestIds>>,
     configuration: &Rc<RefCell<Vec<u8>>>,
 ) {
     let (host, request_ids, configuration) = (host.clone(), request_ids.clone(), configuration.clone());
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -403,16 +403,17 @@
     let (core, stop) = (host(&settings), Rc::new(Notify::new()));
     core.feed(Input::EndpointList(boxes));
     let boxes = shaletack::net::boxes::Boxes::new(&core, 16);
-    let front = shaletack::net::front::Front {
+    let front = shaletack::net::downstream::front::Front {
         host: core.clone(),
         boxes,
-        most: 16,
-        traces: Rc::default(),
+        max_connections: 16,
+        request_ids: Rc::default(),
         succeeded: Rc::new(|| false),
     };
     let until = stop.clone();
-    let served =
-        actix_rt::spawn(async move { shaletack::net::front::serve(front, listener, until.notified()).await });
+    let served = actix_rt::spawn(async move {
+        shaletack::net::downstream::front::serve(front, listener, until.notified()).await
+    });
     (address, stop, core, served)
 }
 
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -202,9 +202,12 @@
             );
             let numbers: Vec<usize> = boxed.seen.borrow().iter().map(|s| s.0).collect();
             assert_eq!(numbers, [0, 1], "never used again: {text}");
+            // Outcomes are counted under their names, in the order of these.
+            let mut outcomes = [end, "Complete"];
+            outcomes.sort_unstable();
             assert_eq!(
                 host.look(|b| b.attempt_outcomes().keys().cloned().collect::<Vec<_>>()),
-                [end, "Complete"],
+                outcomes,
                 "{text}"
             );
         }
@@ -666,26 +669,26 @@
 /// When each request came that was sent ahead, whatever pieces it came in, and what waits of it is bounded over all.
 #[test]
 fn what_is_sent_ahead_keeps_its_time_and_has_an_end() {
-    use shaletack::net::ahead::{Arrivals, Kept, KeptByAll};
+    use shaletack::net::downstream::read_ahead::{ArrivalTimes, ReadAhead, ReadAheadTotal};
     let start = std::time::Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut arrivals = Arrivals::default();
+    let mut arrivals = ArrivalTimes::default();
     assert_eq!(arrivals.take(10), None);
     // Two whole ones and a half, its rest and one more, and a last one right behind.
-    arrivals.came(at(0), 250);
-    arrivals.came(at(100), 150);
-    arrivals.came(at(101), 100);
+    arrivals.arrived(at(0), 250);
+    arrivals.arrived(at(100), 150);
+    arrivals.arrived(at(101), 100);
     let came: Vec<_> = (0..5).map(|_| arrivals.take(100).unwrap()).collect();
     assert_eq!(came, [at(0), at(0), at(100), at(100), at(100)]);
     // One that is taken for larger than it is, and what comes after a rest.
-    arrivals.came(at(200), 100);
+    arrivals.arrived(at(200), 100);
     assert_eq!(arrivals.take(300), Some(at(200)));
     arrivals.restart();
-    arrivals.came(at(300), 100);
+    arrivals.arrived(at(300), 100);
     assert_eq!(arrivals.take(90), Some(at(300)));
 
-    let all = KeptByAll::default();
-    let mut connections: Vec<Kept> = (0..40).map(|_| Kept::new(all.clone())).collect();
+    let all = ReadAheadTotal::default();
+    let mut connections: Vec<ReadAhead> = (0..40).map(|_| ReadAhead::new(all.clone())).collect();
     let part = [7; 4096];
     let mut held = 0;
     for kept in &mut connections {
