--- a/crates/core/src/broker/endpoints.rs
+++ b/crates/core/src/broker/endpoints.rs
@@ -3,7 +3,7 @@
 use super::endpoint_state::EndpointState;
 use super::step::Step;
 use crate::endpoint_list::{EndpointList, EndpointRecord};
-use crate::gossip::{KnownEndpoint, Peers};
+use crate::gossip::{GossipState, KnownEndpoint, KnownEndpoints};
 use crate::interface::{EndpointId, EndpointListKind, EndpointUpdate, Event, Readiness, Settings};
 use crate::operator_event::OperatorEvent;
 use crate::start_times::StartTimes;
@@ -23,12 +23,12 @@
     /// The names of the zones, by number.
     zones: &'a [String],
     /// Advice that follows from peers' reports, where there are peers.
-    peers: Option<&'a Peers>,
+    gossip: Option<&'a GossipState>,
 }
 
 impl<'a> UpdateContext<'a> {
-    pub(super) fn new(settings: &'a Settings, peers: Option<&'a Peers>) -> Self {
-        UpdateContext { zones: &settings.zones, peers }
+    pub(super) fn new(settings: &'a Settings, gossip: Option<&'a GossipState>) -> Self {
+        UpdateContext { zones: &settings.zones, gossip }
     }
 
     /// A zone that the settings do not name is none of theirs, nor that of an endpoint which names none: endpoints of two
@@ -89,13 +89,13 @@
     }
 
     /// All that the list ever named, as far as they are remembered.
-    pub(super) fn known(&self) -> BTreeMap<&str, KnownEndpoint<'_>> {
+    pub(super) fn known(&self) -> KnownEndpoints<'_> {
         let known = self.states.iter().map(|(id, state)| {
             let endpoint = KnownEndpoint {
-                node: endpoint_number(id),
-                member: &state.record,
+                endpoint: endpoint_number(id),
+                record: &state.record,
                 suspended: state.suspended,
-                born: state.started_at(),
+                started_at: state.started_at(),
             };
             (id.as_str(), endpoint)
         });
@@ -145,7 +145,7 @@
     pub(super) fn update(&self, id: &str, context: &UpdateContext) -> Option<EndpointUpdate> {
         let state = self.states.get(id)?;
         let record = &state.record;
-        let advice = context.peers.map(|peers| peers.advice(id)).unwrap_or_default();
+        let advice = context.gossip.map(|gossip| gossip.advice(id)).unwrap_or_default();
         let stopped = state.suspended || self.stale || advice.stop_until.is_some();
         let drained = stopped && record.readiness == Readiness::Ready;
         Some(EndpointUpdate {
--- a/crates/core/src/broker/peers.rs
+++ b/crates/core/src/broker/gossip.rs
@@ -4,7 +4,7 @@
 use super::endpoints::UpdateContext;
 use super::step::Step;
 use super::Broker;
-use crate::gossip::{Contribution, Peers, Totals};
+use crate::gossip::{Contribution, GossipState, PeerTotals};
 use crate::interface::{EndpointListKind, Event};
 use crate::operator_event::OperatorEvent;
 use shaletack_observations::{Observer, Report};
@@ -14,15 +14,15 @@
     /// What a peer is told in an exchange, most needed first; nothing where there are no peers.
     pub fn peer_reports(&self, now: Instant) -> Vec<Report> {
         let now = self.clock.time(now);
-        let Some(peers) = &self.peers else { return Vec::new() };
-        peers.tell(now, &self.endpoints.known(), &self.scheduler)
+        let Some(gossip) = &self.gossip else { return Vec::new() };
+        gossip.exchange_reports(now, &self.endpoints.known(), &self.scheduler)
     }
 
     /// What this process adds to the sums over all initiators; nothing where there are no peers.
     pub fn contribution(&self, now: Instant) -> Contribution {
         let now = self.clock.time(now);
-        let Some(peers) = &self.peers else { return Contribution::default() };
-        peers.amounts(now, &self.endpoints.known(), &self.scheduler)
+        let Some(gossip) = &self.gossip else { return Contribution::default() };
+        gossip.contribution(now, &self.endpoints.known(), &self.scheduler)
     }
 
     /// Takes what a peer reported in an exchange.
@@ -34,8 +34,8 @@
         step: &mut Step,
     ) {
         step.review_due = true;
-        let Some(peers) = &mut self.peers else { return };
-        let unsound = peers.hear(step.now, round_trip, &from, reports).invalid;
+        let Some(gossip) = &mut self.gossip else { return };
+        let unsound = gossip.merge_exchange(step.now, round_trip, &from, reports).invalid;
         if unsound > 0 {
             step.log(OperatorEvent::PeerReportsRejected { from: from.name, unsound });
         }
@@ -44,58 +44,58 @@
     /// Takes reports that were new among the peers.
     pub(super) fn merge_gossip(&mut self, reports: Vec<Report>, step: &mut Step) {
         step.review_due = true;
-        if let Some(peers) = &mut self.peers {
-            peers.learn(step.now, reports);
+        if let Some(gossip) = &mut self.gossip {
+            gossip.merge(step.now, reports);
         }
     }
 
     /// Takes the sums over all other initiators.
-    pub(super) fn take_peer_totals(&mut self, totals: Totals, step: &mut Step) {
-        let Some(peers) = &mut self.peers else { return };
-        peers.sum(step.now, totals);
+    pub(super) fn take_peer_totals(&mut self, totals: PeerTotals, step: &mut Step) {
+        let Some(gossip) = &mut self.gossip else { return };
+        gossip.set_totals(step.now, totals);
         let window = self.settings.get().rules.overload_window;
-        step.events.push(Event::Gossip(peers.hearsay(step.now, window, &self.endpoints.known())));
+        step.events.push(Event::Gossip(gossip.for_scheduler(step.now, window, &self.endpoints.known())));
     }
 
     /// Keeps what the step's attempts say of their endpoints, for this process and its peers.
     pub(super) fn observe_attempts(&mut self, step: &mut Step) {
-        let Some(peers) = &mut self.peers else { return };
-        let observed = peers.watch(step.now, &step.events);
+        let Some(gossip) = &mut self.gossip else { return };
+        let observed = gossip.observe_attempts(step.now, &step.events);
         step.review_due |= observed.failing;
-        step.broadcast_due |= observed.tells;
+        step.broadcast_due |= observed.reportable;
     }
 
     /// Where anything changed, or a piece of advice runs out: weighs what is known of endpoints anew, and tells the
     /// scheduler what follows. What fails here is held back before it is tried again, as it is at those who hear of it.
     pub(super) fn review_endpoints(&mut self, step: &mut Step) {
         let now = step.now;
-        let Some(peers) = &mut self.peers else { return };
-        let expired = peers.changes_at().is_some_and(|at| at <= now);
+        let Some(gossip) = &mut self.gossip else { return };
+        let expired = gossip.next_change().is_some_and(|at| at <= now);
         if !step.review_due && !expired {
             return;
         }
         let known = self.endpoints.known();
-        let changes = peers.review(now, &known);
+        let changes = gossip.review(now, &known);
         let window = self.settings.get().rules.overload_window;
-        let gossip = peers.hearsay(now, window, &known);
+        let for_scheduler = gossip.for_scheduler(now, window, &known);
         for change in changes.iter().filter(|change| change.news) {
             step.log(OperatorEvent::AdviceChanged {
                 id: change.id.clone(),
                 stopped: change.advice.stop_until.is_some(),
                 held: change.advice.hold_until.is_some(),
-                started_ago: change.advice.started_at.map(|born| now.saturating_sub(born)),
+                started_ago: change.advice.started_at.map(|started_at| now.saturating_sub(started_at)),
             });
         }
-        let context = UpdateContext::new(self.settings.get(), self.peers.as_ref());
+        let context = UpdateContext::new(self.settings.get(), self.gossip.as_ref());
         let updates = changes.iter().filter_map(|change| self.endpoints.update(&change.id, &context));
         step.events.push(Event::EndpointList { kind: EndpointListKind::Delta, lines: updates.collect() });
-        step.events.push(Event::Gossip(gossip));
+        step.events.push(Event::Gossip(for_scheduler));
     }
 
     /// Broadcasts what this process observes, where anything of it may be new to peers.
     pub(super) fn broadcast(&mut self, step: &mut Step) {
-        let Some(peers) = self.peers.as_mut().filter(|_| step.broadcast_due) else { return };
-        let reports = peers.say(step.now, &self.endpoints.known(), &self.scheduler);
+        let Some(gossip) = self.gossip.as_mut().filter(|_| step.broadcast_due) else { return };
+        let reports = gossip.broadcast_reports(step.now, &self.endpoints.known(), &self.scheduler);
         if !reports.is_empty() {
             step.effects.push(Effect::Broadcast(reports));
         }
@@ -103,6 +103,6 @@
 
     /// When a piece of advice runs out.
     pub(super) fn next_review(&self) -> Option<Duration> {
-        self.peers.as_ref().and_then(Peers::changes_at)
+        self.gossip.as_ref().and_then(GossipState::next_change)
     }
 }
--- a/crates/core/src/broker/input.rs
+++ b/crates/core/src/broker/input.rs
@@ -2,7 +2,7 @@
 
 use super::snapshot::CoreSnapshot;
 use crate::endpoint_list::EndpointList;
-use crate::gossip::Totals;
+use crate::gossip::PeerTotals;
 use crate::interface::{RequestId, Settings, VolumeId};
 use crate::outcome::TransportOutcome;
 use bytes::Bytes;
@@ -157,7 +157,7 @@
     /// Reports that were new among the peers, checked by whoever brings them.
     GossipMerged(Vec<Report>),
     /// The sums over all other initiators.
-    PeerTotals(Totals),
+    PeerTotals(PeerTotals),
     /// The timer that [`Effect::SetTimer`](super::Effect::SetTimer) set has fired.
     TimerFired,
 }
--- a/crates/core/src/broker/mod.rs
+++ b/crates/core/src/broker/mod.rs
@@ -10,9 +10,10 @@
 mod effect;
 mod endpoint_state;
 mod endpoints;
+mod gossip;
 mod input;
 mod operator;
-mod peers;
+
 mod requests;
 mod snapshot;
 mod step;
@@ -25,7 +26,7 @@
 use crate::choice::Scheduler;
 use crate::counters::{ClassCounters, Counters};
 use crate::endpoint_list::EndpointList;
-use crate::gossip::Peers;
+use crate::gossip::GossipState;
 use crate::interface::{Action, EndpointId, EndpointListKind, Event, Readiness, Settings};
 use crate::operator_event::OperatorEvent;
 use crate::outcome::TransportOutcome;
@@ -47,7 +48,7 @@
     requests: Requests,
     endpoints: Endpoints,
     /// `None`: initiators do not talk to each other.
-    peers: Option<Peers>,
+    gossip: Option<GossipState>,
     /// When the scheduler wants to be called again.
     scheduler_timer: Option<Duration>,
     /// Since when an operator has clients sent elsewhere.
@@ -68,7 +69,7 @@
             scheduler,
             requests: Requests::new(counters),
             endpoints: Endpoints::default(),
-            peers: None,
+            gossip: None,
             scheduler_timer: None,
             drained_since: None,
         }
@@ -76,7 +77,7 @@
 
     /// The same, where initiators talk to each other; `me` is what this process is to them.
     pub fn among_peers(mut self, me: Observer) -> Self {
-        self.peers = Some(Peers::new(me));
+        self.gossip = Some(GossipState::new(me));
         self
     }
 
@@ -113,7 +114,7 @@
                 self.note_followed_list(step);
             }
             Input::EndpointListStale(stale) => {
-                let context = UpdateContext::new(self.settings.get(), self.peers.as_ref());
+                let context = UpdateContext::new(self.settings.get(), self.gossip.as_ref());
                 self.endpoints.set_stale(stale, &context, step);
             }
             Input::WallClock(shown) => self.endpoints.read_wall_clock(step.now, shown),
@@ -132,7 +133,7 @@
 
     /// A cached list may be of any age: only one that is followed tells of now.
     fn take_endpoint_list(&mut self, list: EndpointList, step: &mut Step) {
-        let context = UpdateContext::new(self.settings.get(), self.peers.as_ref());
+        let context = UpdateContext::new(self.settings.get(), self.gossip.as_ref());
         if list.kind == EndpointListKind::Cached {
             let event = self.endpoints.apply_list(list, &context, step);
             step.events.push(event);
@@ -147,8 +148,8 @@
 
     /// The list that is followed has spoken, be it to say that nothing changed.
     fn note_followed_list(&mut self, step: &mut Step) {
-        if let Some(peers) = &mut self.peers {
-            peers.listed(step.now);
+        if let Some(gossip) = &mut self.gossip {
+            gossip.list_received(step.now);
         }
         step.review_due = true;
         step.broadcast_due = true;
--- a/crates/core/src/broker/operator.rs
+++ b/crates/core/src/broker/operator.rs
@@ -29,7 +29,7 @@
     }
 
     fn set_suspended(&mut self, id: &str, suspended: bool, step: &mut Step) {
-        let context = UpdateContext::new(self.settings.get(), self.peers.as_ref());
+        let context = UpdateContext::new(self.settings.get(), self.gossip.as_ref());
         self.endpoints.set_suspended(id, suspended, &context, step);
     }
 }
--- a/crates/core/src/broker/snapshot.rs
+++ b/crates/core/src/broker/snapshot.rs
@@ -69,7 +69,7 @@
             states: snapshot.endpoints,
             start_times: snapshot.start_times,
         };
-        let context = UpdateContext::new(self.settings.get(), self.peers.as_ref());
+        let context = UpdateContext::new(self.settings.get(), self.gossip.as_ref());
         let list = self.endpoints.restore(restored, &context, step);
         // The scheduler has to know an endpoint before its past can be restored.
         self.scheduler.step(step.now, &[list], &mut Vec::new());
--- /dev/null
+++ b/crates/core/src/gossip/reports.rs
@@ -0,0 +1,144 @@
+//! What this initiator reports to its peers: what it observes of endpoints, what it sent to those in slow start and what it is
+//! asked for.
+
+use super::totals::{Contribution, EndpointUsage, VolumeDemand, MILLIUNITS};
+use super::{GossipState, KnownEndpoint, KnownEndpoints};
+use crate::choice::Scheduler;
+use crate::interface::{Readiness, SharedRules};
+use shaletack_observations::{AttemptHistory, Claim, Observation, Report, ReportedReadiness, Subject};
+use std::time::Duration;
+
+impl GossipState {
+    /// What a peer is told in an exchange: what this process observes, sent and is asked for, and what others reported.
+    pub fn exchange_reports(
+        &self,
+        now: Duration,
+        known: &KnownEndpoints,
+        scheduler: &Scheduler,
+    ) -> Vec<Report> {
+        let mut own = self.observations(now, known, scheduler);
+        for usage in self.usage(now, known, scheduler).into_iter().filter(|usage| usage.milliunits > 0) {
+            own.push({
+                let claim = Claim::SlowStartUnits { endpoint: usage.id, milli_units: usage.milliunits };
+                self.observe(claim, usage.start_ms, now)
+            });
+        }
+        for demand in demands(now, scheduler) {
+            own.push({
+                let claim = Claim::Demand { volume: demand.volume, milli_units_per_second: demand.rate };
+                self.observe(claim, 0, now)
+            });
+        }
+        self.reported.reports_for_exchange(now, &self.me, own)
+    }
+
+    /// What this process observes first-hand, for all peers.
+    pub fn broadcast_reports(
+        &mut self,
+        now: Duration,
+        known: &KnownEndpoints,
+        scheduler: &Scheduler,
+    ) -> Vec<Report> {
+        self.broadcast_at = now;
+        let own = self.observations(now, known, scheduler);
+        own.iter().filter_map(|observation| observation.to_report(now, &self.me)).collect()
+    }
+
+    /// What this process adds to the sums over all initiators.
+    pub fn contribution(&self, now: Duration, known: &KnownEndpoints, scheduler: &Scheduler) -> Contribution {
+        let demand = demands(now, scheduler).collect();
+        Contribution { demand, spent: self.usage(now, known, scheduler) }
+    }
+
+    /// What this process sent to endpoints in slow start within the settings' overload window.
+    fn usage(&self, now: Duration, known: &KnownEndpoints, scheduler: &Scheduler) -> Vec<EndpointUsage> {
+        let rules = scheduler.rules();
+        let mut usage = Vec::new();
+        for (id, endpoint) in known {
+            if self.slow_start_since(id, endpoint, rules, now).is_none() {
+                continue;
+            }
+            let units = scheduler.spent(endpoint.endpoint, rules.overload_window, now);
+            let milliunits = (units * MILLIUNITS).ceil() as u64;
+            usage.push(EndpointUsage { id: (*id).to_owned(), start_ms: endpoint.start_ms(), milliunits });
+        }
+        usage
+    }
+
+    /// When an endpoint started that takes work and is in slow start.
+    fn slow_start_since(
+        &self,
+        id: &str,
+        endpoint: &KnownEndpoint,
+        rules: &SharedRules,
+        now: Duration,
+    ) -> Option<Duration> {
+        if endpoint.started_at.is_zero() || !endpoint.is_ready() {
+            return None;
+        }
+        // It can't have started after its start was first known, whatever this process's clock says.
+        let known_since = self.starts.get(id).map_or(now, |start| start.known_since);
+        let started_at = endpoint.started_at.min(known_since);
+        Some(started_at).filter(|started_at| now < *started_at + rules.slow_start_duration)
+    }
+
+    fn observations(&self, now: Duration, known: &KnownEndpoints, scheduler: &Scheduler) -> Vec<Observation> {
+        let mut own = Vec::new();
+        for (id, endpoint) in known {
+            let start_ms = endpoint.start_ms();
+            let name = || (*id).to_owned();
+            if let Some((readiness, seen)) = self.reportable_readiness(id, endpoint, now) {
+                own.push(self.observe(Claim::Readiness { endpoint: name(), readiness }, start_ms, seen));
+            }
+            let history = self.health.get(&endpoint.endpoint);
+            if let Some(verdict) = history.and_then(AttemptHistory::verdict) {
+                let claim = Claim::Health { endpoint: name(), health: verdict.health };
+                own.push(self.observe(claim, start_ms, verdict.observed_at));
+            }
+            if let Some(started_at) = self.slow_start_since(id, endpoint, scheduler.rules(), now) {
+                let uptime = now.saturating_sub(started_at);
+                own.push(self.observe(Claim::Started { endpoint: name(), uptime }, start_ms, now));
+            }
+        }
+        own
+    }
+
+    fn observe(&self, claim: Claim, start_ms: u64, observed_at: Duration) -> Observation {
+        let observer = self.me.clone();
+        Observation { claim, observer, endpoint_incarnation: start_ms, hops: 0, observed_at }
+    }
+
+    /// What the list or an operator says an endpoint is ready for, and when that was seen. That one takes work is reported
+    /// only where somebody may think otherwise.
+    fn reportable_readiness(
+        &self,
+        id: &str,
+        endpoint: &KnownEndpoint,
+        now: Duration,
+    ) -> Option<(ReportedReadiness, Duration)> {
+        if endpoint.suspended {
+            return Some((ReportedReadiness::Draining, now));
+        }
+        let seen = self.list_received_at?;
+        match endpoint.record.readiness {
+            Readiness::Ready if !self.is_doubted(id) => None,
+            Readiness::Ready => Some((ReportedReadiness::Ready, seen)),
+            Readiness::Draining => Some((ReportedReadiness::Draining, seen)),
+            Readiness::Removed => Some((ReportedReadiness::Removed, seen)),
+        }
+    }
+
+    /// Whether this process lately knew an endpoint to take no work, or a peer reports so.
+    fn is_doubted(&self, id: &str) -> bool {
+        let reported = self.reported.get(&Subject::Readiness(id.to_owned()));
+        let ready =
+            |claim: &Claim| matches!(claim, Claim::Readiness { readiness: ReportedReadiness::Ready, .. });
+        self.not_ready_at.contains_key(id) || reported.is_some_and(|observation| !ready(&observation.claim))
+    }
+}
+
+/// What this process is asked for, by volume.
+fn demands(now: Duration, scheduler: &Scheduler) -> impl Iterator<Item = VolumeDemand> + '_ {
+    let demands = scheduler.demands(now);
+    demands.map(|(volume, rate)| VolumeDemand { volume, rate: (rate * MILLIUNITS) as u64 })
+}
--- /dev/null
+++ b/crates/core/src/gossip/totals.rs
@@ -0,0 +1,148 @@
+//! Sums over all initiators: what this one contributes, what all others together amount to, and what of that bears on the
+//! scheduler's decisions.
+
+use super::{GossipState, KnownEndpoints};
+use crate::interface::{EndpointId, PeerGossip, VolumeId};
+use shaletack_observations::{reported_demand, reported_slow_start_units, Claim, DEMAND_LIFETIME};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// Milliunits in a unit. Amounts travel as whole milliunits.
+pub(super) const MILLIUNITS: f64 = 1000.0;
+
+/// What is asked of a volume.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct VolumeDemand {
+    /// The volume.
+    pub volume: VolumeId,
+    /// Milliunits a second.
+    pub rate: u64,
+}
+
+/// What was sent to an endpoint in slow start within the settings' overload window.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct EndpointUsage {
+    /// The endpoint's name.
+    pub id: String,
+    /// Its start, in milliseconds of Unix time as listed.
+    pub start_ms: u64,
+    /// Milliunits.
+    pub milliunits: u64,
+}
+
+/// What this process adds to the sums over all initiators.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Contribution {
+    /// What it is asked for.
+    pub demand: Vec<VolumeDemand>,
+    /// What it sent to endpoints in slow start; nothing sent as well, since only who adds to a sum receives it.
+    pub spent: Vec<EndpointUsage>,
+}
+
+/// A sum, with the age of its oldest part.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Aged<T> {
+    /// The sum.
+    pub value: T,
+    /// The age of its oldest part.
+    pub age: Duration,
+}
+
+/// What all other initiators together add.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct PeerTotals {
+    /// What they are asked for.
+    pub demand: Vec<Aged<VolumeDemand>>,
+    /// What they sent to endpoints in slow start.
+    pub spent: Vec<Aged<EndpointUsage>>,
+}
+
+/// A sum in milliunits, or milliunits a second, and when its oldest part was seen.
+#[derive(Clone, Copy, Debug)]
+struct Sum {
+    milliunits: u64,
+    seen_at: Duration,
+}
+
+/// The latest sums over all other initiators.
+#[derive(Clone, Debug, Default)]
+pub(super) struct PeerSums {
+    demand: BTreeMap<VolumeId, Sum>,
+    /// By the endpoint's name and its start in milliseconds.
+    spent: BTreeMap<(String, u64), Sum>,
+}
+
+impl PeerSums {
+    pub(super) fn new(now: Duration, totals: PeerTotals) -> Self {
+        let sum = |milliunits, age| Sum { milliunits, seen_at: now.saturating_sub(age) };
+        let demand = totals.demand.into_iter();
+        let spent = totals.spent.into_iter();
+        PeerSums {
+            demand: demand.map(|total| (total.value.volume, sum(total.value.rate, total.age))).collect(),
+            spent: spent
+                .map(|Aged { value, age }| ((value.id, value.start_ms), sum(value.milliunits, age)))
+                .collect(),
+        }
+    }
+}
+
+impl GossipState {
+    /// What of peers' reports and sums bears on what is sent; `window`: the settings' overload window.
+    pub fn for_scheduler(&self, now: Duration, window: Duration, known: &KnownEndpoints) -> PeerGossip {
+        let holds =
+            known.iter().filter_map(|(id, endpoint)| Some((endpoint.endpoint, self.advice(id).hold_until?)));
+        PeerGossip {
+            held_back_until: holds.collect(),
+            units_sent: self.units_sent(now, window, known),
+            demand: self.demand(now),
+        }
+    }
+
+    /// Units that others sent each endpoint in slow start within the window. Peers of the release before send reports and
+    /// are in no sum; all others are in the sums.
+    fn units_sent(&self, now: Duration, window: Duration, known: &KnownEndpoints) -> Vec<(EndpointId, f64)> {
+        let reported = self.reported.iter().filter_map(|observation| match &observation.claim {
+            Claim::SlowStartUnits { endpoint, .. } => Some(endpoint.as_str()),
+            _ => None,
+        });
+        let summed = self.sums.spent.keys().map(|(id, _)| id.as_str());
+        let ids: BTreeSet<&str> = reported.chain(summed).collect();
+        let units = ids.into_iter().filter_map(|id| {
+            let endpoint = known.get(id)?;
+            let start_ms = endpoint.start_ms();
+            let reported = reported_slow_start_units(&self.reported, id, start_ms, window, now);
+            let summed = self.sums.spent.get(&(id.to_owned(), start_ms));
+            let summed = summed.filter(|sum| now < sum.seen_at + window).map_or(0, |sum| sum.milliunits);
+            Some((endpoint.endpoint, reported.saturating_add(summed) as f64 / MILLIUNITS))
+        });
+        units.filter(|(_, units)| *units > 0.0).collect()
+    }
+
+    /// Units a second that others are asked for, by volume, and when the oldest part of it was seen.
+    fn demand(&self, now: Duration) -> Vec<(VolumeId, f64, Duration)> {
+        let reported = self.reported.iter().filter_map(|observation| match observation.claim {
+            Claim::Demand { volume, .. } => Some(volume),
+            _ => None,
+        });
+        let volumes: BTreeSet<VolumeId> = reported.chain(self.sums.demand.keys().copied()).collect();
+        let demand = volumes.into_iter().filter_map(|volume| {
+            let (rate, age) = self.volume_demand(volume, now)?;
+            Some((volume, rate as f64 / MILLIUNITS, now.saturating_sub(age)))
+        });
+        demand.collect()
+    }
+
+    /// Milliunits a second, and the age of the oldest part; `None`: nothing recent is known.
+    fn volume_demand(&self, volume: VolumeId, now: Duration) -> Option<(u64, Duration)> {
+        let reported = reported_demand(&self.reported, volume, &self.me, now);
+        let reported = reported.map(|demand| (demand.milli_units_per_second, demand.age));
+        let summed = self.sums.demand.get(&volume).filter(|sum| now <= sum.seen_at + DEMAND_LIFETIME);
+        let summed = summed.map(|sum| (sum.milliunits, now.saturating_sub(sum.seen_at)));
+        match (reported, summed) {
+            (Some((reported, reported_age)), Some((summed, summed_age))) => {
+                Some((reported.saturating_add(summed), reported_age.max(summed_age)))
+            }
+            (one, other) => one.or(other),
+        }
+    }
+}
--- a/crates/lab/src/hollow/initiator.rs
+++ b/crates/lab/src/hollow/initiator.rs
@@ -3,7 +3,7 @@
 use rand::rngs::StdRng;
 use rand::seq::IteratorRandom;
 use rand::SeedableRng;
-use shaletack::gossip::Totals;
+use shaletack::gossip::{Aged, PeerTotals, VolumeDemand};
 use shaletack::peers::observer;
 use shaletack::{broker, operator::Operator, operator_event::OperatorEvent};
 use shaletack_gossip as gossip;
@@ -287,12 +287,14 @@
                     // Nothing is cold here: all that is summed is demand.
                     let demand =
                         totals.into_iter().filter_map(|(key, Total { others, age, .. })| match key {
-                            Key::Demand(volume) => Some((volume, others, age)),
+                            Key::Demand(volume) => {
+                                Some(Aged { value: VolumeDemand { volume, rate: others }, age })
+                            }
                             _ => None,
                         });
-                    self.core(broker::Input::PeerTotals(Totals {
+                    self.core(broker::Input::PeerTotals(PeerTotals {
                         demand: demand.collect(),
-                        ..Totals::default()
+                        ..PeerTotals::default()
                     }));
                 }
                 gossip::Effect::WakeAt(at) => self.wakes[2].set(Some(self.start + at)),
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use shaletack_core::broker::{AttemptId, AttemptResult, Broker, Clock, Effect, IncomingRequest, Input};
 use shaletack_core::endpoint_list::{EndpointList, EndpointRecord};
-use shaletack_core::gossip::Totals;
+use shaletack_core::gossip::{Aged, PeerTotals, VolumeDemand};
 use shaletack_core::interface::{EndpointListKind, Plan, Readiness, Settings};
 use shaletack_core::operator_event::OperatorEvent;
 use shaletack_core::outcome::TransportOutcome;
@@ -673,11 +673,12 @@
                 gossip::Effect::Learned(told) => self.broker(i, Input::GossipMerged(told), true),
                 gossip::Effect::Totals(totals) => {
                     self.seen.totals += 1;
-                    let mut all = Totals::default();
+                    let mut all = PeerTotals::default();
                     self.hollows[i].others.clear();
                     for (key, total) in totals {
                         if let Key::Demand(volume) = key {
-                            all.demand.push((volume, total.others, total.age));
+                            let value = VolumeDemand { volume, rate: total.others };
+                            all.demand.push(Aged { value, age: total.age });
                             self.hollows[i].others.insert(volume, total);
                         }
                     }
@@ -697,8 +698,8 @@
         let hollow = &mut self.hollows[i];
         let now = self.zero + hollow.local(self.now);
         let amounts = timed(&mut hollow.cpu[Part::Broker as usize], || hollow.broker.contribution(now));
-        hollow.own = amounts.demand.iter().copied().collect();
-        let keys = amounts.demand.into_iter().map(|(volume, rate)| (Key::Demand(volume), rate));
+        hollow.own = amounts.demand.iter().map(|demand| (demand.volume, demand.rate)).collect();
+        let keys = amounts.demand.into_iter().map(|demand| (Key::Demand(demand.volume), demand.rate));
         self.spread(i, gossip::Input::LocalAmounts(keys.collect()));
     }
 
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -8,7 +8,7 @@
 mod exchange;
 
 use crate::broker;
-use crate::gossip::{Contribution, Totals};
+use crate::gossip::{Aged, Contribution, EndpointUsage, PeerTotals, VolumeDemand};
 use crate::operator;
 use crate::runtime::host::Host;
 use crate::runtime::sockets;
@@ -268,25 +268,29 @@
         let Contribution { demand, spent } = self.0.host.look(|broker| broker.contribution(now));
         let mut cold = BTreeMap::new();
         let mut amounts: Vec<(Key, u64)> =
-            demand.into_iter().map(|(volume, rate)| (Key::Demand(volume), rate)).collect();
-        for (id, start, units) in spent {
-            let key = box_key(&id, start);
-            amounts.push((Key::SlowStartSpend(key), units));
-            cold.insert(key, (id, start));
+            demand.into_iter().map(|demand| (Key::Demand(demand.volume), demand.rate)).collect();
+        for usage in spent {
+            let key = box_key(&usage.id, usage.start_ms);
+            amounts.push((Key::SlowStartSpend(key), usage.milliunits));
+            cold.insert(key, (usage.id, usage.start_ms));
         }
         *self.0.cold.borrow_mut() = cold;
         self.spread(gossip::Input::LocalAmounts(amounts)).await;
     }
 
-    fn totals(&self, totals: Vec<(Key, Total)>) -> Totals {
+    fn totals(&self, totals: Vec<(Key, Total)>) -> PeerTotals {
         let cold = self.0.cold.borrow();
-        let mut all = Totals::default();
+        let mut all = PeerTotals::default();
         for (key, Total { others, age, .. }) in totals {
             match key {
-                Key::Demand(volume) => all.demand.push((volume, others, age)),
+                Key::Demand(volume) => {
+                    all.demand.push(Aged { value: VolumeDemand { volume, rate: others }, age });
+                }
                 Key::ConfigVersion(_) => {}
                 Key::SlowStartSpend(key) => {
-                    all.spent.extend(cold.get(&key).map(|(id, start)| (id.clone(), *start, others, age)))
+                    let Some((id, start_ms)) = cold.get(&key) else { continue };
+                    let (id, start_ms) = (id.clone(), *start_ms);
+                    all.spent.push(Aged { value: EndpointUsage { id, start_ms, milliunits: others }, age });
                 }
             }
         }
