--- a/crates/core/tests/endpoint_list.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -11,9 +11,10 @@
     format!(r#"{{"revision":4,"complete":true,"members":[{}]}}"#, entries.join(",")).into_bytes()
 }
 
-/// One bad entry made the whole list unreadable, and the watch was broken off and opened again for as long as it stood.
+/// One entry of a list is bad. Were the whole list unreadable for it, the watch would be broken off and opened again for as
+/// long as the entry stands, and no change would be received.
 #[test]
-fn a_bad_entry_is_named_and_passed_over_and_the_rest_counts() {
+fn a_bad_entry_is_named_and_skipped_and_the_rest_counts() {
     let entries = [
         entry("s-1", "1", "up"),
         entry("s-2", "2", "asleep"),
@@ -22,7 +23,7 @@
         "7".to_string(),
         entry("s-5", "5", "up"),
         entry("s-5", "5", "draining"),
-        // A box that drains and the one that takes its place hold the same shard.
+        // An endpoint that drains and the one that takes its place hold the same shard.
         entry("s-6", "5", "up"),
     ];
     let ReadList { list, faults } = read(&mut list(&entries)).unwrap();
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn a_list_of_5000_counts_whole() {
+fn a_list_of_5000_entries_is_read_completely() {
     let entries: Vec<String> =
         (0..5000).map(|n| entry(&format!("s-{n}"), &(n % 60).to_string(), "up")).collect();
     let ReadList { list, faults } = read(&mut list(&entries)).unwrap();
--- a/crates/core/tests/endpoint_list_poll.rs
+++ b/crates/core/tests/endpoint_list_poll.rs
@@ -1,4 +1,4 @@
-//! Many hosts that ask one service of fixed capacity for the list.
+//! Many initiators that poll one service of fixed capacity for the list.
 
 use shaletack_core::endpoint_list_poll::{CallEnd, EndpointListPoll};
 use shaletack_core::interface::{Settings, SharedRules};
@@ -14,21 +14,21 @@
     Settings { initiators: hosts, endpoint_list_polled: list_on_request, rules, ..Settings::default() }
 }
 
-/// A service that works off one call each `each`, in turn, also those whose caller has waited 2 s and gone; it turns
-/// away what finds `room` before it. When each of 100 hosts that lose their watch at once has it back, if within eight
-/// times as long as all of them take.
+/// A service serves one call every `each`, in turn, also those whose caller has waited 2 s and gone; it rejects a call that
+/// finds `room` calls queued. When each of 100 initiators that lose their watch at once has it back; `None`: not within
+/// eight times as long as all of them take.
 fn back_after(each: Duration, room: usize) -> Vec<Option<Duration>> {
     let set = settings(100, true);
-    let mut asking: Vec<EndpointListPoll> = (0..100).map(|host| EndpointListPoll::new(host * 7919)).collect();
+    let mut polls: Vec<EndpointListPoll> = (0..100).map(|host| EndpointListPoll::new(host * 7919)).collect();
     let mut next: Vec<Option<Duration>> =
-        asking.iter_mut().map(|a| Some(a.next_wait(&set, true, CallEnd::ConnectionLost, ZERO))).collect();
+        polls.iter_mut().map(|a| Some(a.next_wait(&set, true, CallEnd::ConnectionLost, ZERO))).collect();
     let (mut queue, mut back): (VecDeque<(Duration, usize)>, _) = (VecDeque::new(), vec![None; 100]);
     let (mut now, mut free) = (Duration::ZERO, Duration::ZERO);
     while now < 800 * each {
         now += MS;
         // Callers leave; what they asked for stays in the queue.
         for (at, host) in queue.iter_mut().filter(|(at, host)| *host < 100 && *at + 2 * S <= now) {
-            next[*host] = Some(now + asking[*host].next_wait(&set, false, CallEnd::Rejected, now));
+            next[*host] = Some(now + polls[*host].next_wait(&set, false, CallEnd::Rejected, now));
             (*at, *host) = (now, usize::MAX);
         }
         if free <= now {
@@ -43,7 +43,7 @@
             if next[host].is_some_and(|at| at <= now) {
                 let fits = queue.len() < room;
                 next[host] =
-                    (!fits).then(|| now + asking[host].next_wait(&set, false, CallEnd::Rejected, now));
+                    (!fits).then(|| now + polls[host].next_wait(&set, false, CallEnd::Rejected, now));
                 if fits {
                     queue.push_back((now, host));
                 }
@@ -53,10 +53,11 @@
     back
 }
 
-/// Found on herd+vast: 60 of 100 watches broke at once, each asked again at most 0.5 s after every refusal, and none
-/// of 1,900 calls was served in time in 25 s, though a service of that capacity has served all within seconds.
+/// Most watches of a fleet break at once, and each initiator calls again at most 0.5 s after every rejection. The service's
+/// queue is then full of calls that nobody waits for any more, and it serves none of 1,900 calls in time in 25 s, though it
+/// could serve all initiators once within seconds.
 #[test]
-fn hosts_that_lose_the_list_together_all_have_it_again() {
+fn initiators_that_lose_the_list_together_all_have_it_again() {
     for (each, room) in [(50 * MS, 60), (100 * MS, 40), (200 * MS, 100)] {
         let back = back_after(each, room);
         let late = back.iter().filter(|at| at.is_none()).count();
@@ -64,9 +65,9 @@
     }
 }
 
-/// At the start and after a break all call at once unless they spread; and a first call stays within its time.
+/// At the start and after a break all would call at once unless they spread; and a first call stays within its time.
 #[test]
-fn first_calls_are_spread_only_where_they_cost_something() {
+fn first_calls_are_spread_only_where_the_list_is_polled() {
     let firsts =
         |set: &Settings| (0..100).map(|seed| EndpointListPoll::new(seed).first_wait(set)).collect::<Vec<_>>();
     let spread = firsts(&settings(100, true));
@@ -79,10 +80,10 @@
     assert!(firsts(&settings(3, true)).iter().all(|w| *w <= 60 * MS), "a small fleet starts at once");
 }
 
-/// Found by reading: the wait after a refusal grew to 150 s at 300 hosts, and a call could wait 5 s in turn, while a change
-/// counts as told 6 s after discovery had it and could be reached. Whatever came before, the next call is in time.
+/// A change counts as notified 6 s after discovery had it and could be reached. If the wait after a rejection grew with the
+/// fleet, to 150 s at 300 initiators, the change would be missed for that long. Whatever came before, the next call is in time.
 #[test]
-fn no_wait_outlasts_the_time_in_which_a_change_counts_as_told() {
+fn no_wait_outlasts_the_time_in_which_a_change_counts_as_notified() {
     for hosts in [1, 3, 100, 300] {
         let set = settings(hosts, true);
         for (over, before) in [
@@ -90,8 +91,8 @@
             (CallEnd::Rejected, ZERO),
             (CallEnd::TimedOut, EndpointListPoll::call_timeout(&set)),
         ] {
-            let mut asking = EndpointListPoll::new(u64::from(hosts));
-            let waits: Vec<Duration> = (0..40).map(|_| asking.next_wait(&set, false, over, 5 * S)).collect();
+            let mut polls = EndpointListPoll::new(u64::from(hosts));
+            let waits: Vec<Duration> = (0..40).map(|_| polls.next_wait(&set, false, over, 5 * S)).collect();
             let most = before + *waits.iter().max().unwrap();
             // At least a second and a half is left for the call that brings it.
             assert!(most <= 4 * S + 500 * MS, "{hosts} hosts, {over:?}: {most:?}");
@@ -102,13 +103,13 @@
     }
 }
 
-/// Beside the host a watch is opened again at once, and soon even if the agent stays away.
+/// An agent beside the initiator pushes the list: a watch is opened again at once, and soon even if the agent is down.
 #[test]
-fn an_agent_beside_the_host_is_asked_again_soon() {
-    let mut asking = EndpointListPoll::new(1);
+fn an_agent_that_pushes_the_list_is_called_again_soon() {
+    let mut polls = EndpointListPoll::new(1);
     let set = settings(100, false);
     let waits: Vec<Duration> = (0..6)
-        .map(|n| asking.next_wait(&set, n == 0, [CallEnd::ConnectionLost, CallEnd::TimedOut][n % 2], ZERO))
+        .map(|n| polls.next_wait(&set, n == 0, [CallEnd::ConnectionLost, CallEnd::TimedOut][n % 2], ZERO))
         .collect();
     assert!(waits[0] <= 50 * MS && waits.iter().all(|w| *w <= 500 * MS), "{waits:?}");
 }
--- a/crates/core/tests/start_times.rs
+++ b/crates/core/tests/start_times.rs
@@ -1,4 +1,4 @@
-//! Starts of boxes are taken over by a clock that is never stepped, whatever wall clocks do.
+//! Starts of endpoints are converted to a clock that is never stepped, whatever wall clocks do.
 
 use shaletack_core::start_times::StartTimes;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_first_list_is_taken_against_the_wall_clock() {
+fn starts_of_the_first_list_are_compared_with_the_wall_clock() {
     let starts = at_start();
     assert_eq!(starts.started_at(ms(10_000), unix(7_000)), ms(7_000));
     // A start that is still to come is one that is now.
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_list_that_is_followed_is_taken_against_the_starts_heard_before() {
+fn starts_of_a_followed_list_are_compared_with_earlier_starts() {
     let mut starts = at_start();
     starts.list_received(ms(10_000), None);
     // Nothing is known of the fleet's clock yet: a start counts from when it is heard.
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_age_that_a_followed_list_could_not_have_hidden_is_none() {
+fn an_age_greater_than_a_list_can_be_late_counts_as_none() {
     let mut starts = at_start();
     starts.list_received(ms(10_000), Some(unix(10_000)));
     // The fleet's clock was set back by an hour.
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_step_of_the_wall_clock_voids_what_older_starts_say() {
+fn a_step_of_the_wall_clock_voids_the_reading_of_the_fleets_clock() {
     for step in [4_000_i64, -4_000] {
         let mut starts = at_start();
         starts.list_received(ms(10_000), Some(unix(10_000)));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn an_old_word_on_the_fleets_clock_does_not_count_for_ever() {
+fn an_old_reading_of_the_fleets_clock_expires() {
     let mut starts = at_start();
     starts.list_received(ms(10_000), Some(unix(10_000)));
     starts.list_received(ms(700_000), None);
