--- a/crates/core/src/broker/input.rs
+++ b/crates/core/src/broker/input.rs
@@ -65,8 +65,8 @@
 }
 
 impl AttemptResult {
-    /// An end without a response.
-    pub fn none(transport: TransportOutcome) -> Self {
+    /// An attempt that ended without a response.
+    pub fn without_response(transport: TransportOutcome) -> Self {
         let body = Bytes::new();
         AttemptResult { transport, body, volume_usage: None, units_elsewhere: 0.0, body_consumed: false }
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,11 +1,11 @@
-//! The core of an initiator: in which order, when and where the I/O requests of many volumes go to the disk
-//! boxes that hold their data.
+//! The core of an initiator: in which order, when and where the I/O requests of many volumes go to the endpoints that hold
+//! their data.
 //!
-//! It owns every decision ([`choice`]), the state of every request and box ([`broker`]), what each end of a
-//! connection proves ([`outcome`]) and the forms of what it is told ([`endpoint_list`], [`settings`]).
+//! It owns every decision ([`choice`]), the state of every request and endpoint ([`broker`]), what each end of a connection
+//! proves ([`outcome`]), what peers report ([`gossip`]) and the forms of what it is told ([`endpoint_list`], [`settings`]).
 //!
-//! It never reads or writes, holds no socket and reads no clock: time comes with each input, and what is to be
-//! done goes out as effects. That the crate has no runtime among its dependencies keeps it so.
+//! It never reads or writes, holds no socket and reads no clock: time comes with each input, and what is to be done goes out
+//! as effects. That the crate has no runtime among its dependencies keeps it so.
 
 pub mod broker;
 pub mod choice;
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -161,7 +161,7 @@
                         let body = Bytes::new();
                         self.step(Input::AttemptEnded {
                             attempt,
-                            result: AttemptResult { body, ..AttemptResult::none(end) },
+                            result: AttemptResult { body, ..AttemptResult::without_response(end) },
                         });
                     }
                     None => self.in_flight.push((attempt, to)),
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -314,7 +314,7 @@
                         from,
                         Input::AttemptEnded {
                             attempt: AttemptId::new(request, number),
-                            result: AttemptResult::none(end),
+                            result: AttemptResult::without_response(end),
                         },
                     );
                 }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -594,7 +594,7 @@
                         at,
                         Input::AttemptEnded {
                             attempt: AttemptId::new(request, number),
-                            result: AttemptResult::none(TransportOutcome::Complete),
+                            result: AttemptResult::without_response(TransportOutcome::Complete),
                         },
                         false,
                     );
--- a/src/nbd/boxes.rs
+++ b/src/nbd/boxes.rs
@@ -113,16 +113,16 @@
         async move {
             let mut link = match piece.boxes.link(to).await {
                 Ok(link) => link,
-                Err(end) => return AttemptResult::none(end),
+                Err(end) => return AttemptResult::without_response(end),
             };
             tell(AttemptProgress::WriteStarted);
             match link.exchange(&piece).await {
                 Ok((end, body)) => {
                     piece.boxes.put(to, link);
-                    AttemptResult { body, ..AttemptResult::none(end) }
+                    AttemptResult { body, ..AttemptResult::without_response(end) }
                 }
                 // Dropped with the link: what may still come on it belongs to nobody.
-                Err(end) => AttemptResult::none(end),
+                Err(end) => AttemptResult::without_response(end),
             }
         }
         .boxed_local()
--- a/src/net/boxes.rs
+++ b/src/net/boxes.rs
@@ -311,11 +311,13 @@
             let reply = match while_it_moves(sent, upload.as_deref()).await {
                 Ok(response) => read(response, permit, &rest, bare).await,
                 // Of a request whose last byte was never handed on nothing has run.
-                Err(SendRequestError::Body(_)) => AttemptResult::none(TransportOutcome::Cancelled),
+                Err(SendRequestError::Body(_)) => {
+                    AttemptResult::without_response(TransportOutcome::Cancelled)
+                }
                 Err(SendRequestError::Send(_)) if upload.as_ref().is_some_and(|u| !u.went.get()) => {
-                    AttemptResult::none(TransportOutcome::LostBeforeRequest)
+                    AttemptResult::without_response(TransportOutcome::LostBeforeRequest)
                 }
-                Err(error) => AttemptResult::none(end_of(&error)),
+                Err(error) => AttemptResult::without_response(end_of(&error)),
             };
             AttemptResult { body_consumed: upload.is_some_and(|u| u.is_spent()), ..reply }
         };
@@ -326,7 +328,7 @@
             match tokio::time::timeout(connect, &mut attempt).await {
                 Ok(reply) => reply,
                 Err(_) if wrote.get() => attempt.await,
-                Err(_) => AttemptResult::none(TransportOutcome::ConnectTimedOut),
+                Err(_) => AttemptResult::without_response(TransportOutcome::ConnectTimedOut),
             }
         }
         .boxed_local()
@@ -404,7 +406,7 @@
         _ => TransportOutcome::ProtocolViolation,
     };
     if stated.is_some_and(|n| n > BODIES_MOST) {
-        return AttemptResult::none(TransportOutcome::UnboundedResponse);
+        return AttemptResult::without_response(TransportOutcome::UnboundedResponse);
     }
     let held = |stated: u64| end != TransportOutcome::Complete || stated <= BODY_MOST as u64;
     let whole = |stated: u64, came: usize| came as u64 >= stated;
@@ -428,18 +430,20 @@
                 body.extend_from_slice(&chunk);
             }
             Ok(None) if stated.is_none() => break,
-            Ok(None) => return AttemptResult::none(TransportOutcome::TruncatedResponse),
+            Ok(None) => return AttemptResult::without_response(TransportOutcome::TruncatedResponse),
             Ok(Some(Err(PayloadError::Io(why)))) if why.kind() != std::io::ErrorKind::InvalidData => {
-                return AttemptResult::none(TransportOutcome::TruncatedResponse)
+                return AttemptResult::without_response(TransportOutcome::TruncatedResponse)
             }
             Err(_) if wait < STALLED => {}
-            Ok(Some(Err(_))) | Err(_) => return AttemptResult::none(TransportOutcome::MalformedResponse),
+            Ok(Some(Err(_))) | Err(_) => {
+                return AttemptResult::without_response(TransportOutcome::MalformedResponse)
+            }
         }
         // What is larger goes on past the core from its first bytes on.
         let long = open && !body.is_empty() && since.elapsed() >= HELD;
         if stated.is_some_and(|n| !held(n)) || body.len() > BODY_MOST || long {
             if end != TransportOutcome::Complete {
-                return AttemptResult::none(TransportOutcome::UnboundedResponse);
+                return AttemptResult::without_response(TransportOutcome::UnboundedResponse);
             }
             let (first, body) = (Some(body.freeze()), response.boxed_local());
             rest.replace(Some(Rest { stated, first, came: 0, body, _permit: permit }));
--- a/tests/broker.rs
+++ b/tests/broker.rs
@@ -93,7 +93,7 @@
 fn an_open_request_keeps_the_rules_it_came_under() {
     let mut harness = Harness::new();
     harness.list(Readiness::Ready);
-    let failed = || AttemptResult::none(TransportOutcome::EndpointError);
+    let failed = || AttemptResult::without_response(TransportOutcome::EndpointError);
     let sends = |effects: &[Effect]| effects.iter().any(|e| matches!(e, Effect::StartAttempt { .. }));
     assert!(sends(&harness.at(2 * MS, Input::RequestArrived { id: 1, request: request(0) })));
     let older = harness.broker.settings();
@@ -118,7 +118,7 @@
         6 * MS,
         Input::AttemptEnded {
             attempt: AttemptId::new(1, 1),
-            result: AttemptResult::none(TransportOutcome::Complete),
+            result: AttemptResult::without_response(TransportOutcome::Complete),
         },
     );
     for (id, number, answer) in [(2, new, "Failed"), (3, once, "Rejected")] {
@@ -183,7 +183,7 @@
             9 * MS,
             Input::AttemptEnded {
                 attempt: AttemptId::new(1, 0),
-                result: AttemptResult::none(TransportOutcome::Complete),
+                result: AttemptResult::without_response(TransportOutcome::Complete),
             },
         );
         assert!(whole.iter().any(|e| matches!(e, Effect::Respond { request: 1, answer: Answer::Served(_) })));
@@ -262,7 +262,7 @@
             4 * MS,
             Input::AttemptEnded {
                 attempt: AttemptId::new(1, 0),
-                result: AttemptResult::none(TransportOutcome::EndpointError),
+                result: AttemptResult::without_response(TransportOutcome::EndpointError),
             },
         );
         effects.iter().any(|e| matches!(e, Effect::StartAttempt { .. }))
@@ -293,12 +293,18 @@
         if let Some(first) = first {
             harness.at(
                 3 * MS,
-                Input::AttemptEnded { attempt: AttemptId::new(1, 0), result: AttemptResult::none(first) },
+                Input::AttemptEnded {
+                    attempt: AttemptId::new(1, 0),
+                    result: AttemptResult::without_response(first),
+                },
             );
             harness.at(40 * MS, Input::TimerFired);
             number = 1;
         }
-        let spent = AttemptResult { body_consumed: true, ..AttemptResult::none(TransportOutcome::Rejected) };
+        let spent = AttemptResult {
+            body_consumed: true,
+            ..AttemptResult::without_response(TransportOutcome::Rejected)
+        };
         harness.at(41 * MS, Input::AttemptEnded { attempt: AttemptId::new(1, number), result: spent })
     };
     let (refused, failed) = (
@@ -349,7 +355,7 @@
                         at + MS,
                         Input::AttemptEnded {
                             attempt: AttemptId::new(request, number),
-                            result: AttemptResult::none(TransportOutcome::Complete),
+                            result: AttemptResult::without_response(TransportOutcome::Complete),
                         },
                     );
                 }
@@ -384,7 +390,8 @@
         ended[..2],
         [Effect::AbortAttempt(AttemptId::new(1, 0)), Effect::Respond { request: 1, answer: Answer::Failed }]
     );
-    let late = AttemptResult { body: "late".into(), ..AttemptResult::none(TransportOutcome::Complete) };
+    let late =
+        AttemptResult { body: "late".into(), ..AttemptResult::without_response(TransportOutcome::Complete) };
     assert!(harness
         .at(1001 * MS, Input::AttemptEnded { attempt: AttemptId::new(1, 0), result: late })
         .is_empty());
@@ -403,7 +410,10 @@
         harness.at(10 * MS, Input::RequestArrived { id: 1, request: request(1) });
         let mut effects = harness.at(
             20 * MS,
-            Input::AttemptEnded { attempt: AttemptId::new(1, 0), result: AttemptResult::none(end) },
+            Input::AttemptEnded {
+                attempt: AttemptId::new(1, 0),
+                result: AttemptResult::without_response(end),
+            },
         );
         (3..40).for_each(|n| effects.extend(harness.at(10 * n * MS, Input::TimerFired)));
         let sent = effects.iter().filter(|e| matches!(e, Effect::StartAttempt { .. })).count();
@@ -432,7 +442,8 @@
     harness.at(10 * MS, Input::RequestArrived { id: 1, request: request(0) });
     let left = harness.at(20 * MS, Input::ClientLeft(1));
     assert!(left.contains(&Effect::AbortAttempt(AttemptId::new(1, 0))), "its attempt is given up: {left:?}");
-    let whole = AttemptResult { body: "x".into(), ..AttemptResult::none(TransportOutcome::Complete) };
+    let whole =
+        AttemptResult { body: "x".into(), ..AttemptResult::without_response(TransportOutcome::Complete) };
     let effects = harness.at(30 * MS, Input::AttemptEnded { attempt: AttemptId::new(1, 0), result: whole });
     assert!(!effects.iter().any(|e| matches!(e, Effect::Respond { .. })), "{effects:?}");
     assert_eq!((harness.broker.open_requests(), harness.broker.counters()[0].requests.client_left), (0, 1));
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -403,7 +403,8 @@
                     let unrun = end.attempt_outcome().never_ran();
                     let tried = &mut self.asked[n].tries[number];
                     (tried.out, tried.unrun) = (false, unrun);
-                    let reply = AttemptResult { body_consumed: *spent, ..AttemptResult::none(*end) };
+                    let reply =
+                        AttemptResult { body_consumed: *spent, ..AttemptResult::without_response(*end) };
                     self.tell(Input::AttemptEnded {
                         attempt: AttemptId::new(n as u64, number as u8),
                         result: reply,
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -108,7 +108,7 @@
                 self.flights.remove(&(request, number));
                 let reply = AttemptResult {
                     body: Bytes::from_static(b"ok"),
-                    ..AttemptResult::none(TransportOutcome::Complete)
+                    ..AttemptResult::without_response(TransportOutcome::Complete)
                 };
                 self.step(Input::AttemptEnded { attempt: AttemptId::new(request, number), result: reply });
             } else if next == replace_at {
