--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -70,13 +70,6 @@
     },
 }
 
-/// For callers whose errors are text.
-impl From<EntryError> for String {
-    fn from(error: EntryError) -> Self {
-        error.to_string()
-    }
-}
-
 /// Why a field of an entry can't be read.
 #[derive(Debug, Error)]
 pub enum FieldError {
--- a/crates/core/src/json.rs
+++ b/crates/core/src/json.rs
@@ -27,13 +27,6 @@
     },
 }
 
-/// For callers whose errors are text.
-impl From<JsonError> for String {
-    fn from(error: JsonError) -> Self {
-        error.to_string()
-    }
-}
-
 impl JsonError {
     fn wrong_type(expected: &'static str, found: &BorrowedValue) -> Self {
         JsonError::WrongType { expected, found: found.encode() }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -46,13 +46,6 @@
     },
 }
 
-/// For callers whose errors are text.
-impl From<SettingsError> for String {
-    fn from(error: SettingsError) -> Self {
-        error.to_string()
-    }
-}
-
 /// Reads the settings; the text's bytes are overwritten.
 pub fn read(text: &mut [u8]) -> Result<Settings, SettingsError> {
     let value = json::parse(text).map_err(SettingsError::Syntax)?;
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,10 +1,12 @@
-//! What an initiator is told at its start.
+//! The platform's configuration file: where this initiator listens, where discovery answers, its settings and the endpoint
+//! list it last had.
 
 use crate::endpoint_list::{self, EndpointList, EntryError, ReadList};
 use crate::interface::{EndpointListKind, Settings};
-use crate::json::{self, JsonField};
-use crate::settings;
+use crate::json::{self, JsonError, JsonField};
+use crate::settings::{self, SettingsError};
 use std::net::SocketAddr;
+use thiserror::Error;
 
 /// The platform's file, with what the environment says.
 #[derive(Clone, Debug)]
@@ -23,7 +25,7 @@
     pub sockets: usize,
     /// How much memory the process may hold, in MiB; 0: not stated.
     pub memory_mb: u64,
-    /// The list of disk boxes as last had, perhaps old.
+    /// The endpoint list as last had, of any age.
     pub known: EndpointList,
     /// What is wrong with entries of that list that do not count.
     pub passed_over: Vec<String>,
@@ -33,64 +35,92 @@
     pub text: Vec<u8>,
 }
 
-const NEEDED: [&str; 4] = ["seed", "limits", "known", "settings"];
-const FEWEST_SOCKETS: usize = 64;
+const REQUIRED_KEYS: [&str; 4] = ["seed", "limits", "known", "settings"];
+/// The fewest file descriptors that the program works with, and how many it takes where none are stated.
+const MIN_SOCKETS: usize = 64;
+const DEFAULT_SOCKETS: usize = 1024;
 /// For requests, clients hold at most this part of the descriptors; each open one has a connection,
 const CLIENTS_PART: f64 = 1.0 / 3.0;
 /// and so many may be open that those who come find one free.
 const OPEN_PART: f64 = 0.8;
 
-/// Reads the file's text; the environment's word, where it has one, goes before the file's.
-pub fn read(text: &mut [u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
+/// Why a configuration can't be used.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// The text is no JSON object, or a value has another type than it should.
+    #[error(transparent)]
+    Json(#[from] JsonError),
+    /// The settings can't be read.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// A key is missing.
+    #[error("there is no key '{0}'")]
+    MissingKey(&'static str),
+    /// An address can't be parsed.
+    #[error("{key}: '{text}' is not an address and port")]
+    BadAddress {
+        /// The key.
+        key: &'static str,
+        /// Its value, or that of the environment's variable.
+        text: String,
+    },
+    /// The settings do not say how many initiators there are.
+    #[error("settings.balancers: the number of initiators is missing")]
+    MissingInitiators,
+    /// The settings do not say which of the initiators this one is.
+    #[error("settings.rank: which of {initiators} initiators this is, is missing")]
+    MissingRank {
+        /// How many there are.
+        initiators: u32,
+    },
+    /// There is no class or no plan.
+    #[error("the settings name no classes or no plans")]
+    NoClassesOrPlans,
+    /// A class has no name or no deadline.
+    #[error("settings.lanes: '{class}' has no name, or no deadline above 0")]
+    BadClass {
+        /// The name of the class.
+        class: String,
+    },
+    /// The number of attempts is 0.
+    #[error("settings.limits.try-limit: it has to be a number above 0")]
+    NoAttempts,
+    /// Too few file descriptors.
+    #[error("limits.sockets: {sockets} are too few, {min} are needed", min = MIN_SOCKETS)]
+    TooFewSockets {
+        /// How many there are.
+        sockets: usize,
+    },
+    /// The seed can't be parsed.
+    #[error("seed: '{0}' is not 16 hex digits")]
+    BadSeed(String),
+}
+
+/// Reads the file's text; a variable of the environment, where it is set, goes before the file's value.
+pub fn read(text: &mut [u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let whole = text.to_vec();
     let value = json::parse(text)?;
     let top = JsonField::object(&value, "the configuration")?;
-    let address = |name: &str, variable: &str| {
-        let text = env(variable).map_or_else(|| top.field(name).text().map(String::from), Ok)?;
-        text.parse().map_err(|_| format!("{name}: '{text}' is not an address and port"))
-    };
-    if let Some(key) = NEEDED.into_iter().find(|key| !top.field(key).is_present()) {
-        return Err(format!("there is no key '{key}'"));
-    }
-    let mut settings = settings::read_settings(top.field("settings"))?;
-    if !top.field("settings").field("balancers").is_present() {
-        return Err("settings.balancers: the number of initiators is missing".into());
-    }
-    if settings.initiators > 1 && !top.field("settings").field("rank").is_present() {
-        return Err(format!(
-            "settings.rank: which of {} initiators this is, is missing",
-            settings.initiators
-        ));
-    }
-    if settings.classes.is_empty() || settings.plans.is_empty() {
-        return Err("the settings name no classes or no plans".into());
-    }
-    if let Some(class) = settings.classes.iter().find(|c| c.name.is_empty() || c.deadline.is_zero()) {
-        return Err(format!("settings.lanes: '{}' has no name, or no deadline above 0", class.name));
-    }
-    if settings.max_attempts == 0 {
-        return Err("settings.limits.try-limit: it has to be a number above 0".into());
+    if let Some(key) = REQUIRED_KEYS.into_iter().find(|key| !top.field(key).is_present()) {
+        return Err(ConfigError::MissingKey(key));
     }
+    let mut settings = read_settings(top.field("settings"))?;
     let ReadList { list: mut known, faults: passed_over } = endpoint_list::read_list(top.field("known"))?;
     known.kind = EndpointListKind::Cached;
-    let sockets = top.field("limits").field("sockets").integer()? as usize;
-    if sockets > 0 && sockets < FEWEST_SOCKETS {
-        return Err(format!("limits.sockets: {sockets} are too few, {FEWEST_SOCKETS} are needed"));
-    }
-    let sockets = if sockets == 0 { 1024 } else { sockets };
+    let sockets = read_sockets(top.field("limits"))?;
     if settings.max_open_requests == 0 {
         settings.max_open_requests = (sockets as f64 * CLIENTS_PART * OPEN_PART) as usize;
     }
     let seed = top.field("seed").text()?;
     Ok(Config {
-        name: env("ROUTER_NAME").map_or_else(|| top.field("name").text().map(String::from), Ok)?,
-        listen: address("listen", "ROUTER_LISTEN")?,
-        discovery: address("discovery", "ROUTER_DISCOVERY")?,
-        management: match env("ROUTER_MANAGEMENT").is_some() || top.field("management").is_present() {
-            true => Some(address("management", "ROUTER_MANAGEMENT")?),
-            false => None,
+        name: text_of(top, "name", env("ROUTER_NAME"))?,
+        listen: address(top, "listen", env("ROUTER_LISTEN"))?,
+        discovery: address(top, "discovery", env("ROUTER_DISCOVERY"))?,
+        management: match env("ROUTER_MANAGEMENT") {
+            None if !top.field("management").is_present() => None,
+            stated => Some(address(top, "management", stated)?),
         },
-        seed: u64::from_str_radix(seed, 16).map_err(|_| format!("seed: '{seed}' is not 16 hex digits"))?,
+        seed: u64::from_str_radix(seed, 16).map_err(|_| ConfigError::BadSeed(seed.to_owned()))?,
         memory_mb: top.field("limits").field("memory_mb").integer()?,
         sockets,
         known,
@@ -100,6 +130,46 @@
     })
 }
 
+/// The settings, with what the program needs beyond their form.
+fn read_settings(object: JsonField) -> Result<Settings, ConfigError> {
+    let settings = settings::read_settings(object)?;
+    if !object.field("balancers").is_present() {
+        return Err(ConfigError::MissingInitiators);
+    }
+    if settings.initiators > 1 && !object.field("rank").is_present() {
+        return Err(ConfigError::MissingRank { initiators: settings.initiators });
+    }
+    if settings.classes.is_empty() || settings.plans.is_empty() {
+        return Err(ConfigError::NoClassesOrPlans);
+    }
+    let bad = settings.classes.iter().find(|class| class.name.is_empty() || class.deadline.is_zero());
+    if let Some(class) = bad {
+        return Err(ConfigError::BadClass { class: class.name.clone() });
+    }
+    if settings.max_attempts == 0 {
+        return Err(ConfigError::NoAttempts);
+    }
+    Ok(settings)
+}
+
+fn read_sockets(limits: JsonField) -> Result<usize, ConfigError> {
+    match limits.field("sockets").integer()? as usize {
+        0 => Ok(DEFAULT_SOCKETS),
+        sockets if sockets < MIN_SOCKETS => Err(ConfigError::TooFewSockets { sockets }),
+        sockets => Ok(sockets),
+    }
+}
+
+/// The environment's value, else the file's.
+fn text_of(top: JsonField, key: &'static str, from_env: Option<String>) -> Result<String, JsonError> {
+    from_env.map_or_else(|| top.field(key).text().map(String::from), Ok)
+}
+
+fn address(top: JsonField, key: &'static str, from_env: Option<String>) -> Result<SocketAddr, ConfigError> {
+    let text = text_of(top, key, from_env)?;
+    text.parse().map_err(|_| ConfigError::BadAddress { key, text })
+}
+
 /// The first key that a configuration in force has and a newer one lacks. Entries of the list of boxes differ
 /// from day to day, and are looked at when they are read.
 pub fn lacks(older: &[u8], newer: &[u8]) -> Option<String> {
--- a/src/etcd.rs
+++ b/src/etcd.rs
@@ -3,7 +3,7 @@
 //! Each key below the prefix is a box's id, its value the box's entry in discovery's form.
 
 use crate::broker::Input;
-use crate::endpoint_list::{self, EndpointList, EndpointRecord};
+use crate::endpoint_list::{self, EndpointList, EndpointRecord, EntryError};
 use crate::interface::{EndpointListKind, Readiness};
 use crate::json::{self, JsonError, JsonField};
 use crate::operator::Etcd;
@@ -12,8 +12,9 @@
 use crate::runtime::sockets::http_client;
 use awc::Client;
 use base64::engine::general_purpose::STANDARD;
-use base64::Engine;
+use base64::{DecodeError, Engine};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 use tracing::warn;
 
 /// A call may take so long, where the last one took its time,
@@ -38,9 +39,42 @@
     Silent,
 }
 
-impl From<String> for Over {
-    fn from(why: String) -> Self {
-        Over::Broken(why)
+/// Why a message of etcd, or an entry in it, can't be read.
+#[derive(Debug, Error)]
+enum MessageError {
+    /// It is not of the gateway's form.
+    #[error(transparent)]
+    Json(#[from] JsonError),
+    /// An endpoint's entry can't be read.
+    #[error(transparent)]
+    Entry(#[from] EntryError),
+    /// A revision is no number.
+    #[error("'{0}' is not a revision")]
+    BadRevision(String),
+    /// A key or value can't be decoded.
+    #[error("{field}: {source}")]
+    BadBase64 {
+        /// Which.
+        field: &'static str,
+        /// What is wrong.
+        source: DecodeError,
+    },
+    /// A key is not below the prefix.
+    #[error("a key that names no box")]
+    BadKey,
+    /// A key and the entry below it disagree.
+    #[error("key {key} holds the entry of {entry}")]
+    WrongEntry {
+        /// The name in the key.
+        key: String,
+        /// The name in the entry.
+        entry: String,
+    },
+}
+
+impl From<MessageError> for Over {
+    fn from(why: MessageError) -> Self {
+        Over::Broken(why.to_string())
     }
 }
 
@@ -112,44 +146,55 @@
         response.body().limit(LIST_MOST).await.map_err(|e| format!("broke: {e}"))
     };
     let body = tokio::time::timeout(patience, asked).await.map_err(|_| "no answer")??;
-    let mut text = body.to_vec();
-    let value = json::parse(&mut text)?;
+    let list = read_range(&mut body.to_vec(), etcd).map_err(|error| error.to_string())?;
+    let revision = list.revision;
+    host.feed(Input::EndpointList(list));
+    Ok(revision)
+}
+
+/// The whole list, from the answer to a range.
+fn read_range(text: &mut [u8], etcd: &Etcd) -> Result<EndpointList, MessageError> {
+    let value = json::parse(text)?;
     let top = JsonField::object(&value, "the answer")?;
     let entries = top.field("kvs").list()?.into_iter().filter_map(|kv| entry(kv, etcd)).collect();
     let revision = number(top.field("header").field("revision"))?;
-    host.feed(Input::EndpointList(EndpointList { revision, kind: EndpointListKind::Full, entries }));
-    Ok(revision)
+    Ok(EndpointList { revision, kind: EndpointListKind::Full, entries })
 }
 
 /// 64-bit numbers are texts in the gateway's JSON.
-fn number(look: JsonField) -> Result<u64, String> {
-    match look.text() {
+fn number(field: JsonField) -> Result<u64, MessageError> {
+    match field.text() {
         Ok("") => Ok(0),
-        Ok(digits) => digits.parse().map_err(|_| format!("'{digits}' is not a revision")),
-        Err(_) => Ok(look.integer()?),
+        Ok(digits) => digits.parse().map_err(|_| MessageError::BadRevision(digits.to_owned())),
+        Err(_) => Ok(field.integer()?),
     }
 }
 
 /// A key's box; one that can't be read is passed over, for the others' sake.
 fn entry(kv: JsonField, etcd: &Etcd) -> Option<EndpointRecord> {
-    let read = || {
-        let decode = |name| STANDARD.decode(kv.field(name).text()?).map_err(|e| format!("{name}: {e}"));
-        let (key, mut value) = (decode("key")?, decode("value")?);
-        let id = id_of(&key, etcd)?;
-        let entry = json::parse(&mut value)?;
-        let member = endpoint_list::read_record(JsonField::object(&entry, "a box's entry")?)?;
-        if member.id == id {
-            Ok(member)
-        } else {
-            Err(format!("key {id} holds the entry of {}", member.id))
-        }
-    };
-    read().map_err(|fault: String| warn!(why = %fault, "etcd: an entry is passed over")).ok()
+    read_entry(kv, etcd).map_err(|error| warn!(why = %error, "etcd: an entry is passed over")).ok()
+}
+
+fn read_entry(kv: JsonField, etcd: &Etcd) -> Result<EndpointRecord, MessageError> {
+    let (key, mut value) = (decode(kv, "key")?, decode(kv, "value")?);
+    let id = id_of(&key, etcd)?;
+    let entry = json::parse(&mut value)?;
+    let record = endpoint_list::read_record(JsonField::object(&entry, "a box's entry")?)?;
+    if record.id == id {
+        Ok(record)
+    } else {
+        Err(MessageError::WrongEntry { key: id, entry: record.id })
+    }
+}
+
+fn decode(kv: JsonField, field: &'static str) -> Result<Vec<u8>, MessageError> {
+    let text = kv.field(field).text()?;
+    STANDARD.decode(text).map_err(|source| MessageError::BadBase64 { field, source })
 }
 
-fn id_of(key: &[u8], etcd: &Etcd) -> Result<String, String> {
+fn id_of(key: &[u8], etcd: &Etcd) -> Result<String, MessageError> {
     let id = std::str::from_utf8(key).ok().and_then(|key| key.strip_prefix(&etcd.prefix));
-    id.filter(|id| !id.is_empty()).map(String::from).ok_or("a key that names no box".into())
+    id.filter(|id| !id.is_empty()).map(String::from).ok_or(MessageError::BadKey)
 }
 
 fn removed(kv: JsonField, etcd: &Etcd) -> Option<EndpointRecord> {
