--- a/crates/core/src/gossip/reports.rs
+++ b/crates/core/src/gossip/reports.rs
@@ -1,7 +1,7 @@
 //! What this initiator reports to its peers: what it observes of endpoints, what it sent to those in slow start and what it is
 //! asked for.
 
-use super::totals::{Contribution, EndpointUsage, VolumeDemand, MILLIUNITS};
+use super::totals::{Contribution, EndpointUsage, VolumeDemand, MILLI_UNITS};
 use super::{GossipState, KnownEndpoint, KnownEndpoints};
 use crate::choice::Scheduler;
 use crate::interface::{Readiness, SharedRules};
@@ -17,9 +17,9 @@
         scheduler: &Scheduler,
     ) -> Vec<Report> {
         let mut own = self.observations(now, known, scheduler);
-        for usage in self.usage(now, known, scheduler).into_iter().filter(|usage| usage.milliunits > 0) {
+        for usage in self.usage(now, known, scheduler).into_iter().filter(|usage| usage.milli_units > 0) {
             own.push({
-                let claim = Claim::SlowStartUnits { endpoint: usage.id, milli_units: usage.milliunits };
+                let claim = Claim::SlowStartUnits { endpoint: usage.id, milli_units: usage.milli_units };
                 self.observe(claim, usage.start_ms, now)
             });
         }
@@ -59,8 +59,8 @@
                 continue;
             }
             let units = scheduler.spent(endpoint.endpoint, rules.overload_window, now);
-            let milliunits = (units * MILLIUNITS).ceil() as u64;
-            usage.push(EndpointUsage { id: (*id).to_owned(), start_ms: endpoint.start_ms(), milliunits });
+            let milli_units = (units * MILLI_UNITS).ceil() as u64;
+            usage.push(EndpointUsage { id: (*id).to_owned(), start_ms: endpoint.start_ms(), milli_units });
         }
         usage
     }
@@ -140,5 +140,5 @@
 /// What this process is asked for, by volume.
 fn demands(now: Duration, scheduler: &Scheduler) -> impl Iterator<Item = VolumeDemand> + '_ {
     let demands = scheduler.demands(now);
-    demands.map(|(volume, rate)| VolumeDemand { volume, rate: (rate * MILLIUNITS) as u64 })
+    demands.map(|(volume, rate)| VolumeDemand { volume, rate: (rate * MILLI_UNITS) as u64 })
 }
--- a/crates/core/src/gossip/totals.rs
+++ b/crates/core/src/gossip/totals.rs
@@ -7,15 +7,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Milliunits in a unit. Amounts travel as whole milliunits.
-pub(super) const MILLIUNITS: f64 = 1000.0;
+/// Milli-units in a unit. Amounts travel as whole milli-units.
+pub(super) const MILLI_UNITS: f64 = 1000.0;
 
 /// What is asked of a volume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VolumeDemand {
     /// The volume.
     pub volume: VolumeId,
-    /// Milliunits a second.
+    /// Milli-units a second.
     pub rate: u64,
 }
 
@@ -26,8 +26,8 @@
     pub id: String,
     /// Its start, in milliseconds of Unix time as listed.
     pub start_ms: u64,
-    /// Milliunits.
-    pub milliunits: u64,
+    /// Milli-units.
+    pub milli_units: u64,
 }
 
 /// What this process adds to the sums over all initiators.
@@ -57,10 +57,10 @@
     pub spent: Vec<Aged<EndpointUsage>>,
 }
 
-/// A sum in milliunits, or milliunits a second, and when its oldest part was seen.
+/// A sum in milli-units, or milli-units a second, and when its oldest part was seen.
 #[derive(Clone, Copy, Debug)]
 struct Sum {
-    milliunits: u64,
+    milli_units: u64,
     seen_at: Duration,
 }
 
@@ -74,13 +74,13 @@
 
 impl PeerSums {
     pub(super) fn new(now: Duration, totals: PeerTotals) -> Self {
-        let sum = |milliunits, age| Sum { milliunits, seen_at: now.saturating_sub(age) };
+        let sum = |milli_units, age| Sum { milli_units, seen_at: now.saturating_sub(age) };
         let demand = totals.demand.into_iter();
         let spent = totals.spent.into_iter();
         PeerSums {
             demand: demand.map(|total| (total.value.volume, sum(total.value.rate, total.age))).collect(),
             spent: spent
-                .map(|Aged { value, age }| ((value.id, value.start_ms), sum(value.milliunits, age)))
+                .map(|Aged { value, age }| ((value.id, value.start_ms), sum(value.milli_units, age)))
                 .collect(),
         }
     }
@@ -112,8 +112,8 @@
             let start_ms = endpoint.start_ms();
             let reported = reported_slow_start_units(&self.reported, id, start_ms, window, now);
             let summed = self.sums.spent.get(&(id.to_owned(), start_ms));
-            let summed = summed.filter(|sum| now < sum.seen_at + window).map_or(0, |sum| sum.milliunits);
-            Some((endpoint.endpoint, reported.saturating_add(summed) as f64 / MILLIUNITS))
+            let summed = summed.filter(|sum| now < sum.seen_at + window).map_or(0, |sum| sum.milli_units);
+            Some((endpoint.endpoint, reported.saturating_add(summed) as f64 / MILLI_UNITS))
         });
         units.filter(|(_, units)| *units > 0.0).collect()
     }
@@ -127,17 +127,17 @@
         let volumes: BTreeSet<VolumeId> = reported.chain(self.sums.demand.keys().copied()).collect();
         let demand = volumes.into_iter().filter_map(|volume| {
             let (rate, age) = self.volume_demand(volume, now)?;
-            Some((volume, rate as f64 / MILLIUNITS, now.saturating_sub(age)))
+            Some((volume, rate as f64 / MILLI_UNITS, now.saturating_sub(age)))
         });
         demand.collect()
     }
 
-    /// Milliunits a second, and the age of the oldest part; `None`: nothing recent is known.
+    /// Milli-units a second, and the age of the oldest part; `None`: nothing recent is known.
     fn volume_demand(&self, volume: VolumeId, now: Duration) -> Option<(u64, Duration)> {
         let reported = reported_demand(&self.reported, volume, &self.me, now);
         let reported = reported.map(|demand| (demand.milli_units_per_second, demand.age));
         let summed = self.sums.demand.get(&volume).filter(|sum| now <= sum.seen_at + DEMAND_LIFETIME);
-        let summed = summed.map(|sum| (sum.milliunits, now.saturating_sub(sum.seen_at)));
+        let summed = summed.map(|sum| (sum.milli_units, now.saturating_sub(sum.seen_at)));
         match (reported, summed) {
             (Some((reported, reported_age)), Some((summed, summed_age))) => {
                 Some((reported.saturating_add(summed), reported_age.max(summed_age)))
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -271,7 +271,7 @@
             demand.into_iter().map(|demand| (Key::Demand(demand.volume), demand.rate)).collect();
         for usage in spent {
             let key = box_key(&usage.id, usage.start_ms);
-            amounts.push((Key::SlowStartSpend(key), usage.milliunits));
+            amounts.push((Key::SlowStartSpend(key), usage.milli_units));
             cold.insert(key, (usage.id, usage.start_ms));
         }
         *self.0.cold.borrow_mut() = cold;
@@ -290,7 +290,7 @@
                 Key::SlowStartSpend(key) => {
                     let Some((id, start_ms)) = cold.get(&key) else { continue };
                     let (id, start_ms) = (id.clone(), *start_ms);
-                    all.spent.push(Aged { value: EndpointUsage { id, start_ms, milliunits: others }, age });
+                    all.spent.push(Aged { value: EndpointUsage { id, start_ms, milli_units: others }, age });
                 }
             }
         }
