--- a/crates/core/src/broker/input.rs
+++ b/crates/core/src/broker/input.rs
@@ -2,7 +2,7 @@
 
 use super::snapshot::CoreSnapshot;
 use crate::endpoint_list::EndpointList;
-use crate::gossip::Totals;
+use crate::gossip::PeerTotals;
 use crate::interface::{RequestId, Settings, VolumeId};
 use crate::outcome::TransportOutcome;
 use bytes::Bytes;
@@ -65,8 +65,8 @@
 }
 
 impl AttemptResult {
-    /// An end without a response.
-    pub fn none(transport: TransportOutcome) -> Self {
+    /// An attempt that ended without a response.
+    pub fn without_response(transport: TransportOutcome) -> Self {
         let body = Bytes::new();
         AttemptResult { transport, body, volume_usage: None, units_elsewhere: 0.0, body_consumed: false }
     }
@@ -157,7 +157,7 @@
     /// Reports that were new among the peers, checked by whoever brings them.
     GossipMerged(Vec<Report>),
     /// The sums over all other initiators.
-    PeerTotals(Totals),
+    PeerTotals(PeerTotals),
     /// The timer that [`Effect::SetTimer`](super::Effect::SetTimer) set has fired.
     TimerFired,
 }
