--- a/crates/core/src/broker/peers.rs
+++ b/crates/core/src/broker/peers.rs
@@ -35,9 +35,9 @@
     ) {
         step.review_due = true;
         let Some(peers) = &mut self.peers else { return };
-        let unsound = peers.hear(step.now, round_trip, &from, reports).invalid;
-        if unsound > 0 {
-            step.log(OperatorEvent::PeerReportsRejected { from: from.name, unsound });
+        let invalid = peers.hear(step.now, round_trip, &from, reports).invalid;
+        if invalid > 0 {
+            step.log(OperatorEvent::PeerReportsRejected { from: from.name, invalid });
         }
     }
 
--- a/crates/core/src/operator_event.rs
+++ b/crates/core/src/operator_event.rs
@@ -69,7 +69,7 @@
         /// The peer's name.
         from: String,
         /// How many were out of range, or first-hand in another's name.
-        unsound: usize,
+        invalid: usize,
     },
     /// A line of the scheduler's.
     SchedulerMessage(String),
--- a/crates/lab/src/hollow/process.rs
+++ b/crates/lab/src/hollow/process.rs
@@ -110,10 +110,10 @@
     if line.contains(" list ") && field(line, "standing") == Some("Draining") {
         return of("id").map(What::Listed);
     }
-    if line.contains(" a peer is there ") {
+    if line.contains(" a peer is up ") {
         return of("name").map(What::Up);
     }
-    if line.contains(" a peer is gone ") {
+    if line.contains(" a peer is down ") {
         return of("name").map(What::Down);
     }
     None
--- a/crates/membership/src/frame.rs
+++ b/crates/membership/src/frame.rs
@@ -53,10 +53,10 @@
         length: u32,
     },
     /// It ended early: the connection was closed or cut.
-    #[error("cut short")]
+    #[error("truncated")]
     Truncated,
     /// Its checksum is another one: it was altered on the way.
-    #[error("the sum does not fit")]
+    #[error("checksum mismatch")]
     ChecksumMismatch,
     /// Its message cannot be decoded: the other side is broken or no initiator.
     #[error("unreadable")]
--- a/src/app/serve_nbd.rs
+++ b/src/app/serve_nbd.rs
@@ -39,7 +39,7 @@
         Some((settings, observer)) => {
             let started = Peers::start(host.clone(), settings, observer).await;
             let peers = started.map_err(|source| Error::Peers { address: settings.listen, source })?;
-            peers.configured(operator.version).await;
+            peers.set_configuration_version(operator.version).await;
             Some(peers)
         }
         None => None,
@@ -106,7 +106,7 @@
             self.host.feed(Input::EndpointList(list));
         }
         if let Some(peers) = self.peers.clone() {
-            actix_rt::spawn(async move { peers.configured(new.version).await });
+            actix_rt::spawn(async move { peers.set_configuration_version(new.version).await });
         }
         self.list_source.change(&self.host, new.etcd);
     }
--- a/src/runtime/log.rs
+++ b/src/runtime/log.rs
@@ -130,8 +130,8 @@
             let started_ago_ms = started_ago.map(|ago| ago.as_millis() as u64);
             info!(id, stopped, held, started_ago_ms, "advice on a box");
         }
-        OperatorEvent::PeerReportsRejected { from, unsound } => {
-            warn!(from, unsound, "a peer told what can't be taken")
+        OperatorEvent::PeerReportsRejected { from, invalid } => {
+            warn!(from, invalid, "a peer sent invalid reports")
         }
         OperatorEvent::SchedulerMessage(line) => debug!("{line}"),
     }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -75,7 +75,7 @@
             })
         };
         a.feed(news("s-1", Readiness::Removed));
-        let (_b, b_peers, took) = initiator("b", &[a_peers.at()], boxes()).await;
+        let (_b, b_peers, took) = initiator("b", &[a_peers.address()], boxes()).await;
         assert!(took < Duration::from_secs(1), "{took:?}");
         let told = |id: &str| log.lines(&format!("advice on a box id=\"{id}\" stopped=true")).len();
         assert_eq!((told("s-1"), told("s-2")), (1, 0), "known before clients come");
@@ -97,12 +97,12 @@
         let (first, first_peers, _) = initiator("n0", &[], boxes()).await;
         let mut all = vec![(first, first_peers)];
         for n in 1..6 {
-            let (host, peers, _) = initiator(&format!("n{n}"), &[all[0].1.at()], boxes()).await;
+            let (host, peers, _) = initiator(&format!("n{n}"), &[all[0].1.address()], boxes()).await;
             all.push((host, peers));
         }
         until(|| all.iter().all(|(_, peers)| peers.names().len() == 5)).await;
         let shown = || async {
-            let text = status(all[3].1.at()).await.unwrap();
+            let text = status(all[3].1.address()).await.unwrap();
             serde_json::from_str::<serde_json::Value>(&text).unwrap()
         };
         while shown().await["of_the_release_before"] != serde_json::json!([]) {
@@ -125,7 +125,7 @@
         until(|| all.iter().all(|(host, _)| knows(host))).await;
         assert!(said.elapsed() < Duration::from_secs(3), "{:?}", said.elapsed());
         for (_, peers) in &all[..5] {
-            peers.configured(Some(12)).await;
+            peers.set_configuration_version(Some(12)).await;
         }
         while shown().await["configuration"]["have"] != 5 {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -137,7 +137,7 @@
             (&seen["configuration"]["version"], &seen["configuration"]["everywhere"]),
             (&12.into(), &false.into())
         );
-        all[5].1.configured(Some(12)).await;
+        all[5].1.set_configuration_version(Some(12)).await;
         until(|| log.lines("the configuration is in force everywhere version=12 initiators=6").len() == 6)
             .await;
     });
@@ -165,9 +165,9 @@
             (b"HTTP/1.1 400 Bad Request\r\n\r\n".to_vec(), "not a peer's frame"),
             (with(4, &[0, 9]), "version 9, where this program speaks 1"),
             (with(6, &[0x7f; 4]), "2139062143 bytes, where 65536 are the most"),
-            (good[..good.len() - 3].to_vec(), "cut short"),
-            (with(12, &[1, 2]), "the sum does not fit"),
-            (Vec::new(), "silent for 300 ms"),
+            (good[..good.len() - 3].to_vec(), "truncated"),
+            (with(12, &[1, 2]), "checksum mismatch"),
+            (Vec::new(), "no answer within 300 ms"),
         ];
         let mut bad = Vec::new();
         for (bytes, _) in answers.clone() {
@@ -199,7 +199,7 @@
         assert!(log.lines("advice on").is_empty() && host.is_ready());
         // The same from those that ask.
         for (bytes, why) in answers {
-            let mut stream = TcpStream::connect(peers.at()).await.unwrap();
+            let mut stream = TcpStream::connect(peers.address()).await.unwrap();
             stream.write_all(&bytes).await.unwrap();
             if !bytes.is_empty() {
                 stream.shutdown().await.unwrap();
@@ -211,7 +211,7 @@
         }
         assert!(log.lines("advice on").is_empty());
         // A whole frame is answered, and believed.
-        let mut stream = TcpStream::connect(peers.at()).await.unwrap();
+        let mut stream = TcpStream::connect(peers.address()).await.unwrap();
         stream.write_all(&good).await.unwrap();
         let mut back = Vec::new();
         stream.read_to_end(&mut back).await.unwrap();
@@ -226,9 +226,9 @@
         let (log, _guard) = Kept::start(Form::Text, LevelFilter::INFO);
         let boxes = || vec![member("s-1", Readiness::Ready)];
         let (_a, a, _) = initiator("a", &[], boxes()).await;
-        let (_b, b, _) = initiator("a", &[a.at()], boxes()).await;
+        let (_b, b, _) = initiator("a", &[a.address()], boxes()).await;
         until(|| a.names() == ["a"] && b.names() == ["a"]).await;
-        let told = || log.lines("two processes have one name among the peers").len();
+        let told = || log.lines("two peers have the same name").len();
         until(|| told() == 2).await;
         tokio::time::sleep(Duration::from_millis(1500)).await;
         assert_eq!(told(), 2, "each of them once");
@@ -333,24 +333,24 @@
         for process in [&mut a, &mut b, &mut c] {
             let _ = process.place().await;
         }
-        c.says("a peer is there").await;
-        c.says("a peer is there").await;
+        c.says("a peer is up").await;
+        c.says("a peer is up").await;
         signal(&c, "-STOP");
-        b.says(r#"a peer is gone name="c""#).await;
+        b.says(r#"a peer is down name="c""#).await;
         gone.set(true);
         let told = b.says("advice on a box").await;
         assert!(told.contains(r#"id="s-1" stopped=true"#), "{told}");
         signal(&c, "-CONT");
         let told = c.says("advice on a box").await;
         assert!(told.contains(r#"id="s-1" stopped=true"#), "{told}");
-        b.says(r#"a peer is there name="c""#).await;
+        b.says(r#"a peer is up name="c""#).await;
         // One that is killed is gone, and its next life is somebody else at its place.
         signal(&c, "-KILL");
-        b.says(r#"a peer is gone name="c""#).await;
+        b.says(r#"a peer is down name="c""#).await;
         drop(c);
         let mut c = Process::start("stood-c.json", &file(boxes, None, peers("c", at_c)));
         c.says("advice on a box").await;
-        b.says(r#"a peer is there name="c""#).await;
+        b.says(r#"a peer is up name="c""#).await;
     });
 }
 
@@ -376,7 +376,7 @@
         running.says(r#"list id="s-1" standing=Removed"#).await;
         let mut first = Process::start("peers-b.json", &stale);
         let _ = first.place().await;
-        first.says("a peer is there").await;
+        first.says("a peer is up").await;
         first.0.kill().unwrap();
         drop(first);
         let tried = stands.seen.borrow().len();
@@ -387,8 +387,8 @@
         assert_eq!(read(front, 6).await, 0, "{cold} of 8 failed without a peer");
         assert_eq!(stands.seen.borrow().len(), tried, "nothing goes to a box that is gone");
         // A planned stop is told.
-        running.says("a peer is there").await;
+        running.says("a peer is up").await;
         assert!(Command::new("kill").args(["-TERM", &again.0.id().to_string()]).status().unwrap().success());
-        running.says("a peer is gone").await;
+        running.says("a peer is down").await;
     });
 }
