--- a/crates/membership/tests/frame.rs
+++ b/crates/membership/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: what is whole comes back as it went, everything else has its reason.
+//! Frames: a complete one is decoded as it was encoded, any other is rejected with its reason.
 
 use proptest::prelude::*;
 use shaletack_membership::frame::{
@@ -11,8 +11,8 @@
     Observer { name: "a".into(), incarnation: 9 }
 }
 
-fn facts(count: usize) -> Vec<Report> {
-    let fact = |i: usize| Report {
+fn reports(count: usize) -> Vec<Report> {
+    let report = |i: usize| Report {
         claim: Claim::Health {
             endpoint: format!("s-{i:08x}"),
             health: [EndpointHealth::Healthy, EndpointHealth::Failing][usize::from(i.is_multiple_of(2))],
@@ -22,19 +22,19 @@
         hops: 0,
         age: Duration::from_millis(i as u64),
     };
-    (0..count).map(fact).collect()
+    (0..count).map(report).collect()
 }
 
 fn frame(count: usize) -> Vec<u8> {
-    encode(&me(), Duration::from_millis(3), facts(count))
+    encode(&me(), Duration::from_millis(3), reports(count))
 }
 
 #[test]
-fn a_frame_comes_back_as_it_went_and_leaves_out_the_last_where_not_all_fits() {
+fn a_frame_is_decoded_as_it_was_encoded_and_leaves_out_the_last_reports_where_not_all_fit() {
     let message = decode(&frame(100)).unwrap();
     assert_eq!(
         (message.from, message.round_trip, message.reports),
-        (me(), Duration::from_millis(3), facts(100))
+        (me(), Duration::from_millis(3), reports(100))
     );
     let large = frame(50_000);
     assert!(
@@ -43,31 +43,30 @@
         large.len()
     );
     let kept = decode(&large).unwrap().reports;
-    assert!(kept.len() > 1000 && kept[..] == facts(50_000)[..kept.len()]);
+    assert!(kept.len() > 1000 && kept[..] == reports(50_000)[..kept.len()]);
 }
 
-/// The release before reads these very bytes: what goes over TCP is of its form, and an answer's mark is a round trip to
-/// it, of no time.
+/// The release before reads these very bytes: to it, the mark of an answer is a round trip of no time.
 #[test]
-fn a_frame_is_of_the_form_of_the_release_before() {
-    let fact = Report {
+fn a_frame_has_the_bytes_that_the_release_before_reads() {
+    let report = Report {
         claim: Claim::Health { endpoint: "s-1".into(), health: EndpointHealth::Failing },
         observer: me(),
         endpoint_incarnation: 300,
         hops: 1,
         age: Duration::from_millis(1500),
     };
-    let bytes = encode(&me(), GOSSIP_CAPABLE, vec![fact]);
+    let bytes = encode(&me(), GOSSIP_CAPABLE, vec![report]);
     let head = [b'S', b'T', b'P', b'X', 0, 1, 0, 0, 0, 24];
     assert_eq!(bytes[..10], head);
-    // Name and life; seconds and nanoseconds; one fact: its kind, box and word, its observer, start, hops and age.
+    // Name and incarnation; seconds and nanoseconds; one report: its claim, observer, endpoint incarnation, hops and age.
     let message =
         [1, b'a', 9, 0, 1, 1, 1, 3, b's', b'-', b'1', 1, 1, b'a', 9, 172, 2, 1, 1, 128, 202, 181, 238, 1];
     assert_eq!(bytes[HEADER_BYTES..], message);
 }
 
 #[test]
-fn what_is_no_whole_frame_of_this_version_is_refused_with_its_reason() {
+fn what_is_no_complete_frame_of_this_version_is_rejected_with_its_reason() {
     let good = frame(3);
     let with = |at: usize, bytes: &[u8]| {
         let mut frame = good.clone();
@@ -82,7 +81,7 @@
     assert_eq!(decode(&good[..HEADER_BYTES - 1]).unwrap_err(), FrameError::Truncated);
     assert_eq!(decode(&good[..good.len() - 1]).unwrap_err(), FrameError::Truncated);
     assert_eq!(decode(&[&good[..], &[0]].concat()).unwrap_err(), FrameError::ChecksumMismatch);
-    // A right sum over what is no message.
+    // A matching checksum over what is no message.
     let mut empty = good[..HEADER_BYTES].to_vec();
     empty[6..14].fill(0);
     assert_eq!(decode(&empty).unwrap_err(), FrameError::Malformed);
@@ -92,7 +91,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(512) })]
 
     #[test]
-    fn no_bytes_are_taken_that_were_not_sent(
+    fn no_altered_bytes_are_accepted(
         noise in prop::collection::vec(any::<u8>(), 0..300),
         at in 0usize..200,
         flip in 1u8..=255,
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Members over a network in virtual time, which may lose, delay and part.
+//! Members over a network in virtual time, which may lose and delay datagrams and be partitioned.
 
 use shaletack_membership::{Effect, Input, Member, Membership, MAX_DATAGRAM_BYTES};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,12 +8,12 @@
 const MS: Duration = Duration::from_millis(1);
 const S: Duration = Duration::from_secs(1);
 
-fn at(port: u16) -> SocketAddr {
+fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn peer(name: &str, port: u16, epoch: u64) -> Member {
-    Member { name: name.into(), incarnation: u64::from(port) + epoch, epoch, address: at(port) }
+fn member(name: &str, port: u16, epoch: u64) -> Member {
+    Member { name: name.into(), incarnation: u64::from(port) + epoch, epoch, address: address(port) }
 }
 
 #[derive(Default)]
@@ -21,22 +21,22 @@
     now: Duration,
     nodes: BTreeMap<u16, (Membership, Option<Duration>)>,
     /// By when, to whom.
-    flying: BTreeMap<(Duration, usize), (u16, bytes::Bytes)>,
+    in_flight: BTreeMap<(Duration, usize), (u16, bytes::Bytes)>,
     sent: usize,
     /// Groups that hear only themselves.
-    parted: Vec<BTreeSet<u16>>,
+    partitions: Vec<BTreeSet<u16>>,
     news: Vec<(Duration, u16, Effect)>,
-    /// Of a thousand datagrams so many are lost.
-    lost: u64,
-    /// One way.
-    way: Duration,
-    drawn: u64,
+    /// Of a thousand datagrams this many are lost.
+    loss_per_thousand: u64,
+    /// How long a datagram is under way.
+    one_way_delay: Duration,
+    random_state: u64,
 }
 
 impl Net {
     fn start(&mut self, me: Member, seeds: &[u16]) {
         let port = me.address.port();
-        let seeds = seeds.iter().map(|p| at(*p)).collect();
+        let seeds = seeds.iter().map(|p| address(*p)).collect();
         self.nodes.insert(port, (Membership::new(me, seeds, u64::from(port)), Some(self.now)));
     }
 
@@ -51,12 +51,12 @@
                     let together =
                         |group: &BTreeSet<u16>| group.contains(&port) && group.contains(&to.port());
                     // A linear congruence: the same losses on each run.
-                    self.drawn =
-                        self.drawn.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-                    let lost = (self.drawn >> 33) % 1000 < self.lost;
-                    if !lost && (self.parted.is_empty() || self.parted.iter().any(together)) {
-                        let way = self.way.max(2 * MS);
-                        self.flying.insert((self.now + way, self.sent), (to.port(), bytes));
+                    self.random_state =
+                        self.random_state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+                    let is_lost = (self.random_state >> 33) % 1000 < self.loss_per_thousand;
+                    if !is_lost && (self.partitions.is_empty() || self.partitions.iter().any(together)) {
+                        let one_way_delay = self.one_way_delay.max(2 * MS);
+                        self.in_flight.insert((self.now + one_way_delay, self.sent), (to.port(), bytes));
                     }
                 }
                 Effect::SetTimer(at) => *wake = Some(at),
@@ -69,7 +69,7 @@
         let until = self.now + span;
         while self.now < until {
             self.now += MS;
-            while let Some(entry) = self.flying.first_entry().filter(|e| e.key().0 <= self.now) {
+            while let Some(entry) = self.in_flight.first_entry().filter(|e| e.key().0 <= self.now) {
                 let (port, bytes) = entry.remove();
                 self.step(port, Input::DatagramReceived(bytes));
             }
@@ -87,35 +87,35 @@
 
     fn four() -> Self {
         let mut net = Net::default();
-        net.start(peer("a", 1, 1), &[2]);
-        net.start(peer("b", 2, 1), &[1]);
-        net.start(peer("c", 3, 1), &[2]);
-        net.start(peer("d", 4, 1), &[3]);
+        net.start(member("a", 1, 1), &[2]);
+        net.start(member("b", 2, 1), &[1]);
+        net.start(member("c", 3, 1), &[2]);
+        net.start(member("d", 4, 1), &[3]);
         net.pass(5 * S);
         net
     }
 }
 
 #[test]
-fn all_are_joined_through_any_one_listed_peer_be_it_there_later() {
+fn any_one_listed_member_joins_all_even_when_it_starts_later() {
     let net = Net::four();
     assert_eq!(net.sees(1), ["b", "c", "d"]);
     assert_eq!(net.sees(4), ["a", "b", "c"]);
     let mut late = Net::default();
-    late.start(peer("a", 1, 1), &[2]);
+    late.start(member("a", 1, 1), &[2]);
     late.pass(10 * S);
     assert!(late.sees(1).is_empty());
-    late.start(peer("b", 2, 1), &[]);
+    late.start(member("b", 2, 1), &[]);
     late.pass(3 * S);
     assert_eq!((late.sees(1), late.sees(2)), (vec!["b".to_owned()], vec!["a".to_owned()]));
 }
 
 #[test]
-fn a_dead_member_is_noticed_in_seconds_and_one_that_stumbles_is_not_taken_for_dead() {
+fn a_dead_member_is_down_within_seconds_and_a_short_silence_is_not() {
     let mut net = Net::four();
-    net.parted = vec![BTreeSet::from([1, 2, 3])];
+    net.partitions = vec![BTreeSet::from([1, 2, 3])];
     net.pass(1500 * MS);
-    net.parted.clear();
+    net.partitions.clear();
     net.pass(10 * S);
     let downs = net.news.iter().filter(|n| matches!(n.2, Effect::MemberDown(_))).count();
     assert_eq!(downs, 0, "a silence of 1.5 s is suspicion at most");
@@ -127,21 +127,21 @@
     assert!(noticed - died < 10 * S && noticed - died >= 3 * S, "after {:?}", noticed - died);
 }
 
-/// A twentieth of all datagrams is lost and ways are long: nobody who lives is taken for dead, and who is killed is
-/// known to be dead by all within 10 s.
+/// A twentieth of all datagrams is lost and delays are long: no live member is declared down, and one that is killed is
+/// down at all others within 10 s.
 #[test]
-fn of_many_over_a_network_that_loses_nobody_alive_is_taken_for_dead() {
+fn over_a_network_that_loses_datagrams_no_live_member_is_declared_down() {
     const ALL: u16 = 150;
-    let mut net = Net { lost: 50, way: 30 * MS, ..Net::default() };
+    let mut net = Net { loss_per_thousand: 50, one_way_delay: 30 * MS, ..Net::default() };
     for port in 1..=ALL {
-        net.start(peer(&format!("n{port}"), port, 1), &[1, 2]);
+        net.start(member(&format!("n{port}"), port, 1), &[1, 2]);
     }
     net.pass(25 * S);
     assert!((1..=ALL).all(|port| net.sees(port).len() == usize::from(ALL) - 1), "all have met");
     net.news.clear();
     net.pass(90 * S);
     let downs = net.news.iter().filter(|n| matches!(n.2, Effect::MemberDown(_))).count();
-    assert_eq!(downs, 0, "taken for dead, over {ALL} members' views in 90 s");
+    assert_eq!(downs, 0, "declared down, over {ALL} members' views in 90 s");
     let died = net.now;
     net.nodes.remove(&ALL);
     net.pass(10 * S);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_planned_stop_is_known_at_once() {
+fn a_graceful_leave_is_known_at_once() {
     let mut net = Net::four();
     let left = net.now;
     net.step(4, Input::Leave);
@@ -163,35 +163,35 @@
 }
 
 #[test]
-fn a_restart_at_the_same_address_takes_the_dead_ones_place_without_waiting() {
+fn a_restart_at_the_same_address_replaces_the_dead_member_without_waiting() {
     let mut net = Net::four();
-    net.start(peer("d", 4, 2), &[3]);
+    net.start(member("d", 4, 2), &[3]);
     net.pass(2 * S);
     assert_eq!(net.sees(4), ["a", "b", "c"]);
     assert_eq!(net.sees(1), ["b", "c", "d"]);
-    let life = net.nodes[&1].0.others().find(|p| p.name == "d").unwrap().epoch;
-    assert_eq!(life, 2);
+    let epoch = net.nodes[&1].0.others().find(|p| p.name == "d").unwrap().epoch;
+    assert_eq!(epoch, 2);
     // One whose clock was set back comes in as well, later.
-    net.start(peer("d", 4, 0), &[3]);
+    net.start(member("d", 4, 0), &[3]);
     net.pass(30 * S);
     assert_eq!((net.sees(4).len(), net.sees(1).len()), (3, 3));
 }
 
 #[test]
-fn a_partition_that_heals_joins_both_sides_again() {
+fn a_healed_partition_joins_both_sides_again() {
     let mut net = Net::four();
-    net.parted = vec![BTreeSet::from([1, 2]), BTreeSet::from([3, 4])];
+    net.partitions = vec![BTreeSet::from([1, 2]), BTreeSet::from([3, 4])];
     net.pass(15 * S);
     assert_eq!((net.sees(1), net.sees(4)), (vec!["b".to_owned()], vec!["c".to_owned()]));
-    net.parted.clear();
+    net.partitions.clear();
     net.pass(25 * S);
     assert_eq!((net.sees(1).len(), net.sees(2).len(), net.sees(3).len(), net.sees(4).len()), (3, 3, 3, 3));
 }
 
 #[test]
-fn two_processes_of_one_name_are_told_of() {
+fn two_processes_of_one_name_are_reported() {
     let mut net = Net::four();
-    net.start(peer("b", 5, 1), &[1]);
+    net.start(member("b", 5, 1), &[1]);
     net.pass(3 * S);
     let told: BTreeSet<u16> = net
         .news
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn noise_and_other_versions_are_refused_and_change_nothing() {
+fn noise_and_other_versions_are_rejected_and_change_nothing() {
     let mut net = Net::four();
     net.news.clear();
     for bytes in
