--- a/crates/core/src/broker/gossip.rs
+++ b/crates/core/src/broker/gossip.rs
@@ -35,9 +35,9 @@
     ) {
         step.review_due = true;
         let Some(gossip) = &mut self.gossip else { return };
-        let unsound = gossip.merge_exchange(step.now, round_trip, &from, reports).invalid;
-        if unsound > 0 {
-            step.log(OperatorEvent::PeerReportsRejected { from: from.name, unsound });
+        let invalid = gossip.merge_exchange(step.now, round_trip, &from, reports).invalid;
+        if invalid > 0 {
+            step.log(OperatorEvent::PeerReportsRejected { from: from.name, invalid });
         }
     }
 
