--- a/crates/gossip/src/aggregation/mod.rs
+++ b/crates/gossip/src/aggregation/mod.rs
@@ -5,10 +5,10 @@
 //! owners that nobody elects:
 //!
 //! 1. Members are grouped into cells (a small region, a zone, or a slice of a large zone), and keys into shards. In each
-//!    cell each shard has one owner, found by rendezvous hashing ([`placement`]).
-//! 2. A member sends its amounts to the owners of its own cell ([`contributor`]).
+//!    cell each shard has one owner, found by rendezvous hashing (`placement`).
+//! 2. A member sends its amounts to the owners of its own cell (`contributor`).
 //! 3. An owner sends its cell's partial sums to the owners of the other cells, and answers each contribution with the totals
-//!    of its keys ([`owner`]).
+//!    of its keys (`owner`).
 //!
 //! An owner keeps one contribution for each member and one partial for each other cell. So a message that comes twice, or
 //! an owner that changes, counts nobody twice. `docs/design/GOSSIP-AGGREGATION.md` has the rules and the error bounds.
