--- a/crates/core/src/gossip.rs
+++ b/crates/core/src/gossip.rs
@@ -1,12 +1,11 @@
 //! What peers say, beside the core's own news: what of it bears on which box, and what the core tells them.
 //! There is none of this where peers are off.
 
-use crate::choice::Scheduler;
 use crate::endpoint_list::EndpointRecord;
 use crate::interface::{
     AttemptOutcome, EndedAttempt, EndpointId, Event, PeerGossip, Readiness, SharedRules, VolumeId,
 };
-
+use crate::scheduler::Scheduler;
 use shaletack_observations::{
     reported_demand, reported_slow_start_units, Advice, AttemptHistory, Claim, EndpointHealth, LocalView,
     Observation, ObservationStore, Observer, RejectedReports, Report, ReportedReadiness, Subject,
@@ -360,7 +359,7 @@
         let rules = scheduler.rules();
         let cold = boxes.iter().filter(|(id, listed)| self.cold_since(id, listed, rules, at).is_some());
         let spent = cold.map(|(id, listed)| {
-            let units = scheduler.spent(listed.node, rules.overload_window, at);
+            let units = scheduler.units_sent(listed.node, rules.overload_window, at);
             ((*id).to_owned(), listed.start(), (units * MILLI).ceil() as u64)
         });
         spent.collect()
