--- a/crates/core/src/broker/mod.rs
+++ b/crates/core/src/broker/mod.rs
@@ -23,13 +23,13 @@
 pub use input::{AttemptId, AttemptProgress, AttemptResult, IncomingRequest, Input, OperatorCommand};
 pub use snapshot::CoreSnapshot;
 
-use crate::choice::Scheduler;
 use crate::counters::{ClassCounters, Counters};
 use crate::endpoint_list::EndpointList;
 use crate::gossip::GossipState;
 use crate::interface::{Action, EndpointId, EndpointListKind, Event, Readiness, Settings};
 use crate::operator_event::OperatorEvent;
 use crate::outcome::TransportOutcome;
+use crate::scheduler::Scheduler;
 use current_settings::CurrentSettings;
 use endpoints::{Endpoints, UpdateContext};
 use requests::Requests;
@@ -200,7 +200,7 @@
     /// Carries out one decision; what comes of it at once is an event for the scheduler's next round.
     fn apply_action(&mut self, action: Action, step: &mut Step) {
         match action {
-            Action::Send { request, node, timeout } => {
+            Action::Send { request, endpoint: node, timeout } => {
                 let address = self.endpoints.address(node);
                 self.requests.start_attempt(request, node, timeout, address, step);
             }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,8 +9,8 @@
 pub mod program;
 pub mod traffic;
 
-use shaletack::choice::Scheduler;
 use shaletack::interface::*;
+use shaletack::scheduler::Scheduler;
 use std::time::Duration;
 
 pub const MS: Duration = Duration::from_millis(1);
@@ -150,7 +150,7 @@
 
     pub fn sends(&self) -> Vec<(Duration, RequestId, EndpointId)> {
         let send = |(at, a): &(Duration, Action)| match a {
-            Action::Send { request, node, .. } => Some((*at, *request, *node)),
+            Action::Send { request, endpoint: node, .. } => Some((*at, *request, *node)),
             _ => None,
         };
         self.log.iter().filter_map(send).collect()
