--- a/crates/core/src/broker/mod.rs
+++ b/crates/core/src/broker/mod.rs
@@ -23,13 +23,13 @@
 pub use input::{AttemptId, AttemptProgress, AttemptResult, IncomingRequest, Input, OperatorCommand};
 pub use snapshot::CoreSnapshot;
 
-use crate::choice::Scheduler;
 use crate::counters::{ClassCounters, Counters};
 use crate::endpoint_list::EndpointList;
 use crate::gossip::GossipState;
 use crate::interface::{Action, EndpointId, EndpointListKind, Event, Readiness, Settings};
 use crate::operator_event::OperatorEvent;
 use crate::outcome::TransportOutcome;
+use crate::scheduler::Scheduler;
 use current_settings::CurrentSettings;
 use endpoints::{Endpoints, UpdateContext};
 use requests::Requests;
--- a/crates/core/src/broker/snapshot.rs
+++ b/crates/core/src/broker/snapshot.rs
@@ -10,8 +10,8 @@
 use super::Broker;
 use crate::interface::Event;
 use crate::operator_event::OperatorEvent;
+use crate::scheduler::SchedulerSnapshot;
 use crate::start_times::StartTimes;
-use crate::state::SchedulerSnapshot;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -47,7 +47,7 @@
             revision: endpoints.revision,
             endpoints: endpoints.states,
             drained: self.drained_since.is_some(),
-            scheduler: self.scheduler.learnt(budget_share),
+            scheduler: self.scheduler.snapshot(budget_share),
             taken_at: Some(self.clock.time(now)),
             start_times: endpoints.start_times,
         }
@@ -73,7 +73,7 @@
         let list = self.endpoints.restore(restored, &context, step);
         // The scheduler has to know an endpoint before its past can be restored.
         self.scheduler.step(step.now, &[list], &mut Vec::new());
-        self.scheduler.inherit(snapshot.scheduler);
+        self.scheduler.restore(snapshot.scheduler);
         step.events.push(Event::BudgetShare(budget_share));
     }
 }
--- a/crates/core/src/endpoint_list_poll.rs
+++ b/crates/core/src/endpoint_list_poll.rs
@@ -7,7 +7,7 @@
 //! at the same instant, and each doubles its wait until there is capacity.
 
 use crate::interface::Settings;
-use crate::measure::{backoff, scramble};
+use crate::measure::{backoff, splitmix64};
 use std::time::Duration;
 
 /// A change counts as notified this long after discovery had it and could be reached, whatever became of the calls before.
@@ -138,7 +138,7 @@
     fn random_below(&mut self, span: Duration) -> Duration {
         self.drawn = self.drawn.wrapping_add(1);
         let bound = (span.as_nanos() as u64).max(1);
-        Duration::from_nanos(scramble(self.seed.wrapping_add(self.drawn)) % bound)
+        Duration::from_nanos(splitmix64(self.seed.wrapping_add(self.drawn)) % bound)
     }
 }
 
--- a/crates/core/src/gossip/reports.rs
+++ b/crates/core/src/gossip/reports.rs
@@ -3,8 +3,8 @@
 
 use super::totals::{Contribution, EndpointUsage, VolumeDemand, MILLI_UNITS};
 use super::{GossipState, KnownEndpoint, KnownEndpoints};
-use crate::choice::Scheduler;
 use crate::interface::{Readiness, SharedRules};
+use crate::scheduler::Scheduler;
 use shaletack_observations::{AttemptHistory, Claim, Observation, Report, ReportedReadiness, Subject};
 use std::time::Duration;
 
@@ -58,7 +58,7 @@
             if self.slow_start_since(id, endpoint, rules, now).is_none() {
                 continue;
             }
-            let units = scheduler.spent(endpoint.endpoint, rules.overload_window, now);
+            let units = scheduler.units_sent(endpoint.endpoint, rules.overload_window, now);
             let milli_units = (units * MILLI_UNITS).ceil() as u64;
             usage.push(EndpointUsage { id: (*id).to_owned(), start_ms: endpoint.start_ms(), milli_units });
         }
--- /dev/null
+++ b/crates/core/src/scheduler/mod.rs
@@ -0,0 +1,272 @@
+//! The scheduler of one initiator: in which order, when and where requests are sent, and which are given up.
+//!
+//! A batch of events is absorbed one by one. Then requests whose time is up are answered, the endpoint list is asked for
+//! where it must be, and one dispatch pass offers each endpoint's free slots to the queued requests. Each rule stands in a
+//! module of its own beside the state it needs; [`Scheduler`] puts them together. It reads no clock and does no I/O.
+
+mod admission;
+mod arrivals;
+mod deadlines;
+mod dispatch;
+mod endpoint_list;
+mod endpoints;
+mod gossip;
+mod health;
+mod key_order;
+mod limits;
+mod lost_attempts;
+mod outcomes;
+mod pacing;
+mod queueing;
+mod random;
+mod requests;
+mod retry_policy;
+mod slow_start;
+mod snapshot;
+mod timer;
+mod times;
+mod unit_grants;
+mod usage;
+mod volumes;
+
+pub use snapshot::SchedulerSnapshot;
+
+use crate::interface::{Action, EndpointListKind, EndpointUpdate, Event, RequestId, Settings};
+use crate::measure::from_nanos;
+use admission::{priority_factor, OverloadRatio, ShedRank};
+use deadlines::DeadlineQueue;
+use endpoint_list::EndpointListSubscription;
+use endpoints::Endpoints;
+use gossip::GossipReports;
+use key_order::KeyOrder;
+use lost_attempts::LossRate;
+use queueing::ClassQueues;
+use random::SeededRandom;
+use requests::PendingRequest;
+use retry_policy::RetryBudget;
+use slow_start::{initial_savings, SlowStart, SlowStartContext};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+use timer::Timer;
+use unit_grants::UnitPools;
+use volumes::Volumes;
+
+/// The decisions of one initiator.
+#[derive(Clone, Debug)]
+pub struct Scheduler {
+    settings: Settings,
+    random: SeededRandom,
+    now: Duration,
+    started_at: Duration,
+    /// This process's part of every budget, where another process of this initiator has the rest.
+    budget_share: f64,
+    timer: Timer,
+    endpoint_list: EndpointListSubscription,
+    requests: BTreeMap<RequestId, PendingRequest>,
+    /// The longest time that a client of each class waited.
+    longest_waits: BTreeMap<u16, Duration>,
+    deadlines: DeadlineQueue,
+    queues: ClassQueues,
+    key_order: KeyOrder,
+    volumes: Volumes,
+    unit_pools: UnitPools,
+    endpoints: Endpoints,
+    slow_start: SlowStart,
+    losses: LossRate,
+    retry_budget: RetryBudget,
+    overload: OverloadRatio,
+    gossip: GossipReports,
+    /// What is to be done about the present batch.
+    actions: Vec<Action>,
+}
+
+impl Scheduler {
+    /// A scheduler that has just started and knows nothing of an earlier run.
+    pub fn new(settings: Settings, seed: u64, now: Duration) -> Self {
+        let mut random = SeededRandom::new(seed);
+        Scheduler {
+            endpoint_list: EndpointListSubscription::new(&settings, &mut random, now),
+            slow_start: SlowStart::new(&settings),
+            settings,
+            random,
+            now,
+            started_at: now,
+            budget_share: 1.0,
+            timer: Timer::new(),
+            requests: BTreeMap::new(),
+            longest_waits: BTreeMap::new(),
+            deadlines: DeadlineQueue::default(),
+            queues: ClassQueues::default(),
+            key_order: KeyOrder::default(),
+            volumes: Volumes::new(now),
+            unit_pools: UnitPools::default(),
+            endpoints: Endpoints::default(),
+            losses: LossRate::default(),
+            retry_budget: RetryBudget::default(),
+            overload: OverloadRatio::default(),
+            gossip: GossipReports::default(),
+            actions: Vec::new(),
+        }
+    }
+
+    /// Takes what happened up to `now` and adds what is to be done about it to `actions`.
+    pub fn step(&mut self, now: Duration, events: &[Event], actions: &mut Vec<Action>) {
+        self.now = self.now.max(now);
+        self.timer.begin_batch();
+        for event in events {
+            self.absorb(event);
+        }
+        self.answer_expired();
+        self.subscribe_to_list();
+        self.resume_paused_keys();
+        self.presume_lost_attempts();
+        self.raise_virtual_times();
+        self.dispatch();
+        self.shed_load();
+        self.set_timer();
+        actions.append(&mut self.actions);
+    }
+
+    fn absorb(&mut self, event: &Event) {
+        match event {
+            Event::EndpointList { kind, lines } => self.on_endpoint_list(*kind, lines),
+            Event::Request(request) => self.on_request(request),
+            Event::ResponseStreaming(id) => self.on_response_streaming(*id),
+            Event::ResponseStarted(id) => self.free_slot(*id),
+            Event::RequestBody { request, moves } => self.on_request_body(*request, *moves),
+            Event::AttemptEnded(attempt) => self.on_attempt_ended(attempt),
+            Event::Settings(settings) => self.settings = Settings::clone(settings),
+            Event::BudgetShare(share) => self.on_budget_share(*share),
+            Event::ClientLeft(id) => self.on_client_left(*id),
+            Event::Timer => self.timer.fired(self.now, self.settings.min_batch_interval),
+            Event::PeerMessage { from, bytes } => self.on_peer_message(*from, bytes),
+            Event::Gossip(gossip) => self.on_gossip(gossip),
+            Event::HealthChecked { .. } => {}
+        }
+    }
+
+    /// What the buckets hold shrinks with this process's part; what another process gives up comes in with time.
+    fn on_budget_share(&mut self, share: f64) {
+        self.volumes.scale_tokens((share / self.budget_share).min(1.0));
+        self.budget_share = share;
+    }
+
+    fn on_endpoint_list(&mut self, kind: EndpointListKind, lines: &[EndpointUpdate]) {
+        if kind == EndpointListKind::Failed {
+            return self.endpoint_list.failed(&mut self.random, self.now);
+        }
+        self.endpoint_list.succeeded();
+        if kind != EndpointListKind::Delta {
+            self.endpoints.remove_unlisted(lines);
+        }
+        let context = self.slow_start_context();
+        for line in lines {
+            let start_id = if line.start_id > 0 { line.start_id } else { line.started_at.as_nanos() as u64 };
+            let hash = |number| self.random.hash(number);
+            let savings = initial_savings(line.endpoint, line.started_at, start_id, &context, hash);
+            self.endpoints.update(line, savings);
+        }
+        self.endpoints.index(self.now, self.settings.rules.slow_start_duration);
+        self.reschedule_retries();
+    }
+
+    /// Where a retry may go has changed: some may go nowhere any more.
+    fn reschedule_retries(&mut self) {
+        let is_retry = |pending: &PendingRequest| pending.is_queued() && !pending.attempts.is_empty();
+        let retries = self.requests.iter().filter(|(_, pending)| is_retry(pending));
+        let retries: Vec<RequestId> = retries.map(|(id, _)| *id).collect();
+        retries.into_iter().for_each(|id| self.schedule_answer(id));
+    }
+
+    fn slow_start_context(&self) -> SlowStartContext {
+        let ready_endpoints = self.endpoints.ready_count();
+        SlowStartContext::new(&self.settings, self.now, self.started_at, self.budget_share, ready_endpoints)
+    }
+
+    /// Answers what could no longer be answered before its client leaves, or not without doing it twice.
+    fn answer_expired(&mut self) {
+        for group in self.deadlines.groups() {
+            let margin = if group.in_flight {
+                0.0
+            } else {
+                self.endpoints.shortest_round_trip_nanos(group.shard, self.now) * 0.5
+            };
+            let margin = from_nanos(margin);
+            while let Some((answer_by, id)) = self.deadlines.first(group) {
+                if answer_by > self.now + margin {
+                    self.timer.wake_by(answer_by - margin);
+                    break;
+                }
+                self.answer_unserved(id);
+            }
+        }
+    }
+
+    /// Where the endpoint list comes only when asked for: subscribes, and again after each failure.
+    fn subscribe_to_list(&mut self) {
+        let Some(at) = self.endpoint_list.subscribe_at() else { return };
+        if at > self.now {
+            return self.timer.wake_by(at);
+        }
+        self.actions.push(Action::WatchEndpointList(true));
+        self.endpoint_list.subscribed();
+    }
+
+    fn resume_paused_keys(&mut self) {
+        while let Some((at, key)) = self.key_order.next_resumption() {
+            if at > self.now {
+                return self.timer.wake_by(at);
+            }
+            self.key_order.resumed(at, key);
+            self.advance_key(key);
+        }
+    }
+
+    /// Of thousands of endpoints few have something in flight: they are found by the requests.
+    fn presume_lost_attempts(&mut self) {
+        let losses_are_rare = self.losses.is_low(self.now);
+        let attempts = self.requests.values().flat_map(|pending| pending.attempts.iter());
+        let busy: BTreeSet<_> =
+            attempts.filter(|attempt| attempt.in_flight).map(|attempt| attempt.endpoint).collect();
+        for id in busy {
+            let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
+            let next = endpoint.presume_lost(self.now, losses_are_rare);
+            self.timer.wake_by(next);
+        }
+    }
+
+    fn raise_virtual_times(&mut self) {
+        if let Some(idle_since) = self.volumes.raise_virtual_times(self.now) {
+            self.unit_pools.forget_idle(idle_since);
+        }
+    }
+
+    /// Clients have so many connections: more open requests would keep out others that earn more.
+    fn shed_load(&mut self) {
+        let max = self.settings.max_open_requests;
+        let mut open = self.requests.values().filter(|pending| !pending.is_answered()).count();
+        while max > 0 && open > max {
+            let Some(id) = self.least_wanted() else { return };
+            self.answer_unserved(id);
+            open -= 1;
+        }
+    }
+
+    /// The queued request that was never sent and is the first to be given up.
+    fn least_wanted(&self) -> Option<RequestId> {
+        let is_unsent = |pending: &PendingRequest| pending.is_queued() && pending.attempts.is_empty();
+        let unsent = self.requests.iter().filter(|(_, pending)| is_unsent(pending));
+        let ranked = unsent.map(|(id, pending)| {
+            let volume = self.volumes.get(pending.request.volume);
+            let factor = priority_factor(&self.settings, pending.request.class);
+            (ShedRank::new(pending, volume, factor, self.now), *id)
+        });
+        ranked.max_by(|(a, _), (b, _)| a.compare(b)).map(|(_, id)| id)
+    }
+
+    fn set_timer(&mut self) {
+        if let Some(at) = self.timer.set(self.now) {
+            self.actions.push(Action::SetTimer(at));
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/scheduler/volumes.rs
@@ -0,0 +1,176 @@
+//! Volumes: what each has been sent for its weight (fair queueing by virtual time), its reserve, its use and its limit.
+
+use super::limits::{LimitShares, VolumeLimit, POOLED_RATIO};
+use super::times::{SECOND, SMOOTHING_TIME};
+use super::usage::VolumeUsage;
+use crate::interface::{Plan, Request, Settings, VolumeId};
+use crate::measure::TokenBucket;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// A volume that asked for nothing for so long is forgotten; its buckets are full by then.
+const IDLE_TIMEOUT: Duration = SECOND.saturating_mul(60);
+/// How often lagging virtual times are raised; the same span over which results are counted.
+const RAISE_INTERVAL: Duration = SECOND;
+/// A plan's weight is taken for at least this.
+const MIN_WEIGHT: f64 = 1e-6;
+
+/// One volume at this initiator.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub(super) struct Volume {
+    pub(super) plan: Plan,
+    /// How many initiators its requests come through.
+    #[serde(rename = "hosts")]
+    pub(super) initiators: f64,
+    /// Units sent from here over the plan's weight; the volume with the least goes first.
+    #[serde(rename = "tag")]
+    pub(super) virtual_time: f64,
+    /// How many of its requests are queued.
+    #[serde(skip)]
+    pub(super) queued: usize,
+    #[serde(flatten)]
+    pub(super) usage: VolumeUsage,
+    #[serde(flatten)]
+    pub(super) limit: VolumeLimit,
+    /// Units that the plan reserves, as far as they fall to this initiator.
+    pub(super) reserve: TokenBucket,
+}
+
+impl Volume {
+    /// The plan's weight.
+    pub(super) fn weight(&self) -> f64 {
+        self.plan.weight.max(MIN_WEIGHT)
+    }
+
+    /// The virtual time once work of this cost has been sent as well.
+    pub(super) fn virtual_time_after(&self, cost: f64) -> f64 {
+        self.virtual_time + cost / self.weight()
+    }
+
+    /// A request of this size is covered by the reserve.
+    pub(super) fn reserve_covers(&mut self, now: Duration, units: f64, max_request_units: f64) -> bool {
+        let rate = self.plan.reserve * self.usage.share(now, self.initiators);
+        rate > 0.0 && self.reserve.refill(now, rate, rate + max_request_units) >= units
+    }
+
+    /// Counts what is sent; its cost to the endpoint may be less than its units.
+    pub(super) fn record_sent(&mut self, now: Duration, units: f64, cost: f64) {
+        self.virtual_time = self.virtual_time_after(cost);
+        self.usage.sent.add(now, units, SMOOTHING_TIME);
+        self.reserve.tokens = (self.reserve.tokens - units).max(0.0);
+    }
+
+    /// This process's part of the limit, from 0 to 1, as far as it doesn't wait at the volume's home.
+    pub(super) fn own_limit_share(&self, budget_share: f64) -> f64 {
+        (1.0 - self.limit.pooled_ratio) / self.initiators * budget_share
+    }
+
+    /// How many units the limit lacks for a request of this size; zero or less where it may go.
+    pub(super) fn missing_units(
+        &mut self,
+        now: Duration,
+        units: f64,
+        budget_share: f64,
+        connection_lifetime: Duration,
+    ) -> f64 {
+        let outstanding = self.limit.outstanding_units(now, connection_lifetime);
+        if self.plan.limit <= 0.0 {
+            return 0.0;
+        }
+        let shares = LimitShares {
+            initiators: self.initiators,
+            budget_share,
+            demand_share: self.usage.share(now, self.initiators),
+            others_rate: self.usage.others_rate(now),
+            metered_total: self.usage.metered_total,
+        };
+        self.limit.missing_units(now, &self.plan, &shares, units, outstanding)
+    }
+}
+
+/// The volumes that this initiator has requests of, or had of late.
+#[derive(Clone, Debug)]
+pub(super) struct Volumes {
+    by_id: BTreeMap<VolumeId, Volume>,
+    raised_at: Duration,
+}
+
+impl Volumes {
+    pub(super) fn new(now: Duration) -> Self {
+        Volumes { by_id: BTreeMap::new(), raised_at: now }
+    }
+
+    pub(super) fn get(&self, id: VolumeId) -> Option<&Volume> {
+        self.by_id.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: VolumeId) -> Option<&mut Volume> {
+        self.by_id.get_mut(&id)
+    }
+
+    pub(super) fn contains(&self, id: VolumeId) -> bool {
+        self.by_id.contains_key(&id)
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = (VolumeId, &Volume)> {
+        self.by_id.iter().map(|(id, volume)| (*id, volume))
+    }
+
+    pub(super) fn extend(&mut self, volumes: impl IntoIterator<Item = (VolumeId, Volume)>) {
+        self.by_id.extend(volumes);
+    }
+
+    /// Keeps only this part of what the limits' buckets hold.
+    pub(super) fn scale_tokens(&mut self, part: f64) {
+        self.by_id.values_mut().for_each(|volume| volume.limit.scale_tokens(part));
+    }
+
+    /// A request of a volume came in: its demand counts, and its plan may be another by now.
+    pub(super) fn record_request(
+        &mut self,
+        request: &Request,
+        settings: &Settings,
+        started_at: Duration,
+        now: Duration,
+    ) {
+        let plan = settings.plans.get(request.plan as usize).cloned().unwrap_or_default();
+        let waiting = self.by_id.values().filter(|volume| volume.queued > 0);
+        let least_waiting = waiting.map(|volume| volume.virtual_time).fold(f64::INFINITY, f64::min);
+        let volume = self.by_id.entry(request.volume).or_insert_with(|| Volume {
+            limit: VolumeLimit::new(now, started_at),
+            reserve: TokenBucket::holding(plan.reserve + settings.max_request_units, now),
+            ..Volume::default()
+        });
+        volume.plan = plan;
+        let initiators = if request.initiators.is_finite() { request.initiators } else { 0.0 };
+        volume.initiators = volume.initiators.max(initiators).max(1.0);
+        let has_home = settings.peer_messages_allowed && volume.initiators > 1.0;
+        volume.limit.pooled_ratio = if has_home { POOLED_RATIO } else { 0.0 };
+        // Time without requests earns no advantage over volumes that wait.
+        if volume.queued == 0 && least_waiting.is_finite() {
+            volume.virtual_time = volume.virtual_time.max(least_waiting);
+        }
+        volume.usage.demand.add(now, request.units, SMOOTHING_TIME);
+    }
+
+    /// Once in a while, halves the gap of each virtual time to the largest, and forgets volumes that are idle. Returns
+    /// since when a volume has to be idle for that, where the time has come.
+    pub(super) fn raise_virtual_times(&mut self, now: Duration) -> Option<Duration> {
+        if now < self.raised_at + RAISE_INTERVAL {
+            return None;
+        }
+        self.raised_at = now;
+        let largest = self.by_id.values().map(|volume| volume.virtual_time).fold(0.0, f64::max);
+        for volume in self.by_id.values_mut() {
+            volume.virtual_time += (largest - volume.virtual_time) / 2.0;
+        }
+        // Buckets so long unused are full; those of a volume met anew are as well, for they fill since the start.
+        let since = now.saturating_sub(IDLE_TIMEOUT);
+        let in_use = |volume: &Volume| {
+            volume.queued > 0 || volume.usage.demand.updated_at > since || !volume.limit.unused_since(since)
+        };
+        self.by_id.retain(|_, volume| in_use(volume));
+        Some(since)
+    }
+}
--- a/crates/core/src/memo.rs
+++ b/crates/core/src/units_message.rs
@@ -1,5 +1,5 @@
-//! The messages hosts send each other, and their bytes. What is asked and given is decided in
-//! `choice.rs`.
+//! Messages between initiators about the units of limited volumes, and their bytes. What is asked for and granted is
+//! decided in `scheduler/unit_grants.rs`.
 
 /// A message between two hosts about the units of a limited volume.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,12 +2,12 @@
 //! go to the disk boxes that hold their data, and carries that out on sockets.
 //!
 //! The core, `shaletack-core`, does no I/O: [`runtime::host`] feeds [`broker::Broker`] with inputs and carries
-//! out the effects it gets back. Every decision is in [`choice`]. This package is the program round it: fronts,
+//! out the effects it gets back. Every decision is in [`scheduler`]. This package is the program round it: fronts,
 //! box clients, lists of boxes and the command line.
 
 pub use shaletack_core::{
-    broker, choice, endpoint_list, endpoint_list_poll, gossip, interface, json, memo, operator_event,
-    outcome, settings,
+    broker, endpoint_list, endpoint_list_poll, gossip, interface, json, operator_event, outcome, scheduler,
+    settings, units_message,
 };
 
 pub mod config;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -3,8 +3,8 @@
 //! Reading is total: a frame that does not follow the layout ends [`serve`] with a [`Fault`], before
 //! any action of that frame is written.
 
-use crate::choice::Scheduler;
 use crate::interface::*;
+use crate::scheduler::Scheduler;
 use crate::settings;
 use std::collections::BTreeMap;
 use std::fmt;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,8 +9,8 @@
 pub mod program;
 pub mod traffic;
 
-use shaletack::choice::Scheduler;
 use shaletack::interface::*;
+use shaletack::scheduler::Scheduler;
 use std::time::Duration;
 
 pub const MS: Duration = Duration::from_millis(1);
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -3,8 +3,8 @@
 mod common;
 use common::*;
 use proptest::prelude::*;
-use shaletack::choice::Scheduler;
 use shaletack::interface::*;
+use shaletack::scheduler::Scheduler;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -139,7 +139,7 @@
 fn a_reborn_host_takes_its_part_of_a_cold_node_as_spent() {
     let mut set = settings();
     set.classes[0].deadline = S;
-    let mut host = Host { log: vec![], now: T0, scheduler: shaletack::choice::Scheduler::new(set, 1, T0) };
+    let mut host = Host { log: vec![], now: T0, scheduler: shaletack::scheduler::Scheduler::new(set, 1, T0) };
     host.at(T0, &[list(EndpointListKind::Cached, vec![EndpointUpdate { started_at: T0 - S, ..line(1, 0) }])]);
     host.at(T0, &[Event::Request(Request { time_remaining: 6 * S, ..request(1) })]);
     host.ring_until(T0 + S + 900 * MS);
@@ -372,7 +372,7 @@
     let told = |seed: u64| {
         let set = Settings { max_retry_after: 900 * MS, ..settings() };
         let mut host =
-            Host { scheduler: shaletack::choice::Scheduler::new(set, seed, T0), now: T0, log: vec![] };
+            Host { scheduler: shaletack::scheduler::Scheduler::new(set, seed, T0), now: T0, log: vec![] };
         host.at(T0, &[Event::Request(request(2))]);
         host.ring_until(T0 + S);
         let told = |a: &Action| match a {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use common::*;
-use shaletack::choice::Scheduler;
 use shaletack::interface::*;
-use shaletack::memo::UnitsMessage;
+use shaletack::scheduler::Scheduler;
+use shaletack::units_message::UnitsMessage;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
