--- a/crates/core/src/broker/mod.rs
+++ b/crates/core/src/broker/mod.rs
@@ -200,7 +200,7 @@
     /// Carries out one decision; what comes of it at once is an event for the scheduler's next round.
     fn apply_action(&mut self, action: Action, step: &mut Step) {
         match action {
-            Action::Send { request, node, timeout } => {
+            Action::Send { request, endpoint: node, timeout } => {
                 let address = self.endpoints.address(node);
                 self.requests.start_attempt(request, node, timeout, address, step);
             }
--- a/crates/core/src/scheduler/dispatch.rs
+++ b/crates/core/src/scheduler/dispatch.rs
@@ -286,6 +286,6 @@
         }
         pending.units_drawn = true;
         self.schedule_answer(id);
-        self.actions.push(Action::Send { request: id, node: to, timeout: Duration::ZERO });
+        self.actions.push(Action::Send { request: id, endpoint: to, timeout: Duration::ZERO });
     }
 }
--- a/crates/core/src/scheduler/retry_policy.rs
+++ b/crates/core/src/scheduler/retry_policy.rs
@@ -3,7 +3,7 @@
 use super::endpoints::Endpoint;
 use super::requests::PendingRequest;
 use super::times::NANOSECOND;
-use crate::interface::{DedupScope, Idempotency, RequestClass, Settings, SharedRules};
+use crate::interface::{DedupScope, Idempotency, RequestClass, RetryBudgetRules, Settings, SharedRules};
 use crate::measure::SlidingWindow;
 use std::time::Duration;
 
@@ -39,7 +39,9 @@
 
     /// Whether one more retry may be sent now.
     pub(super) fn decide(&mut self, now: Duration, rules: &SharedRules) -> RetryBudgetDecision {
-        let Some((minimum, ratio)) = rules.retry_budget() else { return RetryBudgetDecision::Allowed };
+        let Some(RetryBudgetRules { minimum, ratio }) = rules.retry_budget() else {
+            return RetryBudgetDecision::Allowed;
+        };
         let window = rules.retry_budget_window;
         let since = (now + NANOSECOND).saturating_sub(window);
         let (requests, retries) = (self.requests.prune_and_sum(since), self.retries.prune_and_sum(since));
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -208,7 +208,7 @@
         }),
         4 => Event::Timer,
         5 => Event::HealthChecked {
-            node: record.u32(3),
+            endpoint: record.u32(3),
             ok: record.u8(7) == 0,
             load: load(record, 16, fields)?,
         },
@@ -312,7 +312,7 @@
         let mut put = |at: usize, bytes: &[u8]| cell[at..at + bytes.len()].copy_from_slice(bytes);
         put(1, &instance.to_le_bytes());
         match action {
-            Action::Send { request, node, timeout } => {
+            Action::Send { request, endpoint: node, timeout } => {
                 put(0, &[1]);
                 put(3, &request.to_le_bytes());
                 put(11, &nanos(*timeout));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -150,7 +150,7 @@
 
     pub fn sends(&self) -> Vec<(Duration, RequestId, EndpointId)> {
         let send = |(at, a): &(Duration, Action)| match a {
-            Action::Send { request, node, .. } => Some((*at, *request, *node)),
+            Action::Send { request, endpoint: node, .. } => Some((*at, *request, *node)),
             _ => None,
         };
         self.log.iter().filter_map(send).collect()
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -95,7 +95,7 @@
             }
         };
         for action in hosts[which].at(now, &[event]) {
-            if let Action::Send { request, node, .. } = action {
+            if let Action::Send { request, endpoint: node, .. } = action {
                 if let Some(units) = drawn.remove(&request) {
                     sent.take(now, units);
                     on_the_way.insert(request, (which, now, units));
@@ -163,7 +163,7 @@
         };
         for action in host.at(now, &[event]) {
             match action {
-                Action::Send { request, node, .. } => {
+                Action::Send { request, endpoint: node, .. } => {
                     assert!(due.contains_key(&request), "sent after its end");
                     let number = host.sends().iter().filter(|s| s.1 == request).count() - 1;
                     out.push((request, number as u8, node));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -491,7 +491,7 @@
                 let new = Request { plan: 0, initiators: 1.0, ..request(first + n) };
                 let event = if n % 10 == 0 { Event::Request(new) } else { Event::Timer };
                 let mut actions = host.at(host.now + MS, &[event]);
-                while let Some(Action::Send { request, node, .. }) =
+                while let Some(Action::Send { request, endpoint: node, .. }) =
                     actions.iter().find(|a| matches!(a, Action::Send { .. })).cloned()
                 {
                     let tries = sent.iter().filter(|s| s.1 == request).count();
@@ -585,7 +585,7 @@
             Event::ClientLeft(99),
             Event::ResponseStreaming(99),
             Event::Timer,
-            Event::HealthChecked { node: 42, ok: false, load: LoadReport::default() },
+            Event::HealthChecked { endpoint: 42, ok: false, load: LoadReport::default() },
             Event::PeerMessage { from: 1, bytes: vec![0; 256] },
             list(EndpointListKind::Failed, vec![]),
         ],
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -163,7 +163,7 @@
             let mut actions = Vec::new();
             host.step(now, &news[at], &mut actions);
             for action in actions {
-                let Action::Send { request, node, .. } = action else { continue };
+                let Action::Send { request, endpoint: node, .. } = action else { continue };
                 let units = 1.0 + (request % 4) as f64;
                 let mut ends = now + Duration::from_secs_f64(units / WARM);
                 let at_cold = (node as usize - 1 < cold && now >= born).then_some(node as usize - 1);
@@ -280,7 +280,7 @@
             self.hosts[at].step(self.now, &events, &mut actions);
             for action in actions {
                 match action {
-                    Action::Send { request, node, .. } => {
+                    Action::Send { request, endpoint: node, .. } => {
                         sent += units(request);
                         self.news[at].push(outcome(request, 0, node, AttemptOutcome::Served));
                     }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -5,7 +5,8 @@
 use shaletack::broker::*;
 use shaletack::endpoint_list::{EndpointList, EndpointRecord};
 use shaletack::interface::{
-    DedupScope, EndpointListKind, Idempotency, Plan, Readiness, RequestClass, Settings, SharedRules,
+    DedupScope, EndpointListKind, Idempotency, Plan, Readiness, RequestClass, RetryBudgetRules, Settings,
+    SharedRules,
 };
 use shaletack::outcome::TransportOutcome;
 use std::collections::BTreeMap;
@@ -306,7 +307,7 @@
             assert_eq!(ordered.filter(|t| t.out).count(), 0, "one at a time of key {}", asked.key);
         }
         if number > 0 {
-            if let Some((free, share)) = set.rules.retry_budget() {
+            if let Some(RetryBudgetRules { minimum: free, ratio: share }) = set.rules.retry_budget() {
                 let span = set.rules.retry_budget_window;
                 let within = |times: &[Duration]| times.iter().filter(|at| now < **at + span).count() as f64;
                 let (further, taken) = (within(&self.further), within(&self.taken));
