--- a/crates/core/src/json.rs
+++ b/crates/core/src/json.rs
@@ -40,13 +40,15 @@
 
 /// A value, or the lack of one.
 #[derive(Clone, Copy)]
-pub struct JsonField<'a, 'v>(Option<&'a BorrowedValue<'v>>);
+pub struct JsonField<'a, 'v> {
+    value: Option<&'a BorrowedValue<'v>>,
+}
 
 impl<'a, 'v> JsonField<'a, 'v> {
     /// The value of a whole text, `what`, which has to be an object.
     pub fn object(value: &'a BorrowedValue<'v>, what: &'static str) -> Result<Self, JsonError> {
         if value.is_object() {
-            Ok(JsonField(Some(value)))
+            Ok(JsonField { value: Some(value) })
         } else {
             Err(JsonError::NotAnObject { what })
         }
@@ -54,18 +56,19 @@
 
     /// The field of that name.
     pub fn field(self, name: &str) -> Self {
-        JsonField(self.0.and_then(|value| value.get(name)).filter(|value| !value.is_null()))
+        let value = self.value.and_then(|value| value.get(name));
+        JsonField { value: value.filter(|value| !value.is_null()) }
     }
 
     /// Whether there is a value.
     pub fn is_present(self) -> bool {
-        self.0.is_some()
+        self.value.is_some()
     }
 
     /// The path of the first key that this value has and another one lacks. Of a list of objects, each of the other's
     /// entries has to have the keys that all entries of this one have.
     pub fn missing_in(self, other: Self) -> Option<String> {
-        let (Some(own), Some(theirs)) = (self.0, other.0) else { return None };
+        let (Some(own), Some(theirs)) = (self.value, other.value) else { return None };
         if let (Some(own), Some(_)) = (own.as_object(), theirs.as_object()) {
             return own.keys().find_map(|key| self.missing_field(key, other));
         }
@@ -86,7 +89,7 @@
 
     /// A finite number, where there is one.
     pub fn optional_number(self) -> Result<Option<f64>, JsonError> {
-        let Some(value) = self.0 else { return Ok(None) };
+        let Some(value) = self.value else { return Ok(None) };
         match value.cast_f64() {
             Some(number) if number.is_finite() => Ok(Some(number)),
             _ => Err(JsonError::wrong_type("a number", value)),
@@ -100,7 +103,7 @@
 
     /// A whole number, 0 where there is none. A fraction is cut off.
     pub fn integer(self) -> Result<u64, JsonError> {
-        match self.0.and_then(|value| value.as_u64()) {
+        match self.value.and_then(|value| value.as_u64()) {
             Some(number) => Ok(number),
             None => Ok(self.number()? as u64),
         }
@@ -113,21 +116,21 @@
 
     /// True or false; false where there is nothing.
     pub fn boolean(self) -> Result<bool, JsonError> {
-        let Some(value) = self.0 else { return Ok(false) };
+        let Some(value) = self.value else { return Ok(false) };
         value.as_bool().ok_or_else(|| JsonError::wrong_type("true or false", value))
     }
 
     /// A text, empty where there is none.
     pub fn text(self) -> Result<&'a str, JsonError> {
-        let Some(value) = self.0 else { return Ok("") };
+        let Some(value) = self.value else { return Ok("") };
         value.as_str().ok_or_else(|| JsonError::wrong_type("text", value))
     }
 
     /// A list, empty where there is none.
     pub fn list(self) -> Result<Vec<JsonField<'a, 'v>>, JsonError> {
-        let Some(value) = self.0 else { return Ok(Vec::new()) };
+        let Some(value) = self.value else { return Ok(Vec::new()) };
         let entries = value.as_array().ok_or_else(|| JsonError::wrong_type("a list", value))?;
-        Ok(entries.iter().map(|entry| JsonField(Some(entry))).collect())
+        Ok(entries.iter().map(|entry| JsonField { value: Some(entry) }).collect())
     }
 
     /// A list of texts, empty where there is none.
