--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -1,7 +1,7 @@
 //! Hand-over between two versions of one initiator, while the newer takes over from the older.
 //!
 //! They meet at a Unix socket in `TMPDIR`, named by the initiator and where its clients connect. The newer process
-//! ([`successor`]) asks for what the older ([`predecessor`]) knows, which comes in one line. The connection stays until
+//! (`successor`) asks for what the older (`predecessor`) knows, which comes in one line. The connection stays until
 //! either ends ([`HandoverLink`]), so that an operator's command to one process binds both, and the two together spend
 //! each budget once. Only a process of the same user, name and clients' address is given anything: another customer's
 //! initiator may have the same name, and must not get this one's endpoint list, volumes or configuration.
--- a/src/peers/exchange/mod.rs
+++ b/src/peers/exchange/mod.rs
@@ -29,7 +29,7 @@
     /// The peer sent no frame that this program accepts.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// It took longer than [`EXCHANGE_TIMEOUT`].
+    /// It took longer than `EXCHANGE_TIMEOUT`.
     #[error("no answer within {} ms", EXCHANGE_TIMEOUT.as_millis())]
     TimedOut,
     /// The address is this process's own.
