--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -303,7 +303,7 @@
 
 /// A second version could not bind what the first one holds; and it must know what operators told the first.
 #[test]
-fn a_new_version_takes_over_on_the_same_socket_and_knows_what_the_old_was_told() {
+fn a_new_version_takes_over_on_the_same_socket_and_knows_the_operators_commands() {
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
     let place = held.local_addr().unwrap();
     let folder =
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -19,7 +19,7 @@
 
 /// A client that goes is noticed behind all that it sent ahead: the close was not read past 16 KiB.
 #[test]
-fn a_client_that_goes_is_noticed_behind_whatever_it_sent() {
+fn a_client_that_disconnects_is_noticed_behind_whatever_it_sent() {
     story(async {
         let boxed = HttpBox::start(|_, _| None).await;
         let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
@@ -180,7 +180,7 @@
 
 /// Where the list has to be asked for, a host that is refused for so long that changes count as told sends nothing new.
 #[test]
-fn a_host_that_discovery_refuses_for_six_seconds_sends_nothing_new_until_it_lists() {
+fn an_initiator_that_discovery_rejects_for_six_seconds_sends_nothing_new_until_it_lists() {
     story(async {
         let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let full = Rc::new(Cell::new(true));
@@ -219,7 +219,7 @@
 
 /// The times of connections were those of the first settings for ever.
 #[test]
-fn newer_settings_hold_for_connections_to_boxes() {
+fn newer_settings_apply_to_connections_to_endpoints() {
     story(async {
         let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
@@ -278,7 +278,7 @@
 
 /// A box's answer in each form, reset after each of its bytes: a reset is no end, and half is never whole.
 #[test]
-fn an_answer_that_is_reset_on_its_way_is_never_whole() {
+fn a_response_that_is_reset_is_never_complete() {
     story(async {
         let away = "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 4\r\n\r\nfull";
         // The form, whether its end shows without the connection's, and how a whole one ends.
@@ -332,7 +332,7 @@
 
 /// A second answer may come late: behind the next request it would be taken for that one's.
 #[test]
-fn a_box_that_answered_twice_gets_one_request_on_each_connection() {
+fn an_endpoint_that_answered_twice_gets_one_request_on_each_connection() {
     story(async {
         let (strays, stray) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
         let (went, go) = (strays.clone(), stray.clone());
@@ -523,7 +523,7 @@
 
 /// The same where the call that is out as the 6 s end gets no answer: they are over all the same.
 #[test]
-fn a_call_that_is_out_keeps_no_refused_host_sending() {
+fn a_call_in_flight_keeps_no_rejected_initiator_sending() {
     story(async {
         let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let refused: Rc<Cell<Option<Instant>>> = Rc::default();
@@ -561,7 +561,7 @@
 
 /// A whole call that waits for the other of two versions is not the one that gives way to callers who say nothing.
 #[test]
-fn a_whole_call_does_not_give_way_to_callers_that_say_nothing() {
+fn a_complete_call_is_not_closed_for_silent_callers() {
     story(async {
         let (folder, me) = (folder("calls"), initiator("n3", "127.0.0.1:5000"));
         let boxes = operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)]);
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -187,7 +187,7 @@
 
 /// A head alone is asked for: its answer states a length that no body follows.
 #[test]
-fn a_head_passes_and_its_connection_goes_on() {
+fn a_head_request_is_forwarded_and_its_connection_stays_open() {
     story(async {
         let script = |_: usize, head: &str| {
             let length = if head.starts_with("HEAD") { 5 } else { 0 };
@@ -208,7 +208,7 @@
 
 /// What does not say how long it is was held until 64 KiB of it were there, or its client had left.
 #[test]
-fn a_slow_answer_without_a_length_goes_on_as_it_comes() {
+fn a_slow_response_without_a_length_is_streamed_as_it_comes() {
     story(async {
         let begun = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n".to_vec();
         let place = peer(move |stream, _| {
@@ -285,7 +285,7 @@
 
 /// Slow clients take 2 s for a head and send 64 kB of a body in a second; they were cut off at 2.3 s.
 #[test]
-fn a_slow_client_is_heard_out() {
+fn a_slow_client_is_read_to_its_end() {
     story(async {
         let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
         let (front, _, _) = http_front(&[(boxed.address, 0)]).await;
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_list_entry_tells_its_fields() {
+fn a_list_entry_logs_its_fields() {
     let record = shaletack::endpoint_list::EndpointRecord {
         id: "s-2".into(),
         address: Some("127.0.0.1:7".parse().unwrap()),
--- a/tests/nbd.rs
+++ b/tests/nbd.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_is_written_over_an_extents_border_is_read_back_whole() {
+fn what_is_written_across_an_extent_boundary_is_read_back_complete() {
     story(async {
         let boxes = two_boxes(Script::Serve, Script::Serve).await;
         let (front, _, host) = nbd_front(over(&boxes)).await;
@@ -84,7 +84,7 @@
 
 /// Data that came before an error chunk is not served as if it were whole, and a read is tried again.
 #[test]
-fn an_error_chunk_after_partial_data_spoils_the_whole_read() {
+fn an_error_chunk_after_partial_data_fails_the_whole_read() {
     story(async {
         for script in [Script::ErrorAfterData, Script::HalfReply] {
             let boxes = two_boxes(script, Script::Serve).await;
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_write_that_a_silent_box_has_seen_fails_once_and_is_not_repeated() {
+fn a_write_that_a_silent_endpoint_received_fails_once_and_is_not_retried() {
     story(async {
         let boxes = two_boxes(Script::Silent, Script::Serve).await;
         let (front, _, host) = nbd_front(over(&boxes)).await;
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_box_that_is_gone_or_refuses_refuses_the_write_too() {
+fn an_unreachable_or_rejecting_endpoint_rejects_the_write_too() {
     story(async {
         let refusing = NbdBox::start(Script::NoExport, 1 << 16).await;
         let (closed, gone) = loopback().await;
@@ -211,7 +211,7 @@
 
 /// An attempt that begins over 0.1 s after its client left is a break, whatever the connection was waiting for.
 #[test]
-fn nothing_is_sent_for_an_nbd_client_that_has_gone() {
+fn nothing_is_forwarded_for_an_nbd_client_that_has_disconnected() {
     for leaving in [Leaving::Pipelined, Leaving::Disconnect, Leaving::HalfClosed, Leaving::AtStop] {
         story(async move {
             let boxes = two_boxes(Script::Serve, Script::Serve).await;
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -137,7 +137,7 @@
 /// awc takes a 103 for the answer and keeps the connection, on which the real one waits for the next request.
 /// It also drops what it has read behind an answer, and gives the next request the rest of it.
 #[test]
-fn each_request_gets_its_own_answer_whatever_the_box_sends_round_it() {
+fn each_request_gets_its_own_response_whatever_the_endpoint_sends_around_it() {
     story(async {
         let place = peer(|stream, number| async move {
             let mut s = BufReader::new(stream);
@@ -171,7 +171,7 @@
 
 /// Spoilt answers came from boxes that went on: taken for restarts, they had little sent to them for seconds.
 #[test]
-fn a_spoilt_answer_is_a_failed_attempt_at_a_box_that_lives() {
+fn a_malformed_response_is_a_failed_attempt_at_an_endpoint_that_lives() {
     story(async {
         let endless = [b"HTTP/1.1 200 OK\r\n".to_vec(), b"X-More: and more\r\n".repeat(2000)].concat();
         for (spoilt, end) in [
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn a_write_that_provably_never_ran_goes_out_again() {
+fn a_write_that_provably_never_ran_is_retried() {
     story(async {
         let away = b"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n".to_vec();
         let boxed = HttpBox::start(move |count, _| {
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn a_silent_boxs_request_is_answered_in_time_and_its_connection_closed() {
+fn a_silent_endpoints_request_is_answered_in_time_and_its_connection_closed() {
     story(async {
         let boxed = HttpBox::start(|_, _| None).await;
         let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
@@ -336,7 +336,7 @@
 
 /// A box may close a connection that waits; a request written to it would end as a reset.
 #[test]
-fn a_connection_that_the_box_closed_is_not_used_again() {
+fn a_connection_closed_by_the_endpoint_is_not_reused() {
     story(async {
         let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), true))).await;
         let (front, _, _) = http_front(&[(boxed.address, 0)]).await;
@@ -375,7 +375,7 @@
 /// What is no request is turned away with its connection, and no box hears of it: a second request under an
 /// open id would get, and spoil, what belongs to the first.
 #[test]
-fn what_is_no_request_is_turned_away_and_its_connection_closed() {
+fn what_is_no_request_is_rejected_and_its_connection_closed() {
     story(async {
         let boxed = HttpBox::start(|_, _| None).await;
         let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
@@ -452,7 +452,7 @@
 
 /// Clients that open connections and leave them must not keep others out.
 #[test]
-fn at_the_most_connections_idle_ones_make_room() {
+fn at_the_connection_limit_idle_connections_close() {
     story(async {
         let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let (front, _, _) = http_front(&[(boxed.address, 0)]).await;
@@ -547,7 +547,7 @@
 /// A watch brings half an object and then empty lines for ever; of the next only the connection comes up; the third
 /// brings the list, well before 6 s have passed since the first fell silent.
 #[test]
-fn a_watch_that_fell_silent_is_opened_anew_before_its_news_counts_as_told() {
+fn a_silent_watch_is_reopened_before_its_changes_count_as_notified() {
     story(async {
         let agent = peer(|stream, number| async move {
             let mut s = BufReader::new(stream);
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn every_fault_of_a_file_is_told_at_once_with_its_path() {
+fn every_fault_of_a_file_is_reported_at_once_with_its_path() {
     let shape = with(&[
         ("\"unit_bytes\": 16384", "\"unit_bytes\": 7, \"unit_bits\": 1"),
         ("\"limit\": 200", "\"limit\": -1"),
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn parts_that_do_not_fit_together_are_all_told() {
+fn parts_that_do_not_fit_together_are_all_reported() {
     let misfit = with(&[
         ("127.0.0.1:10809", "10.0.0.1:10809"),
         ("\"reserve\": 0, \"limit\": 200, \"weight\": 1, \"burst\": 400", "\"reserve\": 300, \"limit\": 200"),
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_initiator_knows_at_its_start_what_its_peer_knows_and_hears_the_rest_while_it_runs() {
+fn an_initiator_learns_at_its_start_what_its_peer_knows_and_later_changes_by_gossip() {
     story(async {
         let (log, _guard) = Kept::start(Form::Text, LevelFilter::INFO);
         let boxes = || vec![member("s-1", Readiness::Ready), member("s-2", Readiness::Ready)];
@@ -90,7 +90,7 @@
 /// Six of one installation: news of one is with all in moments, what all are asked for is summed, and one call shows
 /// the members and that a configuration is in force at all but one.
 #[test]
-fn news_goes_round_by_datagrams_and_one_call_shows_who_is_there() {
+fn gossip_reaches_all_by_datagrams_and_one_call_shows_the_members() {
     story(async {
         let (log, _guard) = Kept::start(Form::Text, LevelFilter::INFO);
         let boxes = || vec![member("s-1", Readiness::Ready), member("s-2", Readiness::Ready)];
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn two_processes_of_one_name_are_told_of_once_and_both_serve_on() {
+fn two_processes_of_one_name_are_reported_once_and_both_keep_serving() {
     story(async {
         let (log, _guard) = Kept::start(Form::Text, LevelFilter::INFO);
         let boxes = || vec![member("s-1", Readiness::Ready)];
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_keyed_new_object_that_may_have_run_goes_only_to_the_same_shard() {
+fn a_keyed_new_object_that_may_have_run_is_retried_only_at_the_same_shard() {
     let mut host = Host::new(settings());
     host.at(T0, &[list(EndpointListKind::Delta, vec![line(2, 1)])]);
     host.at(T0, &[Event::Request(Request { class: 1, shard: None, ..request(1) })]);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn nothing_is_sent_to_a_draining_gone_or_unlisted_node() {
+fn nothing_is_sent_to_a_draining_removed_or_unlisted_endpoint() {
     for news in [
         list(EndpointListKind::Delta, vec![EndpointUpdate { readiness: Readiness::Draining, ..line(1, 0) }]),
         list(EndpointListKind::Delta, vec![EndpointUpdate { readiness: Readiness::Removed, ..line(1, 0) }]),
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_cold_node_gets_no_more_than_this_hosts_part_of_what_it_bears() {
+fn an_endpoint_in_slow_start_gets_no_more_than_this_initiators_share_of_its_capacity() {
     let mut host = Host::new(settings());
     let born = EndpointUpdate { started_at: T0 + S, ..line(1, 0) };
     host.at(T0 + S, &[list(EndpointListKind::Delta, vec![born])]);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_reborn_host_takes_its_part_of_a_cold_node_as_spent() {
+fn a_restarted_initiator_takes_its_share_of_slow_start_capacity_as_spent() {
     let mut set = settings();
     set.classes[0].deadline = S;
     let mut host = Host { log: vec![], now: T0, scheduler: shaletack::scheduler::Scheduler::new(set, 1, T0) };
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn broken_connections_are_a_restart_not_heard_of_yet() {
+fn lost_connections_count_as_a_restart_not_yet_listed() {
     let mut host = Host::new(settings());
     host.at(T0, &[Event::Request(request(1000))]);
     host.at(T0 + MS, &[outcome(1000, 0, 1, AttemptOutcome::ConnectionLost)]);
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn further_attempts_stay_within_their_budget() {
+fn retries_stay_within_their_budget() {
     let mut set = settings();
     set.max_attempts = 0;
     set.rules.retry_budget_window = S;
@@ -307,7 +307,7 @@
 
 /// What a late answer tells ages: soon after it a client with little time is refused, later it is served.
 #[test]
-fn a_late_answer_ends_requests_only_while_it_is_news() {
+fn a_late_answer_rejects_requests_only_while_it_is_recent() {
     let mut host = Host::new(settings());
     host.at(T0, &[Event::Request(request(1))]);
     let Event::AttemptEnded(mut answer) = outcome(1, 0, 1, AttemptOutcome::Served) else { return };
@@ -368,7 +368,7 @@
 /// A refusal tells its client when to come back, spread over hosts, at most as long as clients wait. It
 /// does so whether or not the settings say that clients heed it: a client given up on has to be told.
 #[test]
-fn refusals_tell_when_to_come_back() {
+fn rejections_carry_retry_after() {
     let told = |seed: u64| {
         let set = Settings { max_retry_after: 900 * MS, ..settings() };
         let mut host =
@@ -513,7 +513,7 @@
 }
 
 #[test]
-fn a_late_attempt_makes_room_for_one_that_can_be_in_time() {
+fn a_late_attempt_frees_capacity_for_one_that_can_be_in_time() {
     let late = |cancels| {
         let mut host = one_waits(Settings { cancellation_allowed: cancels, ..settings() }, request(2));
         host.ring_until(T0 + 1950 * MS);
@@ -530,7 +530,7 @@
 /// One that is being answered, or whose body is not whole there, holds no place: the next goes out beside it, and
 /// nothing is called off for room.
 #[test]
-fn what_a_box_has_begun_to_answer_or_has_not_whole_holds_no_place() {
+fn a_request_being_answered_or_not_yet_complete_takes_no_slot() {
     for free in [Event::ResponseStarted(1), Event::RequestBody { request: 1, moves: true }] {
         let mut host = Host::new(settings());
         for id in 1..=6 {
@@ -547,7 +547,7 @@
 }
 
 #[test]
-fn a_run_of_one_key_goes_on_past_the_window() {
+fn requests_of_one_key_continue_past_the_window() {
     let mut host = Host::new(settings());
     let of = |id, key| Event::Request(Request { key, ..request(id) });
     host.at(T0, &[of(1, 5), of(2, 6), of(3, 7), of(4, 5), of(5, 5)]);
@@ -642,7 +642,7 @@
 /// Found on zone+brink: a third of the connections came up late, and each that did not in time was taken for a restart:
 /// its box was held back and counted as cold for the whole warm-up.
 #[test]
-fn one_connection_that_does_not_come_up_is_no_restart_of_its_box() {
+fn one_connection_that_does_not_come_up_is_no_restart_of_its_endpoint() {
     let sent = |tooks: &[Duration]| {
         let mut host = Host::new(Settings { connect_timeout: 250 * MS, ..settings() });
         host.at(
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -95,7 +95,7 @@
 /// hosts are reborn; and the node is sent something from the start on, not only once it is warm. Found in 6 of 120 runs
 /// of 280 and 300 hosts, seeds 17 and 22 among them: amounts drawn by each host for itself met in some windows.
 #[test]
-fn many_hosts_never_push_a_cold_node_over_and_use_it_from_the_start() {
+fn many_initiators_never_overload_an_endpoint_in_slow_start_and_use_it_from_the_start() {
     let (set, born) = (settings(), T0 + 77 * MS);
     let start = set.rules.slow_start_capacity;
     for (count, seed) in
@@ -192,7 +192,7 @@
 /// Found on join+vast: of 100 hosts about 15 want something of one node, and the stated units dealt out over 100
 /// left it idle. The part of what warm nodes were seen to do is dealt out over those that want it.
 #[test]
-fn thin_traffic_keeps_a_cold_node_busy_and_never_pushes_it_over() {
+fn light_traffic_keeps_an_endpoint_in_slow_start_busy_and_never_overloads_it() {
     let set = Settings { initiators: 100, slow_start_units: 12.0, ..settings() };
     let (sent, rules, born) = (sent_by_thin_traffic(&set, 10, 1).remove(0), &set.rules, T0 + 3 * S);
     for (from, _) in &sent {
@@ -211,7 +211,7 @@
 /// as turns by the clock: a host had a request just then in few of them. Saved up, parts are used when there is one:
 /// 77 units of the 142 asked for here in 12 s, 18 by turns.
 #[test]
-fn parts_of_a_cold_node_are_used_by_hosts_that_are_asked_rarely() {
+fn slow_start_shares_are_used_by_initiators_with_few_requests() {
     let set = Settings {
         initiators: 285,
         slow_start_units: 12.0,
@@ -326,7 +326,7 @@
 
 /// A host with all of a volume's demand gets more than its even part: what waits at the home comes too.
 #[test]
-fn a_lone_busy_host_gets_what_its_home_holds() {
+fn a_single_busy_initiator_is_granted_what_the_volumes_home_holds() {
     let plan = settings().plans[0].clone();
     let mut all = Limited::new(1);
     let sent: f64 = (0..4000).map(|_| all.pass(1, false)).sum();
@@ -336,7 +336,7 @@
 
 /// Hosts that start at once neither ask for the list nor choose a node in step.
 #[test]
-fn hosts_that_start_together_spread_out() {
+fn initiators_that_start_together_spread_their_first_calls() {
     let (mut asked, mut chosen) = (BTreeSet::new(), BTreeSet::new());
     for seed in 0..100 {
         let mut host = Host {
@@ -380,7 +380,7 @@
 /// One place each of many hosts overfills a node: they rest between sends where answers are late, and
 /// only there; a host alone does not.
 #[test]
-fn many_hosts_rest_where_answers_are_late() {
+fn many_initiators_pace_their_sends_where_answers_are_late() {
     let (alone, crowd, prompt) =
         (sent_in_20_s(1, 400 * MS), sent_in_20_s(50, 400 * MS), sent_in_20_s(50, 40 * MS));
     assert!(crowd * 3 < alone, "{crowd} in a crowd, {alone} alone");
@@ -389,7 +389,7 @@
 
 /// Found on incidents i7a4c66 and ief5670: a jammed node answers nothing, so no long round trip was seen.
 #[test]
-fn no_answer_is_news_of_a_long_round_trip() {
+fn no_answer_means_a_long_round_trip() {
     let mut host = Host::new(of_many(50, 0));
     host.at(T0, &[Event::Request(request(1))]);
     host.at(T0 + 40 * MS, &[outcome(1, 0, 1, AttemptOutcome::Served)]);
@@ -402,7 +402,7 @@
 
 /// Nodes long gone and volumes long idle leave memory, and what they left breaks no rule.
 #[test]
-fn what_is_long_gone_leaves_memory() {
+fn endpoints_removed_long_ago_are_forgotten() {
     let mut host = Host::new(settings());
     let size = |h: &Host| format!("{:?}", h.scheduler).len();
     host.at(T0, &[Event::Request(request(0))]);
@@ -445,7 +445,7 @@
 /// Found on L0c9f08: a host had a request's part of a cold node once in half a minute and had more to send. What
 /// the node has done it can do again: each answer lets one more follow, at once, and only then.
 #[test]
-fn an_answer_of_a_cold_node_lets_one_more_follow() {
+fn an_answer_during_slow_start_allows_one_more_request() {
     assert_eq!(
         (follow(AttemptOutcome::Served, 150 * MS, MS), follow(AttemptOutcome::NotSent, 150 * MS, MS)),
         (1, 0)
@@ -456,7 +456,7 @@
 /// before the next request, and cold nodes stood idle. It lasts a fall window; and an answer that came too late
 /// earns nothing, since the node has more to do than it can.
 #[test]
-fn what_an_answer_of_a_cold_node_earns_lasts_for_thin_traffic() {
+fn what_an_answer_during_slow_start_allows_lasts_under_light_traffic() {
     let window = settings().rules.overload_window;
     assert_eq!(follow(AttemptOutcome::Served, 150 * MS, window - 200 * MS), 1, "within the window");
     assert_eq!(follow(AttemptOutcome::Served, 150 * MS, window + 100 * MS), 0, "after it");
@@ -492,7 +492,7 @@
 /// Found on L0c9f08: late work of hosts that thought the node idle took the places of work in time. In a
 /// crowd it yields at a round trip at which other work still leaves.
 #[test]
-fn late_work_yields_in_a_crowd_before_other_work() {
+fn late_requests_yield_under_overload_before_others() {
     let sent = |patience_gone: Duration| {
         let mut host = Host::new(of_many(50, 0));
         host.at(T0, &[Event::Request(request(1))]);
@@ -517,7 +517,7 @@
 /// Found on ief5670: each host tried a jammed node again every four seconds, and 146 of them kept it jammed.
 /// Trials come rarer with each time-out, and as before after an answer.
 #[test]
-fn trials_of_a_jammed_node_come_rarer_until_it_answers() {
+fn attempts_at_a_congested_endpoint_become_rarer_until_it_answers() {
     let next_after = |endings: &[AttemptOutcome]| {
         let mut host = Host::new(of_many(150, 0));
         for (id, ending) in (1..).zip(endings) {
@@ -629,7 +629,7 @@
 /// An initiator's traffic stays the same in a fleet of sixteen times the boxes: what one request costs may grow with the
 /// depth of its look-ups, and not with the boxes that have nothing to do with it.
 #[test]
-fn a_request_costs_hardly_more_among_sixteen_times_the_boxes() {
+fn a_request_costs_hardly_more_among_sixteen_times_the_endpoints() {
     let cost = |boxes: u32| {
         let lines: Vec<EndpointUpdate> = (1..=boxes).map(|node| line(node, node as u16)).collect();
         let mut host = Host::new(Settings { initiators: 300, ..settings() });
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn memory_stays_bounded_over_three_hours_of_boxes_volumes_and_keys_ever_new() {
+fn memory_stays_bounded_over_three_hours_of_new_endpoints_volumes_and_keys() {
     let (mut day, mut id) = (Day::new(), 0);
     // What is held at the end of each minute; 10,800 boxes are seen in all, more than are remembered.
     let held: Vec<usize> = (1..=180)
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -65,7 +65,7 @@
 
 /// Told before its connection was there: one that came up a second late told its box a second too much.
 #[test]
-fn an_attempt_tells_its_box_no_more_time_than_its_client_has_left() {
+fn an_attempt_passes_on_no_more_time_than_its_client_has_left() {
     story(async {
         let told = Told::default();
         let notes = told.clone();
@@ -121,7 +121,7 @@
 /// Neither what waits for its first attempt nor what may be sent once more goes out for a client that has closed
 /// its connection.
 #[test]
-fn nothing_is_sent_for_a_client_that_has_gone() {
+fn nothing_is_forwarded_for_a_client_that_has_disconnected() {
     story(async {
         // A burst of clients leaves while nothing can be sent; then their box is listed.
         let boxed = HttpBox::start(|_, head| Some((named(head), false))).await;
@@ -447,7 +447,7 @@
 
 /// An answer of no length is passed on as it comes, and reset on its way: its client can tell that it is not whole.
 #[test]
-fn a_long_answer_of_no_length_that_is_reset_does_not_look_whole() {
+fn a_long_response_without_a_length_that_is_reset_is_not_complete() {
     story(async {
         let resets = Rc::new(Notify::new());
         let told = resets.clone();
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -516,7 +516,7 @@
 /// A box in slow start that starts once more before it is warm, and is listed late, twice, or in a whole list, begins its
 /// warm-up anew each time, and never earlier.
 #[test]
-fn a_box_that_starts_again_within_its_warm_up_is_in_slow_start_again() {
+fn an_endpoint_that_restarts_during_slow_start_begins_slow_start_again() {
     let domain = r#""cold-bears":20,"unit-mean":1,"units-top":1,"shards":2"#;
     let rules = r#""overload-factor":3,"start-capacity":0.16,"tip-after":1000000000,"warm-up":6000000000,"stop-sending-within":1000000000"#;
     // How long after its second start the list tells of it.
@@ -602,7 +602,7 @@
 
 /// The log is bounded, and the line that says where clients connect is in it whatever the list holds.
 #[test]
-fn a_long_list_leaves_room_in_the_log() {
+fn a_long_list_pushes_no_other_line_out_of_the_log() {
     let stand_in = StandInBox::start(Duration::from_millis(3));
     let entries: Vec<String> =
         (1..=400).map(|n| entry(&format!("s-{n:08x}"), stand_in.address, n, "up", 0)).collect();
@@ -616,7 +616,7 @@
 /// Troubles of several kinds at once, drawn by a seed: calls that fail, hold-ups of 0.15 s, steps of the wall clock, boxes
 /// that hang, drains and reloads, under clients that read and write. `TERMS_SEEDS` sets how many seeds, two by default.
 #[test]
-fn drawn_troubles_together_break_no_rule() {
+fn drawn_faults_together_break_no_rule() {
     let seeds: u64 = std::env::var("TERMS_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(2);
     let from: u64 = std::env::var("TERMS_FROM").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
     for first in (from..from + seeds).step_by(2) {
--- a/tests/writeback.rs
+++ b/tests/writeback.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_box_that_stands_still_holds_up_no_write_flush_or_read_and_a_kill_loses_nothing() {
+fn a_stalled_endpoint_delays_no_write_flush_or_read_and_a_kill_loses_nothing() {
     story(async {
         let boxed = NbdBox::start(Script::Silent, 1 << 16).await;
         let folder = folder("stands");
@@ -217,7 +217,7 @@
 /// The disk refuses one write and sync in 20, then all of them for a while, then none: what was acknowledged is there
 /// after a kill, every command has its answer in time, and the process goes on by itself.
 #[test]
-fn a_log_that_can_not_be_written_for_a_while_goes_on_and_owes_what_it_took() {
+fn a_log_that_can_not_be_written_for_a_while_recovers_and_keeps_what_it_accepted() {
     const DEADLINE: Duration = Duration::from_millis(1500);
     const IN_TIME: Duration = Duration::from_millis(1700);
     story(async {
