--- a/crates/lab/src/hollow/process.rs
+++ b/crates/lab/src/hollow/process.rs
@@ -104,7 +104,7 @@
     if line.contains(" WARN ") || line.contains(" ERROR ") {
         return Some(What::Warned);
     }
-    if line.contains(" advice on a box ") && field(line, "stopped") == Some("true") {
+    if line.contains(" advice on an endpoint ") && field(line, "stopped") == Some("true") {
         return of("id").map(What::Stopped);
     }
     if line.contains(" list ") && field(line, "standing") == Some("Draining") {
--- a/crates/lab/src/slopes.rs
+++ b/crates/lab/src/slopes.rs
@@ -427,7 +427,7 @@
         let (shard, before) = (n / 2, process.spent()?);
         let at = Instant::now();
         bytes = discovery.tell(shard, n % 2 == 0, whole);
-        let (seen, _) = process.says(&format!("list id=\"s-{shard:08x}\"")).await?;
+        let (seen, _) = process.says(&format!("endpoint listed id=\"s-{shard:08x}\"")).await?;
         waits.push((seen - at).as_secs_f64());
         sleep(SETTLED).await;
         core += process.spent()? - before;
@@ -441,7 +441,8 @@
 
 /// SIGHUP with a new file each time: the same of it, without the bytes.
 async fn hang_ups(process: &mut Process, setup: &Setup, discovery: &Discovery) -> Result<[f64; 2], String> {
-    let until = if setup.front == Front::Http { "configuration is read again" } else { "list id=\"s-" };
+    let until =
+        if setup.front == Front::Http { "configuration was reloaded" } else { "endpoint listed id=\"s-" };
     let (mut waits, mut core) = (Vec::new(), 0.0);
     for n in 0..NEWS {
         let text = Setup { draining: (n % 2 == 0).then_some(0), ..setup.clone() }.text(discovery.address)?;
--- a/src/app/serve_nbd.rs
+++ b/src/app/serve_nbd.rs
@@ -100,7 +100,7 @@
 
 impl Reload {
     fn apply(&mut self, new: Operator) {
-        info!("the operator's file is read again: the list of boxes counts from now on");
+        info!("the operator's file was reloaded: its endpoint list counts from now on");
         if new.etcd.is_none() {
             let list = EndpointList { kind: EndpointListKind::Full, ..new.boxes };
             self.host.feed(Input::EndpointList(list));
--- a/src/app/serve_platform.rs
+++ b/src/app/serve_platform.rs
@@ -156,9 +156,9 @@
 
 fn report_start(config: &Config) {
     let Config { name, known, passed_over, .. } = config;
-    info!(name, boxes = known.entries.len(), revision = known.revision, "starts");
+    info!(name, endpoints = known.entries.len(), revision = known.revision, "starting");
     for why in passed_over {
-        warn!(%why, "an entry of the list is passed over");
+        warn!(%why, "an endpoint list entry is skipped");
     }
 }
 
@@ -205,7 +205,7 @@
     let failed = |source| Error::Management { address, source };
     let listener = sockets::listen(address).await.map_err(failed)?;
     let at = listener.local_addr().map_err(failed)?;
-    info!(%at, "operators' calls are taken");
+    info!(%at, "accepting management calls");
     actix_rt::spawn(management::serve(host.clone(), link.clone(), listener, ready.clone()));
     Ok(())
 }
@@ -277,5 +277,5 @@
     let classes: Vec<&str> = new.settings.classes.iter().map(|class| class.name.as_str()).collect();
     let classes = classes.join(", ");
     let attempts = new.settings.max_attempts;
-    info!(discovery = %new.discovery, classes, attempts, "the configuration is read again");
+    info!(discovery = %new.discovery, classes, attempts, "the configuration was reloaded");
 }
--- a/src/net/downstream/connection_registry.rs
+++ b/src/net/downstream/connection_registry.rs
@@ -92,7 +92,7 @@
             if occupancy.full && logged_at.is_none_or(|at| now > at + FULL_LOG_INTERVAL) {
                 warn!(
                     open = occupancy.open,
-                    closed, "no place is left for connections: silent and idle ones are closed"
+                    closed, "the connection limit is reached: silent and idle connections are closed"
                 );
                 logged_at = Some(now);
             }
--- a/src/net/watch.rs
+++ b/src/net/watch.rs
@@ -231,7 +231,7 @@
 
     fn read(&self, text: &mut [u8]) -> Result<(), String> {
         let read = endpoint_list::read(text).map_err(|error| format!("unreadable: {error}"))?;
-        read.faults.iter().for_each(|why| warn!(%why, "an entry of the list is passed over"));
+        read.faults.iter().for_each(|why| warn!(%why, "an endpoint list entry is skipped"));
         self.take(read.list)
     }
 
--- a/src/runtime/listener.rs
+++ b/src/runtime/listener.rs
@@ -240,7 +240,7 @@
         complete = tokio::time::timeout(LAST_ANSWERS, open.wait_for_none()).await.is_ok();
     }
     if complete {
-        info!("stopped: all that was taken is answered");
+        info!("stopped: every accepted request is answered");
     } else {
         warn!(connections = open.count.get(), "stopped: time ran out");
     }
--- a/src/runtime/log.rs
+++ b/src/runtime/log.rs
@@ -2,6 +2,7 @@
 //! fill what keeps the log. What the bound drops is counted in an event of its own.
 
 use crate::operator_event::OperatorEvent;
+use shaletack_core::counters::RequestCounters;
 use std::io;
 use std::str::FromStr;
 use std::sync::Mutex;
@@ -90,45 +91,44 @@
         // A lock that a panic spoilt must not silence the log.
         let (passes, dropped) = taken.unwrap_or((true, 0));
         if dropped > 0 {
-            warn!(lines = dropped, "left out: more than {LINES_MOST} within a second");
+            warn!(lines = dropped, "log lines dropped: more than {LINES_MOST} within a second");
         }
         passes
     }
 }
 
-/// Gives the core's notices their form.
+/// Writes an event of the core as a line of the log.
 pub fn write(notice: &OperatorEvent) {
     match notice {
         OperatorEvent::EndpointListed { revision, kind, record } => {
             let at = record.address.map(tracing::field::display);
             let up_since = record.up_since.map(|t| t.as_secs_f64());
-            let (standing, shard) = (record.readiness, record.shard);
-            info!(id = record.id, ?standing, shard, at, up_since, revision, ?kind, "list");
+            let (readiness, shard) = (record.readiness, record.shard);
+            info!(id = record.id, ?readiness, shard, at, up_since, revision, ?kind, "endpoint listed");
         }
         OperatorEvent::EndpointsNotListed { revision, more } => {
-            info!(more, revision, "list: others changed as well")
+            info!(more, revision, "more endpoints listed")
         }
         OperatorEvent::HandoverRestored { revision, endpoints, suspended, drained } => {
-            info!(boxes = endpoints, revision, suspended, drained, "inherited");
+            info!(endpoints, revision, suspended, drained, "hand-over state restored");
         }
-        OperatorEvent::EndpointSuspended(id) => info!(id, "suspended by hand"),
-        OperatorEvent::EndpointResumed(id) => info!(id, "resumed by hand, cold"),
-        OperatorEvent::ClientsDrained => info!("drained by hand: clients are to go elsewhere"),
-        OperatorEvent::ClientsAccepted => info!("activated by hand: clients are taken again"),
+        OperatorEvent::EndpointSuspended(id) => info!(id, "endpoint suspended by an operator"),
+        OperatorEvent::EndpointResumed(id) => info!(id, "endpoint resumed by an operator, in slow start"),
+        OperatorEvent::ClientsDrained => info!("drained by an operator: clients are to go elsewhere"),
+        OperatorEvent::ClientsAccepted => info!("activated by an operator: clients are accepted again"),
         OperatorEvent::Counters { classes, attempt_outcomes, open_requests } => {
             for counters in classes {
-                let (class, t) = (&counters.class, &counters.requests);
-                let (taken, served, refused, failed, left) =
-                    (t.taken, t.served, t.rejected, t.failed, t.client_left);
-                info!(class, taken, served, refused, failed, left, "so far");
+                let (class, requests) = (&counters.class, &counters.requests);
+                let RequestCounters { taken, served, rejected, failed, client_left, .. } = *requests;
+                info!(class, taken, served, rejected, failed, client_left, "request counters");
             }
             let attempts: Vec<String> =
                 attempt_outcomes.iter().map(|(outcome, count)| format!("{outcome} {count}")).collect();
-            info!(open = open_requests, attempts = attempts.join(", "), "so far");
+            info!(open_requests, attempts = attempts.join(", "), "attempt outcomes");
         }
         OperatorEvent::AdviceChanged { id, stopped, held, started_ago } => {
             let started_ago_ms = started_ago.map(|ago| ago.as_millis() as u64);
-            info!(id, stopped, held, started_ago_ms, "advice on a box");
+            info!(id, stopped, held, started_ago_ms, "advice on an endpoint");
         }
         OperatorEvent::PeerReportsRejected { from, invalid } => {
             warn!(from, invalid, "a peer sent invalid reports")
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -148,7 +148,7 @@
     assert_eq!(&status, b"HTTP/1.1 200");
     child.signal("-TERM");
     assert!(child.0.wait().unwrap().success());
-    assert!(lines.any(|l| l.ends_with(" INFO stopped: all that was taken is answered")));
+    assert!(lines.any(|l| l.ends_with(" INFO stopped: every accepted request is answered")));
 }
 
 /// SIGTERM right at the start, a second one, and a SIGHUP while it stops: each ends with success, and soon.
@@ -162,7 +162,7 @@
         command.env("ROUTER_DISCOVERY", agent.local_addr().unwrap().to_string());
         let mut child = Running(command.spawn().unwrap());
         let mut lines = BufReader::new(child.0.stderr.take().unwrap()).lines().map(|l| l.unwrap());
-        let sign = if early { " starts " } else { " listens for " };
+        let sign = if early { " starting " } else { " listens for " };
         lines.find(|l| l.contains(sign)).expect("it says so");
         let start = std::time::Instant::now();
         child.signal("-TERM");
@@ -247,7 +247,7 @@
         command.env("ROUTER_DISCOVERY", agent.local_addr().unwrap().to_string());
         let mut child = Running(command.spawn().unwrap());
         let mut lines = BufReader::new(child.0.stderr.take().unwrap()).lines().map(|l| l.unwrap());
-        lines.find(|l| l.contains(" starts ")).expect("it says so");
+        lines.find(|l| l.contains(" starting ")).expect("it says so");
     }
     for _ in 0..3 {
         let start = std::time::Instant::now();
@@ -326,7 +326,7 @@
     let (_other, mut other_lines, other_place) = version(&elsewhere, &folder, &good, None);
     ready(&other_place);
     let told: Vec<String> = other_lines.by_ref().take_while(|l| !l.contains(" listens for ")).collect();
-    assert!(!told.iter().any(|l| l.contains(" inherited ")), "{told:?}");
+    assert!(!told.iter().any(|l| l.contains(" hand-over state restored ")), "{told:?}");
     assert_eq!(call(&other_place, "POST /v1/initiator/drain"), 200);
     assert_eq!(health(&mut kept), (200, true));
     // One that dies early leaves the old one serving, and found by the next.
@@ -338,15 +338,15 @@
     let cut = file("over-cut.json", "{\"name\":");
     let (_new, mut lines, new_place) = version(&held, &folder, &cut, None);
     ready(&new_place);
-    let inherited = lines.by_ref().take(60).find(|l| l.contains(" inherited ")).unwrap();
-    assert!(inherited.ends_with("boxes=1 revision=41 suspended=1 drained=false"), "{inherited}");
+    let inherited = lines.by_ref().take(60).find(|l| l.contains(" hand-over state restored ")).unwrap();
+    assert!(inherited.ends_with("endpoints=1 revision=41 suspended=1 drained=false"), "{inherited}");
     // A call to either binds both.
     assert_eq!(call(&new_place, "POST /v1/initiator/drain"), 200);
     assert_eq!(health(&mut kept), (503, false));
     assert_eq!(call(&old_place, "POST /v1/initiator/activate"), 200);
     assert_eq!(call(&old_place, "POST /v1/targets/s-0badf00d/resume"), 404);
     assert_eq!(call(&old_place, "POST /v1/targets/s-5be2a07c/resume"), 200);
-    assert!(lines.any(|l| l.ends_with("resumed by hand, cold id=\"s-5be2a07c\"")));
+    assert!(lines.any(|l| l.ends_with("endpoint resumed by an operator, in slow start id=\"s-5be2a07c\"")));
     let mut kept: Vec<_> = (0..8).map(|_| TcpStream::connect(place).unwrap()).collect();
     kept.iter_mut().for_each(|client| assert_eq!(health(client), (200, true)));
     old.signal("-TERM");
--- a/tests/common/program.rs
+++ b/tests/common/program.rs
@@ -96,7 +96,7 @@
     let mut child = Running(command.spawn().unwrap());
     let mut lines = BufReader::new(child.0.stderr.take().unwrap()).lines().map(|l| l.unwrap());
     let mut told = Vec::new();
-    while !told.last().is_some_and(|l: &String| l.contains(" operators' calls are taken ")) {
+    while !told.last().is_some_and(|l: &String| l.contains(" accepting management calls ")) {
         told.push(lines.next().expect("it says where"));
     }
     let place = field(&told.pop().unwrap(), "at");
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -59,7 +59,9 @@
     };
     let line = under(Form::Text, LevelFilter::INFO, || write(&notice)).remove(0);
     assert!(
-        line.ends_with(r#"list id="s-2" standing=Draining shard=3 at=127.0.0.1:7 revision=9 kind=Full"#),
+        line.ends_with(
+            r#"endpoint listed id="s-2" readiness=Draining shard=3 at=127.0.0.1:7 revision=9 kind=Full"#
+        ),
         "{line}"
     );
 }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -77,7 +77,7 @@
         a.feed(news("s-1", Readiness::Removed));
         let (_b, b_peers, took) = initiator("b", &[a_peers.address()], boxes()).await;
         assert!(took < Duration::from_secs(1), "{took:?}");
-        let told = |id: &str| log.lines(&format!("advice on a box id=\"{id}\" stopped=true")).len();
+        let told = |id: &str| log.lines(&format!("advice on an endpoint id=\"{id}\" stopped=true")).len();
         assert_eq!((told("s-1"), told("s-2")), (1, 0), "known before clients come");
         until(|| a_peers.names() == ["b"] && b_peers.names() == ["a"]).await;
         a.feed(news("s-2", Readiness::Draining));
@@ -338,10 +338,10 @@
         signal(&c, "-STOP");
         b.says(r#"a peer is down name="c""#).await;
         gone.set(true);
-        let told = b.says("advice on a box").await;
+        let told = b.says("advice on an endpoint").await;
         assert!(told.contains(r#"id="s-1" stopped=true"#), "{told}");
         signal(&c, "-CONT");
-        let told = c.says("advice on a box").await;
+        let told = c.says("advice on an endpoint").await;
         assert!(told.contains(r#"id="s-1" stopped=true"#), "{told}");
         b.says(r#"a peer is up name="c""#).await;
         // One that is killed is gone, and its next life is somebody else at its place.
@@ -349,7 +349,7 @@
         b.says(r#"a peer is down name="c""#).await;
         drop(c);
         let mut c = Process::start("stood-c.json", &file(boxes, None, peers("c", at_c)));
-        c.says("advice on a box").await;
+        c.says("advice on an endpoint").await;
         b.says(r#"a peer is up name="c""#).await;
     });
 }
@@ -373,7 +373,7 @@
         let mut running =
             Process::start("peers-a.json", &file(boxes, Some(agent.address), Some(("a", at_a, at_b))));
         let _ = running.place().await;
-        running.says(r#"list id="s-1" standing=Removed"#).await;
+        running.says(r#"endpoint listed id="s-1" readiness=Removed"#).await;
         let mut first = Process::start("peers-b.json", &stale);
         let _ = first.place().await;
         first.says("a peer is up").await;
@@ -381,7 +381,7 @@
         drop(first);
         let tried = stands.seen.borrow().len();
         let mut again = Process::start("peers-b.json", &stale);
-        let told = again.says("advice on a box").await;
+        let told = again.says("advice on an endpoint").await;
         assert!(told.contains(r#"id="s-1" stopped=true"#), "{told}");
         let front = again.place().await;
         assert_eq!(read(front, 6).await, 0, "{cold} of 8 failed without a peer");
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -231,7 +231,10 @@
         ready(&new_place);
         assert!(start.elapsed() < 6 * SECOND, "round {round}: ready after {:?}", start.elapsed());
         let told: Vec<String> = lines.by_ref().take_while(|line| !line.contains(" listens for ")).collect();
-        assert!(told.iter().any(|line| line.contains(" inherited ")), "round {round}: {told:?}");
+        assert!(
+            told.iter().any(|line| line.contains(" hand-over state restored ")),
+            "round {round}: {told:?}"
+        );
         old.signal("-TERM");
         assert!(old.0.wait().unwrap().success());
         let last: Vec<String> = old_lines.collect();
@@ -485,7 +488,7 @@
         std::thread::sleep(SECOND / 2);
         faults.set("open 700\n");
         let told = lines.find(|line| line.contains("configuration is")).unwrap();
-        assert!(told.contains("the configuration is read again"), "{told}");
+        assert!(told.contains("the configuration was reloaded"), "{told}");
         assert!(begins.elapsed() < 3 * SECOND, "{:?}", begins.elapsed());
     }
 }
