--- a/crates/core/src/scheduler/admission.rs
+++ b/crates/core/src/scheduler/admission.rs
@@ -4,7 +4,8 @@
 use super::requests::PendingRequest;
 use super::times::{FOREVER, NANOSECOND, SMOOTHING_TIME};
 use super::volumes::Volume;
-use crate::interface::Settings;
+use super::Scheduler;
+use crate::interface::{RequestId, Settings};
 use crate::measure::DecayingRatio;
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -66,3 +67,28 @@
     let max = if max_retry_after.is_zero() { FOREVER } else { max_retry_after };
     (wait / 2 + random.span_below(wait)).clamp(NANOSECOND, max)
 }
+
+impl Scheduler {
+    /// Clients have so many connections: more open requests would keep out others that earn more.
+    pub(super) fn shed_load(&mut self) {
+        let max = self.settings.max_open_requests;
+        let mut open = self.requests.values().filter(|pending| !pending.is_answered()).count();
+        while max > 0 && open > max {
+            let Some(id) = self.least_wanted() else { return };
+            self.answer_unserved(id);
+            open -= 1;
+        }
+    }
+
+    /// The queued request that was never sent and is the first to be given up.
+    fn least_wanted(&self) -> Option<RequestId> {
+        let is_unsent = |pending: &PendingRequest| pending.is_queued() && pending.attempts.is_empty();
+        let unsent = self.requests.iter().filter(|(_, pending)| is_unsent(pending));
+        let ranked = unsent.map(|(id, pending)| {
+            let volume = self.volumes.get(pending.request.volume);
+            let factor = priority_factor(&self.settings, pending.request.class);
+            (ShedRank::new(pending, volume, factor, self.now), *id)
+        });
+        ranked.max_by(|(a, _), (b, _)| a.compare(b)).map(|(_, id)| id)
+    }
+}
--- a/crates/core/src/scheduler/deadlines.rs
+++ b/crates/core/src/scheduler/deadlines.rs
@@ -1,6 +1,7 @@
 //! Deadlines: by when each request gets its final answer. Work for a client that has left is work for nobody.
 
 use super::requests::PendingRequest;
+use super::Scheduler;
 use crate::interface::{Idempotency, RequestClass, RequestId};
 use crate::measure::{from_nanos, nanos};
 use std::collections::{BTreeMap, BTreeSet};
@@ -79,3 +80,24 @@
     let patience = nanos(pending.deadline - pending.arrived_at);
     from_nanos(patience * part.clamp(MIN_UNSENT_WAIT, MAX_UNSENT_WAIT))
 }
+
+impl Scheduler {
+    /// Answers what could no longer be answered before its client leaves, or not without doing it twice.
+    pub(super) fn answer_expired(&mut self) {
+        for group in self.deadlines.groups() {
+            let margin = if group.in_flight {
+                0.0
+            } else {
+                self.endpoints.shortest_round_trip_nanos(group.shard, self.now) * 0.5
+            };
+            let margin = from_nanos(margin);
+            while let Some((answer_by, id)) = self.deadlines.first(group) {
+                if answer_by > self.now + margin {
+                    self.timer.wake_by(answer_by - margin);
+                    break;
+                }
+                self.answer_unserved(id);
+            }
+        }
+    }
+}
--- a/crates/core/src/scheduler/dispatch.rs
+++ b/crates/core/src/scheduler/dispatch.rs
@@ -173,17 +173,10 @@
     /// How a request ranks for an endpoint; `None` where it may not be sent there now.
     fn rank(&mut self, candidate: Candidate, id: EndpointId, offer: Offer) -> Option<Rank> {
         let now = self.now;
-        let pending = self.requests.get(&candidate.request)?;
-        let (units, class) = (pending.request.units, pending.request.class);
-        let (volume_id, units_drawn) = (pending.request.volume, pending.units_drawn);
-        let cost = self.endpoints.get(id)?.cost(&pending.request) * priority_factor(&self.settings, class);
-        let is_retry = !pending.attempts.is_empty();
-        let may_repeat = may_attempt_again(pending, &self.settings.class(class), &self.settings)
-            && self.may_go_to(pending, id);
-        if is_retry && !(may_repeat && self.retry_budget_allows()) {
-            return None;
-        }
-        if !units_drawn && !self.limit_allows(volume_id, units, candidate.is_late) {
+        let request = &self.requests.get(&candidate.request)?.request;
+        let (units, class, volume_id) = (request.units, request.class, request.volume);
+        let cost = self.endpoints.get(id)?.cost(request) * priority_factor(&self.settings, class);
+        if !self.may_be_sent(candidate, id) {
             return None;
         }
         let max_units = self.settings.max_request_units;
@@ -207,6 +200,20 @@
         Some(Rank { level, virtual_time })
     }
 
+    /// The retry policy, the retry budget and the volume's limit allow an attempt at an endpoint now.
+    fn may_be_sent(&mut self, candidate: Candidate, id: EndpointId) -> bool {
+        let Some(pending) = self.requests.get(&candidate.request) else { return false };
+        let request = &pending.request;
+        let (units, volume, units_drawn) = (request.units, request.volume, pending.units_drawn);
+        let is_retry = !pending.attempts.is_empty();
+        let may_repeat = may_attempt_again(pending, &self.settings.class(request.class), &self.settings)
+            && self.may_go_to(pending, id);
+        if is_retry && !(may_repeat && self.retry_budget_allows()) {
+            return false;
+        }
+        units_drawn || self.limit_allows(volume, units, candidate.is_late)
+    }
+
     /// The part of its priority weight that a request of this level earns.
     fn earned_part(&self, level: Level, class: u16) -> f64 {
         match level {
--- a/crates/core/src/scheduler/lost_attempts.rs
+++ b/crates/core/src/scheduler/lost_attempts.rs
@@ -3,8 +3,10 @@
 
 use super::endpoints::Endpoint;
 use super::times::{FOREVER, SMOOTHING_TIME};
+use super::Scheduler;
 use crate::interface::{AttemptOutcome, EndedAttempt};
 use crate::measure::{from_nanos, nanos, DecayingRate};
+use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// An attempt is overtaken once so many that were sent later were answered before it.
@@ -89,3 +91,18 @@
         next
     }
 }
+
+impl Scheduler {
+    /// Of thousands of endpoints few have something in flight: they are found by the requests.
+    pub(super) fn presume_lost_attempts(&mut self) {
+        let losses_are_rare = self.losses.is_low(self.now);
+        let attempts = self.requests.values().flat_map(|pending| pending.attempts.iter());
+        let busy: BTreeSet<_> =
+            attempts.filter(|attempt| attempt.in_flight).map(|attempt| attempt.endpoint).collect();
+        for id in busy {
+            let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
+            let next = endpoint.presume_lost(self.now, losses_are_rare);
+            self.timer.wake_by(next);
+        }
+    }
+}
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -32,8 +32,7 @@
 pub use snapshot::SchedulerSnapshot;
 
 use crate::interface::{Action, EndpointListKind, EndpointUpdate, Event, RequestId, Settings};
-use crate::measure::from_nanos;
-use admission::{priority_factor, OverloadRatio, ShedRank};
+use admission::OverloadRatio;
 use deadlines::DeadlineQueue;
 use endpoint_list::EndpointListSubscription;
 use endpoints::Endpoints;
@@ -45,7 +44,7 @@
 use requests::PendingRequest;
 use retry_policy::RetryBudget;
 use slow_start::{initial_savings, SlowStart, SlowStartContext};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::time::Duration;
 use timer::Timer;
 use unit_grants::UnitPools;
@@ -183,25 +182,6 @@
         SlowStartContext::new(&self.settings, self.now, self.started_at, self.budget_share, ready_endpoints)
     }
 
-    /// Answers what could no longer be answered before its client leaves, or not without doing it twice.
-    fn answer_expired(&mut self) {
-        for group in self.deadlines.groups() {
-            let margin = if group.in_flight {
-                0.0
-            } else {
-                self.endpoints.shortest_round_trip_nanos(group.shard, self.now) * 0.5
-            };
-            let margin = from_nanos(margin);
-            while let Some((answer_by, id)) = self.deadlines.first(group) {
-                if answer_by > self.now + margin {
-                    self.timer.wake_by(answer_by - margin);
-                    break;
-                }
-                self.answer_unserved(id);
-            }
-        }
-    }
-
     /// Where the endpoint list comes only when asked for: subscribes, and again after each failure.
     fn subscribe_to_list(&mut self) {
         let Some(at) = self.endpoint_list.subscribe_at() else { return };
@@ -222,48 +202,12 @@
         }
     }
 
-    /// Of thousands of endpoints few have something in flight: they are found by the requests.
-    fn presume_lost_attempts(&mut self) {
-        let losses_are_rare = self.losses.is_low(self.now);
-        let attempts = self.requests.values().flat_map(|pending| pending.attempts.iter());
-        let busy: BTreeSet<_> =
-            attempts.filter(|attempt| attempt.in_flight).map(|attempt| attempt.endpoint).collect();
-        for id in busy {
-            let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
-            let next = endpoint.presume_lost(self.now, losses_are_rare);
-            self.timer.wake_by(next);
-        }
-    }
-
     fn raise_virtual_times(&mut self) {
         if let Some(idle_since) = self.volumes.raise_virtual_times(self.now) {
             self.unit_pools.forget_idle(idle_since);
         }
     }
 
-    /// Clients have so many connections: more open requests would keep out others that earn more.
-    fn shed_load(&mut self) {
-        let max = self.settings.max_open_requests;
-        let mut open = self.requests.values().filter(|pending| !pending.is_answered()).count();
-        while max > 0 && open > max {
-            let Some(id) = self.least_wanted() else { return };
-            self.answer_unserved(id);
-            open -= 1;
-        }
-    }
-
-    /// The queued request that was never sent and is the first to be given up.
-    fn least_wanted(&self) -> Option<RequestId> {
-        let is_unsent = |pending: &PendingRequest| pending.is_queued() && pending.attempts.is_empty();
-        let unsent = self.requests.iter().filter(|(_, pending)| is_unsent(pending));
-        let ranked = unsent.map(|(id, pending)| {
-            let volume = self.volumes.get(pending.request.volume);
-            let factor = priority_factor(&self.settings, pending.request.class);
-            (ShedRank::new(pending, volume, factor, self.now), *id)
-        });
-        ranked.max_by(|(a, _), (b, _)| a.compare(b)).map(|(_, id)| id)
-    }
-
     fn set_timer(&mut self) {
         if let Some(at) = self.timer.set(self.now) {
             self.actions.push(Action::SetTimer(at));
--- a/crates/core/src/units_message.rs
+++ b/crates/core/src/units_message.rs
@@ -1,10 +1,10 @@
 //! Messages between initiators about the units of limited volumes, and their bytes. What is asked for and granted is
 //! decided in `scheduler/unit_grants.rs`.
 
-/// A message between two hosts about the units of a limited volume.
+/// A message between two initiators about the units of a limited volume.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum UnitsMessage {
-    /// A host that lacks units asks the volume's home for some.
+    /// An initiator that lacks units asks the volume's home for some.
     Request {
         /// The volume.
         volume: u64,
