--- a/crates/lab/src/hollow/around.rs
+++ b/crates/lab/src/hollow/around.rs
@@ -5,7 +5,10 @@
 use base64::Engine;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use shaletack::nbd::codec::*;
+use shaletack::nbd::codec::{
+    chunk, chunk_head, cmd, info_request, opt, option, option_reply, rep, simple_reply, transmission_flag,
+    Request, FIXED_NEWSTYLE, INIT_MAGIC, NO_ZEROES, OPT_MAGIC,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -204,7 +207,11 @@
         let (option, length) = (s.read_u32().await?, s.read_u32().await?);
         s.read_exact(&mut vec![0; length as usize]).await?;
         if option == opt::GO {
-            let flags = (has::FLAGS | has::FLUSH | has::FUA | has::MULTI_CONN).to_be_bytes();
+            let flags = (transmission_flag::FLAGS
+                | transmission_flag::FLUSH
+                | transmission_flag::FUA
+                | transmission_flag::MULTI_CONN)
+                .to_be_bytes();
             let told = [&[0, 0], &(1u64 << 20).to_be_bytes()[..], &flags].concat();
             s.write_all(&option_reply(option, rep::INFO, &told)).await?;
         }
@@ -250,7 +257,7 @@
     for cookie in 1.. {
         let offset = rng.random_range(0..EXPORTED as u64 * EXTENT / u64::from(READ)) * u64::from(READ);
         let ask = Request { flags: 0, command: cmd::READ, cookie, offset, length: READ };
-        s.write_all(&ask.bytes()).await?;
+        s.write_all(&ask.encode()).await?;
         let (mut done, mut failed) = (false, false);
         while !done {
             s.read_u32().await?;
--- a/crates/lab/src/slopes/stand.rs
+++ b/crates/lab/src/slopes/stand.rs
@@ -1,7 +1,10 @@
 //! What stands round the one real process: boxes, discovery and clients, as tasks on loopback.
 
 use super::Front;
-use shaletack::nbd::codec::*;
+use shaletack::nbd::codec::{
+    chunk, chunk_head, cmd, info_request, opt, option, option_reply, rep, transmission_flag, Request,
+    FIXED_NEWSTYLE, INIT_MAGIC, NO_ZEROES, OPT_MAGIC, STRUCTURED_REPLY_MAGIC,
+};
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -104,7 +107,11 @@
         s.read_exact(&mut vec![0; length as usize]).await?;
         if option == opt::GO {
             let size = SHARD.to_be_bytes();
-            let flags = (has::FLAGS | has::FLUSH | has::FUA | has::MULTI_CONN).to_be_bytes();
+            let flags = (transmission_flag::FLAGS
+                | transmission_flag::FLUSH
+                | transmission_flag::FUA
+                | transmission_flag::MULTI_CONN)
+                .to_be_bytes();
             s.write_all(&option_reply(option, rep::INFO, &[&[0, 0], &size[..], &flags].concat())).await?;
         }
         s.write_all(&option_reply(option, rep::ACK, &[])).await?;
@@ -303,7 +310,7 @@
                 let offset = (number / EXPORTS % extents) as u64 * SHARD;
                 let (cookie, length) = (number as u64, READ);
                 let request = Request { flags: 0, command: cmd::READ, cookie, offset, length };
-                self.stream.write_all(&request.bytes()).await?;
+                self.stream.write_all(&request.encode()).await?;
                 self.reply().await
             }
         }
@@ -323,7 +330,7 @@
     async fn reply(&mut self) -> io::Result<bool> {
         let (s, mut served) = (&mut self.stream, true);
         loop {
-            if s.read_u32().await? != CHUNK_MAGIC {
+            if s.read_u32().await? != STRUCTURED_REPLY_MAGIC {
                 return Err(strange("no chunk"));
             }
             let (flags, kind) = (s.read_u16().await?, s.read_u16().await?);
--- a/src/app/error.rs
+++ b/src/app/error.rs
@@ -2,6 +2,7 @@
 
 use shaletack::net::handover::HandoverError;
 use shaletack::writeback::offline::OfflineError;
+use shaletack::writeback::OpenError;
 use std::io;
 use std::net::SocketAddr;
 
@@ -74,7 +75,7 @@
     WriteBack(#[from] OfflineError),
     /// The NBD front can't be set up.
     #[error("{0}")]
-    Nbd(String),
+    Nbd(OpenError),
     /// Standard output can't be written.
     #[error("{0}")]
     Output(io::Error),
--- /dev/null
+++ b/src/nbd/front/execute.rs
@@ -0,0 +1,237 @@
+//! Carries out one command: asks the core for each of its parts and puts the answers together into one reply.
+//!
+//! A read ends with its first part that is not served. A write or flush waits for all of its parts, for a part that is
+//! still in flight may yet be written. Writes to an export with write-back go to the write-back cache instead, and
+//! reads from it are overlaid with what is buffered.
+
+use super::command_error::CommandError;
+use super::split::{parts, Part};
+use super::transmission::{AdmittedCommand, Session};
+use crate::broker::{Answer, IncomingRequest};
+use crate::interface::Settings;
+use crate::nbd::codec::{cmd, command_flag, Request};
+use crate::nbd::endpoint_client::EndpointCommand;
+use crate::writeback::{WriteBackCache, WriteError};
+use bytes::Bytes;
+use futures_util::stream::{FuturesUnordered, StreamExt};
+use shaletack_writeback::{Overlay, Piece};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// A part of a command, and what the core answered.
+struct AnsweredPart {
+    part: Part,
+    answer: Answer,
+}
+
+/// How the parts of a write or flush ended.
+#[derive(Default)]
+struct WriteOutcome {
+    /// Parts that were served.
+    served: usize,
+    /// The first part that was rejected, and the longest wait of all that were.
+    rejected: Option<RejectedPart>,
+    /// Where in the export a part failed.
+    failed_at: Option<u64>,
+}
+
+struct RejectedPart {
+    offset: u64,
+    retry_after: Duration,
+}
+
+/// Why a command failed, and where in the export.
+struct FailedCommand {
+    error: CommandError,
+    offset: u64,
+}
+
+impl WriteOutcome {
+    fn add(&mut self, offset: u64, answer: &Answer) {
+        match answer {
+            Answer::Served(_) => self.served += 1,
+            Answer::Failed => self.failed_at = Some(offset),
+            Answer::Rejected(retry_after) => {
+                let rejected =
+                    self.rejected.get_or_insert(RejectedPart { offset, retry_after: *retry_after });
+                rejected.retry_after = rejected.retry_after.max(*retry_after);
+            }
+        }
+    }
+
+    /// A rejected write may be tried again without harm only if no part of it ran.
+    fn result(self, command: u16) -> Result<(), FailedCommand> {
+        if let Some(offset) = self.failed_at {
+            return Err(FailedCommand { error: CommandError::Failed, offset });
+        }
+        let Some(RejectedPart { offset, retry_after }) = self.rejected else { return Ok(()) };
+        let error = if self.served > 0 && command == cmd::WRITE {
+            CommandError::PartlyWritten
+        } else {
+            CommandError::Rejected { retry_after }
+        };
+        Err(FailedCommand { error, offset })
+    }
+}
+
+impl Session {
+    /// Carries out a command and queues its reply.
+    pub async fn execute(&self, command: AdmittedCommand) {
+        let parts = parts(&command.request, &self.export, &self.shared.operator);
+        let cache = self.shared.write_back.as_ref().filter(|_| self.export.write_back);
+        match (command.request.command, cache) {
+            (cmd::READ, _) => self.read(&command, &parts, cache).await,
+            (_, Some(cache)) => self.write_to_cache(&command, &parts, cache).await,
+            (_, None) => self.write_to_endpoints(&command, &parts).await,
+        }
+    }
+
+    async fn read(&self, command: &AdmittedCommand, parts: &[Part], cache: Option<&WriteBackCache>) {
+        let AdmittedCommand { request, memory, .. } = command;
+        // Taken before any endpoint is asked: what is settled meanwhile may not be in what they answer.
+        let overlay = cache.map(|cache| cache.overlay(&self.export, request.offset, request.length));
+        let overlay = &overlay.unwrap_or_default();
+        let reads = parts.iter().map(|part| self.read_part(request, *part, overlay));
+        let mut reads: FuturesUnordered<_> = reads.collect();
+        // Parts go out as they come where the client takes them so; else all are put together first.
+        let in_chunks = self.replies.are_structured() && request.flags & command_flag::DF == 0;
+        let mut complete = vec![0; if in_chunks { 0 } else { request.length as usize }];
+        while let Some(AnsweredPart { part, answer }) = reads.next().await {
+            let offset = part.export_offset(request);
+            let error = match answer {
+                Answer::Served(data) if in_chunks => {
+                    self.replies.data_chunk(request.cookie, offset, data, memory.clone()).await;
+                    continue;
+                }
+                Answer::Served(data) => {
+                    complete[part.range_offset as usize..][..data.len()].copy_from_slice(&data);
+                    continue;
+                }
+                Answer::Rejected(retry_after) => CommandError::Rejected { retry_after },
+                Answer::Failed => CommandError::Failed,
+            };
+            drop(reads);
+            return self.replies.error(request.cookie, error, Some(offset)).await;
+        }
+        drop(reads);
+        if in_chunks {
+            self.replies.done(request.cookie).await;
+        } else {
+            let offset = request.offset;
+            self.replies.complete_data(request.cookie, offset, complete.into(), memory.clone()).await;
+        }
+    }
+
+    /// What is buffered goes over what the endpoint holds; where all is buffered the endpoint is not asked.
+    async fn read_part(&self, request: &Request, part: Part, overlay: &Overlay) -> AnsweredPart {
+        let offset = part.export_offset(request);
+        if overlay.covers(offset, part.length) {
+            let data = overlay.apply(offset, vec![0; part.length as usize]);
+            return AnsweredPart { part, answer: Answer::Served(data.into()) };
+        }
+        let answer = match self.request_part(request, part, Bytes::new()).await {
+            Answer::Served(data) if !overlay.is_empty() => {
+                Answer::Served(overlay.apply(offset, data.into()).into())
+            }
+            answer => answer,
+        };
+        AnsweredPart { part, answer }
+    }
+
+    /// A write or flush that goes to the endpoints.
+    async fn write_to_endpoints(&self, command: &AdmittedCommand, parts: &[Part]) {
+        let AdmittedCommand { request, data, .. } = command;
+        let writes = parts.iter().map(|part| async {
+            let data = if data.is_empty() { Bytes::new() } else { data.slice(part.data_range()) };
+            AnsweredPart { part: *part, answer: self.request_part(request, *part, data).await }
+        });
+        let mut writes: FuturesUnordered<_> = writes.collect();
+        let mut outcome = WriteOutcome::default();
+        while let Some(AnsweredPart { part, answer }) = writes.next().await {
+            outcome.add(part.export_offset(request), &answer);
+        }
+        match outcome.result(request.command) {
+            Ok(()) => self.replies.done(request.cookie).await,
+            Err(FailedCommand { error, offset }) => {
+                let offset = Some(offset).filter(|_| request.command != cmd::FLUSH);
+                self.replies.error(request.cookie, error, offset).await;
+            }
+        }
+    }
+
+    /// A write or flush of an export with write-back.
+    async fn write_to_cache(&self, command: &AdmittedCommand, parts: &[Part], cache: &WriteBackCache) {
+        let AdmittedCommand { request, data, .. } = command;
+        let deadline = class_deadline(&self.shared.host.settings(), self.shared.operator.classes.write);
+        let done = if request.command == cmd::FLUSH {
+            cache.flush(&self.export, deadline).await
+        } else {
+            let piece = |part: &Part| Piece {
+                export_offset: part.export_offset(request),
+                shard: part.shard,
+                endpoint_offset: part.endpoint_offset,
+                data: data.slice(part.data_range()),
+            };
+            let pieces = parts.iter().map(piece).collect();
+            let fua = request.flags & command_flag::FUA != 0;
+            cache.write(&self.export, pieces, fua, deadline).await
+        };
+        let error = match done {
+            Ok(()) => return self.replies.done(request.cookie).await,
+            Err(WriteError::LogFull) => CommandError::LogFull,
+            Err(WriteError::TooLarge | WriteError::NotDurableInTime) => CommandError::NotBuffered,
+        };
+        self.replies.error(request.cookie, error, None).await;
+    }
+
+    /// Asks the core for one part. Background work on the shard waits meanwhile.
+    async fn request_part(&self, request: &Request, part: Part, data: Bytes) -> Answer {
+        let write_back = self.shared.write_back.as_ref();
+        let _demand = write_back.map(|cache| cache.client_request(part.shard));
+        let command = EndpointCommand {
+            client: self.shared.endpoints.clone(),
+            command: request.command,
+            fua: request.flags & command_flag::FUA != 0,
+            offset: part.endpoint_offset,
+            length: part.length,
+            data,
+        };
+        self.shared.host.ask(self.incoming_request(request, part), Rc::new(command)).await
+    }
+
+    fn incoming_request(&self, request: &Request, part: Part) -> IncomingRequest {
+        let operator = &self.shared.operator;
+        let class = self.class(request);
+        IncomingRequest {
+            class,
+            volume: self.export.volume,
+            plan: self.export.plan,
+            initiators: self.export.hosts,
+            key: self.placement_key(part),
+            shard: Some(part.shard),
+            units: f64::from(part.length.div_ceil(operator.unit_bytes).max(1)),
+            time_remaining: class_deadline(&operator.settings, class),
+            client_retry: false,
+        }
+    }
+
+    /// The request class of a command. A read is large by its whole length, not by that of its parts.
+    fn class(&self, request: &Request) -> u16 {
+        let operator = &self.shared.operator;
+        match request.command {
+            cmd::WRITE => operator.classes.write,
+            cmd::READ if request.length > operator.large_from => operator.classes.large_read,
+            _ => operator.classes.read,
+        }
+    }
+
+    /// Parts of the same region of a volume have the same key, so that they go to the same place; 0 is no key.
+    fn placement_key(&self, part: Part) -> u64 {
+        let region = part.endpoint_offset / u64::from(self.shared.operator.large_from);
+        1 + (region ^ self.export.volume.rotate_left(24)) % (u64::MAX - 1)
+    }
+}
+
+fn class_deadline(settings: &Settings, class: u16) -> Duration {
+    settings.classes.get(class as usize).map_or(Duration::ZERO, |class| class.deadline)
+}
--- /dev/null
+++ b/src/nbd/front/split.rs
@@ -0,0 +1,68 @@
+//! Cuts a command into parts: an export lies on several shards, and a request of the core goes to one of them and has a
+//! largest size.
+
+use crate::nbd::codec::{cmd, Request};
+use crate::operator::{Export, Operator};
+use std::collections::BTreeSet;
+use std::ops::Range;
+
+/// A part of a command that lies on one shard and is no larger than a request may be.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct Part {
+    /// The shard it lies on.
+    pub shard: u16,
+    /// Where it begins in the command's range, in bytes.
+    pub range_offset: u32,
+    /// Its length in bytes.
+    pub length: u32,
+    /// Where it begins at the endpoint, in bytes.
+    pub endpoint_offset: u64,
+}
+
+impl Part {
+    /// Its place in the command's data.
+    pub fn data_range(&self) -> Range<usize> {
+        self.range_offset as usize..(self.range_offset + self.length) as usize
+    }
+
+    /// Where it begins in the export, in bytes.
+    pub fn export_offset(&self, request: &Request) -> u64 {
+        request.offset + u64::from(self.range_offset)
+    }
+}
+
+/// The parts of a command in the order of the export; a flush has one for each shard.
+pub(super) fn parts(request: &Request, export: &Export, operator: &Operator) -> Vec<Part> {
+    if request.command == cmd::FLUSH {
+        return flush_parts(export);
+    }
+    let max_length = max_part_bytes(operator);
+    let end = request.offset + u64::from(request.length);
+    let mut at = request.offset;
+    let mut parts = Vec::new();
+    for extent in &export.extents {
+        let extent_end = extent.from + extent.length;
+        while at < end && (extent.from..extent_end).contains(&at) {
+            let length = (end.min(extent_end) - at).min(max_length);
+            parts.push(Part {
+                shard: extent.shard,
+                range_offset: (at - request.offset) as u32,
+                length: length as u32,
+                endpoint_offset: extent.at + (at - extent.from),
+            });
+            at += length;
+        }
+    }
+    parts
+}
+
+fn flush_parts(export: &Export) -> Vec<Part> {
+    let shards: BTreeSet<u16> = export.extents.iter().map(|extent| extent.shard).collect();
+    let part = |shard| Part { shard, range_offset: 0, length: 0, endpoint_offset: 0 };
+    shards.into_iter().map(part).collect()
+}
+
+fn max_part_bytes(operator: &Operator) -> u64 {
+    let max_units = operator.settings.max_request_units.max(1.0) as u64;
+    max_units.saturating_mul(operator.unit_bytes.into())
+}
--- a/src/writeback/attempts.rs
+++ b/src/writeback/attempts.rs
@@ -1,8 +1,8 @@
 //! Requests for buffered pieces: sent to their endpoints through the core, as any client's are.
 
 use crate::broker::{Answer, IncomingRequest};
-use crate::nbd::boxes::{Boxes, Piece as EndpointCommand};
 use crate::nbd::codec::cmd;
+use crate::nbd::endpoint_client::{EndpointClient, EndpointCommand};
 use crate::operator::{Export, Operator};
 use crate::runtime::host::Host;
 use bytes::Bytes;
@@ -28,13 +28,13 @@
 /// How requests for pieces are made.
 pub(super) struct Attempts {
     host: Host,
-    boxes: Rc<Boxes>,
+    endpoints: Rc<EndpointClient>,
     operator: Operator,
 }
 
 impl Attempts {
-    pub fn new(host: Host, boxes: Rc<Boxes>, operator: Operator) -> Self {
-        Attempts { host, boxes, operator }
+    pub fn new(host: Host, endpoints: Rc<EndpointClient>, operator: Operator) -> Self {
+        Attempts { host, endpoints, operator }
     }
 
     /// The size of a piece of so many bytes, in units.
@@ -77,9 +77,9 @@
             RequestKind::Write => (cmd::WRITE, true, piece.data),
             RequestKind::ReadBack => (cmd::READ, false, Bytes::new()),
         };
-        let boxes = self.boxes.clone();
+        let client = self.endpoints.clone();
         let offset = piece.endpoint_offset;
-        let endpoint_command = EndpointCommand { boxes, command, fua, offset, length, data };
+        let endpoint_command = EndpointCommand { client, command, fua, offset, length, data };
         self.host.ask(request, Rc::new(endpoint_command)).await
     }
 
--- a/src/writeback/cache.rs
+++ b/src/writeback/cache.rs
@@ -7,7 +7,7 @@
 use super::log_writer::LogWriter;
 use super::pending_commands::PendingCommands;
 use super::segment_files::{OpenedLog, SegmentFiles};
-use crate::nbd::boxes::Boxes;
+use crate::nbd::endpoint_client::EndpointClient;
 use crate::operator::{Export, Operator, WriteBack};
 use crate::runtime::host::Host;
 use shaletack_background::{Scheduler, Task, WorkClass};
@@ -74,7 +74,7 @@
     /// The log can't be read, is another process's or another purpose's, or is damaged.
     pub fn open(
         host: Host,
-        boxes: Rc<Boxes>,
+        endpoints: Rc<EndpointClient>,
         operator: &Operator,
         settings: &WriteBack,
     ) -> Result<Self, OpenError> {
@@ -95,7 +95,7 @@
             buffer: RefCell::new(buffer),
             background: RefCell::new(Scheduler::new(&[send_class(settings)], Duration::ZERO)),
             log_writer: LogWriter::new(files),
-            attempts: Attempts::new(host, boxes, operator.clone()),
+            attempts: Attempts::new(host, endpoints, operator.clone()),
             commands: PendingCommands::default(),
             client_demand: RefCell::default(),
             origin: Instant::now(),
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -1,7 +1,11 @@
 //! Scripted peers on loopback: boxes and clients of both fronts.
 
 use shaletack::broker::{Broker, Clock, Input};
-use shaletack::nbd::codec::*;
+use shaletack::nbd::codec::{
+    chunk, chunk_head, cmd, errno, error_chunk, info_request, opt, option_reply, rep, simple_reply,
+    transmission_flag, Request, FIXED_NEWSTYLE, INIT_MAGIC, NO_ZEROES, OPT_MAGIC, REP_MAGIC,
+    STRUCTURED_REPLY_MAGIC,
+};
 use shaletack::operator::{self, Operator};
 use shaletack::runtime::host::Host;
 use std::cell::{Cell, RefCell};
@@ -111,7 +115,11 @@
         }
         if option == opt::GO {
             let size = (data.borrow().len() as u64).to_be_bytes();
-            let flags = (has::FLAGS | has::FLUSH | has::FUA | has::MULTI_CONN).to_be_bytes();
+            let flags = (transmission_flag::FLAGS
+                | transmission_flag::FLUSH
+                | transmission_flag::FUA
+                | transmission_flag::MULTI_CONN)
+                .to_be_bytes();
             s.write_all(&option_reply(option, rep::INFO, &[&[0, 0], &size[..], &flags].concat())).await?;
         }
         s.write_all(&option_reply(option, rep::ACK, &[])).await?;
@@ -269,7 +277,7 @@
         length: u32,
         data: &[u8],
     ) {
-        let request = Request { flags, command, cookie, offset, length }.bytes();
+        let request = Request { flags, command, cookie, offset, length }.encode();
         self.0.write_all(&[&request, data].concat()).await.unwrap();
     }
 
@@ -278,7 +286,7 @@
         let s = &mut self.0;
         let mut got = Got::default();
         loop {
-            assert_eq!(s.read_u32().await.unwrap(), CHUNK_MAGIC);
+            assert_eq!(s.read_u32().await.unwrap(), STRUCTURED_REPLY_MAGIC);
             let (flags, kind) = (s.read_u16().await.unwrap(), s.read_u16().await.unwrap());
             let (cookie, length) = (s.read_u64().await.unwrap(), s.read_u32().await.unwrap());
             let mut body = vec![0; length as usize];
--- a/tests/nbd.rs
+++ b/tests/nbd.rs
@@ -2,7 +2,10 @@
 
 mod common;
 use common::net::*;
-use shaletack::nbd::codec::*;
+use shaletack::nbd::codec::{
+    cmd, command_flag, errno, info, info_request, opt, option, rep, Request, INIT_MAGIC, SIMPLE_REPLY_MAGIC,
+    STRUCTURED_REPLY_MAGIC,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 async fn two_boxes(first: Script, second: Script) -> (NbdBox, NbdBox) {
@@ -37,7 +40,7 @@
         old.0.write_all(&option(opt::EXPORT_NAME, b"serra")).await.unwrap();
         assert_eq!((old.0.read_u64().await.unwrap(), old.0.read_u16().await.unwrap()), (131072, 0x10d));
         old.send(cmd::READ, 0, 5, 131072, 1, &[]).await;
-        assert_eq!(old.0.read_u32().await.unwrap(), SIMPLE_MAGIC);
+        assert_eq!(old.0.read_u32().await.unwrap(), SIMPLE_REPLY_MAGIC);
         assert_eq!((old.0.read_u32().await.unwrap(), old.0.read_u64().await.unwrap()), (errno::INVAL, 5));
         // What does not begin with a magic number ends the connection.
         old.0.write_all(&[0; 28]).await.unwrap();
@@ -52,13 +55,13 @@
         let (front, _, host) = nbd_front(over(&boxes)).await;
         let mut client = NbdClient::go(front).await;
         let text: Vec<u8> = (0..20_000u32).map(|i| (i % 251) as u8).collect();
-        client.send(cmd::WRITE, flag::FUA, 1, 60_000, 20_000, &text).await;
+        client.send(cmd::WRITE, command_flag::FUA, 1, 60_000, 20_000, &text).await;
         assert_eq!(client.reply().await, Got { cookie: 1, ..Got::default() });
         assert_eq!((boxes.0.count(cmd::WRITE), boxes.1.count(cmd::WRITE)), (1, 1));
-        assert!(boxes.0.seen.borrow().iter().all(|r| r.flags == flag::FUA));
+        assert!(boxes.0.seen.borrow().iter().all(|r| r.flags == command_flag::FUA));
         // Commands follow one another without waiting; each has its own reply.
         client.send(cmd::READ, 0, 2, 60_000, 20_000, &[]).await;
-        client.send(cmd::READ, flag::DF, 3, 60_000, 20_000, &[]).await;
+        client.send(cmd::READ, command_flag::DF, 3, 60_000, 20_000, &[]).await;
         client.send(cmd::FLUSH, 0, 4, 0, 0, &[]).await;
         client.send(9, 0, 5, 0, 0, &[]).await;
         client.send(cmd::WRITE, 0, 6, 131_000, 100, &[1; 100]).await;
@@ -138,7 +141,7 @@
         let mut client = NbdClient::go(front).await;
         client.send(cmd::READ, 0, 1, 60_000, 10_000, &[]).await;
         // The first box's piece is there; the second box's is not, and the client does not wait for it.
-        assert_eq!(client.0.read_u32().await.unwrap(), CHUNK_MAGIC);
+        assert_eq!(client.0.read_u32().await.unwrap(), STRUCTURED_REPLY_MAGIC);
         boxes.1.came.notified().await;
         assert_eq!(host.open(), 1);
         drop(client);
@@ -267,7 +270,7 @@
         let boxes = two_boxes(Script::Serve, Script::Serve).await;
         let (front, _, _) = nbd_front(over(&boxes)).await;
         let mut resting = NbdClient::go(front).await;
-        let write = Request { flags: 0, command: cmd::WRITE, cookie: 1, offset: 0, length: 4096 }.bytes();
+        let write = Request { flags: 0, command: cmd::WRITE, cookie: 1, offset: 0, length: 4096 }.encode();
         let stops: Vec<Vec<u8>> = vec![write[..20].to_vec(), [&write[..], &[7; 100]].concat()];
         let mut stopped = vec![NbdClient::connect(front).await];
         for said in stops {
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -9,7 +9,7 @@
 use shaletack::broker::{Broker, Clock, Input};
 use shaletack::endpoint_list::{EndpointList, EndpointRecord};
 use shaletack::interface::{EndpointListKind, Readiness};
-use shaletack::nbd::codec::*;
+use shaletack::nbd::codec::cmd;
 use shaletack::operator;
 use shaletack::peers::{observer, status, Peers};
 use shaletack::runtime::host::Host;
--- a/tests/writeback.rs
+++ b/tests/writeback.rs
@@ -4,7 +4,7 @@
 use common::faults::Faults;
 use common::net::*;
 use common::process::Process;
-use shaletack::nbd::codec::*;
+use shaletack::nbd::codec::{cmd, command_flag};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -80,7 +80,7 @@
         let text = file(boxed.address, &folder, "ask");
         let mut first = Process::start("stands.json", &text);
         let mut client = NbdClient::go(first.place().await).await;
-        assert_eq!(write(&mut client, 1, 11, flag::FUA).await, 0);
+        assert_eq!(write(&mut client, 1, 11, command_flag::FUA).await, 0);
         assert_eq!(write(&mut client, 2, 22, 0).await, 0);
         client.send(cmd::FLUSH, 0, 99, 0, 0, &[]).await;
         assert_eq!(client.reply().await.error, 0);
@@ -131,7 +131,7 @@
         assert!(operate(&["list"]).1.contains("there is no log"));
         let mut first = Process::start("doubt.json", &text);
         let mut client = NbdClient::go(first.place().await).await;
-        assert_eq!(write(&mut client, 1, 11, flag::FUA).await, 0);
+        assert_eq!(write(&mut client, 1, 11, command_flag::FUA).await, 0);
         until(|| boxed.count(cmd::WRITE) == 1).await;
         assert!(operate(&["list"]).1.contains("another process has this log"));
         first.0.kill().unwrap();
@@ -142,7 +142,7 @@
         again.says("can't be settled without an operator").await;
         assert_eq!(read(&mut client, 1).await, 11);
         assert_eq!(
-            write(&mut client, 1, 12, flag::FUA).await,
+            write(&mut client, 1, 12, command_flag::FUA).await,
             0,
             "it waits behind, and is taken all the same"
         );
@@ -184,7 +184,7 @@
             // Each cell is written once in all, so that what reaches the box can be counted.
             for n in 0..=life * 3 {
                 let (cell, value) = (life * 16 + n, (life * 16 + n) as u8 + 1);
-                assert_eq!(write(&mut client, cell, value, flag::FUA).await, 0);
+                assert_eq!(write(&mut client, cell, value, command_flag::FUA).await, 0);
                 promised.insert(cell, value);
             }
             process.0.kill().unwrap();
@@ -230,7 +230,7 @@
         let mut promised = BTreeMap::new();
         for cell in 0..60_u64 {
             let value = cell as u8 + 1;
-            let (error, took) = timed(&mut client, cmd::WRITE, cell, value, flag::FUA).await;
+            let (error, took) = timed(&mut client, cmd::WRITE, cell, value, command_flag::FUA).await;
             assert!(took < IN_TIME && error == 0, "cell {cell}: {error} after {took:?}");
             promised.insert(cell, value);
         }
@@ -241,7 +241,7 @@
         tokio::time::sleep(Duration::from_millis(30)).await;
         assert_eq!(timed(&mut client, cmd::WRITE, 70, 70, 0).await.0, 0);
         for (command, cell, flags) in
-            [(cmd::FLUSH, 0, 0), (cmd::WRITE, 71, flag::FUA), (cmd::WRITE, 72, 0), (cmd::FLUSH, 0, 0)]
+            [(cmd::FLUSH, 0, 0), (cmd::WRITE, 71, command_flag::FUA), (cmd::WRITE, 72, 0), (cmd::FLUSH, 0, 0)]
         {
             let (error, took) = timed(&mut client, command, cell, 73, flags).await;
             assert!(error != 0 && took < IN_TIME, "{command} of {cell}: {error} after {took:?}");
@@ -252,12 +252,12 @@
         let (error, took) = timed(&mut client, cmd::FLUSH, 0, 0, 0).await;
         assert!(error == 0 && took < DEADLINE, "flush: {error} after {took:?}");
         promised.insert(70, 70);
-        assert_eq!(timed(&mut client, cmd::WRITE, 80, 80, flag::FUA).await.0, 0);
+        assert_eq!(timed(&mut client, cmd::WRITE, 80, 80, command_flag::FUA).await.0, 0);
         promised.insert(80, 80);
         // Killed while the disk refuses.
         faults.set("disk 500\n");
         for cell in 81..90_u64 {
-            let (error, took) = timed(&mut client, cmd::WRITE, cell, cell as u8, flag::FUA).await;
+            let (error, took) = timed(&mut client, cmd::WRITE, cell, cell as u8, command_flag::FUA).await;
             assert!(took < IN_TIME);
             if error == 0 {
                 promised.insert(cell, cell as u8);
