--- a/src/app/commands.rs
+++ b/src/app/commands.rs
@@ -23,7 +23,7 @@
         Source::Operator(file) => {
             let operator = load_operator(&file)?;
             let (exports, plans) = (operator.exports.len(), operator.settings.plans.len());
-            let boxes = operator.boxes.entries.len();
+            let boxes = operator.endpoints.entries.len();
             println!("{file} is sound: {exports} exports, {plans} contracts, {boxes} boxes");
         }
     }
--- a/src/app/configuration.rs
+++ b/src/app/configuration.rs
@@ -81,7 +81,7 @@
 pub fn read_operator(file: &str) -> Result<Operator, ReadError> {
     let mut text = read_file(file)?;
     operator::read(&mut text).map_err(|faults| {
-        let lines: Vec<String> = faults.0.iter().map(|fault| format!("{file}: {fault}")).collect();
+        let lines: Vec<String> = faults.lines().iter().map(|fault| format!("{file}: {fault}")).collect();
         ReadError::Invalid(lines.join("\n"))
     })
 }
--- a/src/app/serve_nbd.rs
+++ b/src/app/serve_nbd.rs
@@ -32,7 +32,7 @@
         Some(observer) => broker.among_peers(observer.clone()),
         None => broker,
     });
-    host.feed(Input::EndpointList(operator.boxes.clone()));
+    host.feed(Input::EndpointList(operator.endpoints.clone()));
     let list_source = ListSource::follow(host.clone(), operator.etcd.clone());
     // Before clients come, and for 300 ms at most: what the peers know is worth that wait.
     let peers = match operator.peers.as_ref().zip(observer) {
@@ -102,7 +102,7 @@
     fn apply(&mut self, new: Operator) {
         info!("the operator's file is read again: the list of boxes counts from now on");
         if new.etcd.is_none() {
-            let list = EndpointList { kind: EndpointListKind::Full, ..new.boxes };
+            let list = EndpointList { kind: EndpointListKind::Full, ..new.endpoints };
             self.host.feed(Input::EndpointList(list));
         }
         if let Some(peers) = self.peers.clone() {
--- a/src/nbd/front/execute.rs
+++ b/src/nbd/front/execute.rs
@@ -206,7 +206,7 @@
             class,
             volume: self.export.volume,
             plan: self.export.plan,
-            initiators: self.export.hosts,
+            initiators: self.export.initiators,
             key: self.placement_key(part),
             shard: Some(part.shard),
             units: f64::from(part.length.div_ceil(operator.unit_bytes).max(1)),
@@ -220,14 +220,14 @@
         let operator = &self.shared.operator;
         match request.command {
             cmd::WRITE => operator.classes.write,
-            cmd::READ if request.length > operator.large_from => operator.classes.large_read,
+            cmd::READ if request.length > operator.large_read_threshold => operator.classes.large_read,
             _ => operator.classes.read,
         }
     }
 
     /// Parts of the same region of a volume have the same key, so that they go to the same place; 0 is no key.
     fn placement_key(&self, part: Part) -> u64 {
-        let region = part.endpoint_offset / u64::from(self.shared.operator.large_from);
+        let region = part.endpoint_offset / u64::from(self.shared.operator.large_read_threshold);
         1 + (region ^ self.export.volume.rotate_left(24)) % (u64::MAX - 1)
     }
 }
--- a/src/nbd/front/mod.rs
+++ b/src/nbd/front/mod.rs
@@ -66,7 +66,7 @@
     let listener = FrontListener {
         listener,
         host: host.clone(),
-        max_connections: (operator.sockets / DESCRIPTORS_PER_CLIENT).max(1),
+        max_connections: (operator.max_descriptors / DESCRIPTORS_PER_CLIENT).max(1),
         shutdown: shutdown.clone(),
         succeeded: Rc::new(|| false),
     };
@@ -88,7 +88,7 @@
     let connect_timeout = or(settings.connect_timeout, DEFAULT_CONNECT_TIMEOUT);
     let keep_alive_timeout = or(settings.keep_alive_timeout, DEFAULT_KEEP_ALIVE_TIMEOUT);
     let idle_timeout = keep_alive_timeout * IDLE_TIMEOUT_TENTHS / 10;
-    EndpointClient::new(operator.box_export.clone(), connect_timeout, idle_timeout)
+    EndpointClient::new(operator.endpoint_export.clone(), connect_timeout, idle_timeout)
 }
 
 async fn serve_connection(shared: Rc<Shared>, shutdown: Shutdown, stream: TcpStream) {
--- a/src/nbd/front/split.rs
+++ b/src/nbd/front/split.rs
@@ -41,14 +41,14 @@
     let mut at = request.offset;
     let mut parts = Vec::new();
     for extent in &export.extents {
-        let extent_end = extent.from + extent.length;
-        while at < end && (extent.from..extent_end).contains(&at) {
+        let extent_end = extent.export_offset + extent.length;
+        while at < end && (extent.export_offset..extent_end).contains(&at) {
             let length = (end.min(extent_end) - at).min(max_length);
             parts.push(Part {
                 shard: extent.shard,
                 range_offset: (at - request.offset) as u32,
                 length: length as u32,
-                endpoint_offset: extent.at + (at - extent.from),
+                endpoint_offset: extent.endpoint_offset + (at - extent.export_offset),
             });
             at += length;
         }
--- a/src/writeback/attempts.rs
+++ b/src/writeback/attempts.rs
@@ -101,7 +101,7 @@
             class,
             volume: export.volume,
             plan: export.plan,
-            initiators: export.hosts,
+            initiators: export.initiators,
             key: id,
             shard: Some(shard),
             units: self.units(length as usize) as f64,
--- a/src/writeback/cache.rs
+++ b/src/writeback/cache.rs
@@ -327,18 +327,22 @@
 
 /// The settings of the buffer. Also for an offline log.
 pub(super) fn buffer_config(settings: &WriteBack) -> Config {
-    Config { log: settings.log, attempt_lifetime: settings.attempt_lives, doubt_policy: settings.unsettled }
+    Config {
+        log: settings.log,
+        attempt_lifetime: settings.attempt_lifetime,
+        doubt_policy: settings.doubt_policy,
+    }
 }
 
 fn send_class(settings: &WriteBack) -> WorkClass {
     WorkClass {
         priority: SEND_PRIORITY,
-        units_per_second: settings.units,
+        units_per_second: settings.units_per_second,
         bytes_per_second: 0,
         burst: SEND_BURST,
         max_in_flight: MAX_IN_FLIGHT,
         max_in_flight_per_resource: MAX_IN_FLIGHT_PER_SHARD,
-        max_age: settings.age_most,
+        max_age: settings.max_age,
     }
 }
 
--- a/src/writeback/identity.rs
+++ b/src/writeback/identity.rs
@@ -10,7 +10,7 @@
 pub(super) fn purpose(operator: &Operator) -> u64 {
     let buffered = operator.exports.iter().filter(|export| export.write_back);
     let exports: Vec<String> = buffered.map(describe_export).collect();
-    let description = format!("[{}] {}", exports.join(", "), operator.box_export);
+    let description = format!("[{}] {}", exports.join(", "), operator.endpoint_export);
     format::hash_purpose(description.as_bytes())
 }
 
@@ -20,6 +20,6 @@
 }
 
 fn describe_extent(extent: &Extent) -> String {
-    let Extent { from, length, shard, at } = extent;
-    format!("Extent {{ from: {from}, length: {length}, shard: {shard}, at: {at} }}")
+    let Extent { export_offset, length, shard, endpoint_offset } = extent;
+    format!("Extent {{ from: {export_offset}, length: {length}, shard: {shard}, at: {endpoint_offset} }}")
 }
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -207,7 +207,7 @@
 pub async fn nbd_front(operator: Operator) -> (SocketAddr, Rc<Notify>, Host) {
     let (listener, address) = loopback().await;
     let (core, stop) = (host(&operator.settings), Rc::new(Notify::new()));
-    core.feed(Input::EndpointList(operator.boxes.clone()));
+    core.feed(Input::EndpointList(operator.endpoints.clone()));
     let (front, until) = (core.clone(), stop.clone());
     actix_rt::spawn(async move {
         shaletack::nbd::front::serve(front, operator, listener, until.notified()).await.unwrap()
@@ -405,7 +405,8 @@
 ) -> (SocketAddr, Rc<Notify>, Host, tokio::task::JoinHandle<()>) {
     let known = boxes.len();
     let nowhere = ("127.0.0.1:9".parse().unwrap(), 0);
-    let Operator { settings, mut boxes, .. } = operator(&[boxes, &[nowhere, (nowhere.0, 1)]].concat());
+    let Operator { settings, endpoints: mut boxes, .. } =
+        operator(&[boxes, &[nowhere, (nowhere.0, 1)]].concat());
     boxes.entries.truncate(known);
     let (listener, address) = loopback().await;
     let (core, stop) = (host(&settings), Rc::new(Notify::new()));
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -566,7 +566,7 @@
         let (folder, me) = (folder("calls"), initiator("n3", "127.0.0.1:5000"));
         let boxes = operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)]);
         let host = host(&boxes.settings);
-        host.feed(Input::EndpointList(boxes.boxes.clone()));
+        host.feed(Input::EndpointList(boxes.endpoints.clone()));
         let link = HandoverLink::new(host.clone(), me.clone(), &folder);
         link.accept_successors(state);
         until(|| me.socket(&folder).exists()).await;
@@ -576,7 +576,7 @@
         let (listener, place) = loopback().await;
         let ready = Rc::new(Cell::new(true));
         actix_rt::spawn(shaletack::net::management::serve(host.clone(), link, listener, ready));
-        let id = boxes.boxes.entries[0].id.clone();
+        let id = boxes.endpoints.entries[0].id.clone();
         let mut whole = BufReader::new(TcpStream::connect(place).await.unwrap());
         let call = format!("POST /v1/targets/{id}/suspend HTTP/1.1\r\nHost: a\r\n\r\n");
         whole.write_all(call.as_bytes()).await.unwrap();
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -67,7 +67,7 @@
         for _ in 0..2 {
             assert_eq!(call(place, "POST", &format!("/v1/targets/{id}/suspend")).await, 200);
         }
-        let mut list = operator(&[(boxed.address, 0), ("127.0.0.1:9".parse().unwrap(), 1)]).boxes;
+        let mut list = operator(&[(boxed.address, 0), ("127.0.0.1:9".parse().unwrap(), 1)]).endpoints;
         list.entries.truncate(1);
         host.feed(Input::EndpointList(list));
         let refused = client.ask(&platform_request("PUT", "gravacao", 0, 2, b"w")).await;
--- a/tests/nbd.rs
+++ b/tests/nbd.rs
@@ -184,7 +184,7 @@
     story(async {
         let boxes = two_boxes(Script::Serve, Script::Serve).await;
         let mut operator = over(&boxes);
-        operator.sockets = 4096;
+        operator.max_descriptors = 4096;
         let (front, _, _) = nbd_front(operator).await;
         drop(NbdClient::connect(front).await);
         // On the front's own thread: it accepts nothing until all of them are on their way.
@@ -216,7 +216,7 @@
         story(async move {
             let boxes = two_boxes(Script::Serve, Script::Serve).await;
             let operator = over(&boxes);
-            let listed = operator.boxes.clone();
+            let listed = operator.endpoints.clone();
             let (front, stop, host) = nbd_front(operator).await;
             // All requests are held back: no box takes any.
             let kind = shaletack::interface::EndpointListKind::Full;
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -307,7 +307,8 @@
         let mut client = HttpClient::connect(front).await;
         client.0.write_all(&platform_request("GET", "leitura", 0, 2, b"")).await.unwrap();
         boxes[0].came.notified().await;
-        let mut list = operator(&[(boxes[0].address, 0), (boxes[1].address, 0), (boxes[0].address, 1)]).boxes;
+        let mut list =
+            operator(&[(boxes[0].address, 0), (boxes[1].address, 0), (boxes[0].address, 1)]).endpoints;
         list.entries.truncate(2);
         list.entries[0].readiness = shaletack::interface::Readiness::Draining;
         host.feed(shaletack::broker::Input::EndpointList(list));
@@ -611,10 +612,10 @@
         let (http, _, http_host) = http_front(&over_http).await;
         let mut set = operator(&over_nbd);
         let extent = |shard: u16| shaletack::operator::Extent {
-            from: u64::from(shard) << 16,
+            export_offset: u64::from(shard) << 16,
             length: 1 << 16,
             shard,
-            at: 0,
+            endpoint_offset: 0,
         };
         (set.exports[0].size, set.exports[0].extents) = (1 << 18, (0..4).map(extent).collect());
         let (nbd, _, nbd_host) = nbd_front(set).await;
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -25,7 +25,7 @@
         ("\"phase\": \"up\"", "\"phase\": \"asleep\""),
         ("\"try-limit\": 4", "\"try-limits\": 4"),
     ]);
-    let faults = read(&shape).unwrap_err().0;
+    let faults = read(&shape).unwrap_err().lines();
     let expected = [
         ("", "unit_bits"),
         ("/unit_bytes: ", "512"),
@@ -53,7 +53,7 @@
          "\"name\": \"exportacao\", \"aim\": 750000000, \"deadline\": 2500000000, \"idempotency\": \"at_most_once\""),
         ("s-00000002", "s-00000001"),
     ]);
-    let faults = read(&misfit).unwrap_err().0;
+    let faults = read(&misfit).unwrap_err().lines();
     let paths: Vec<&str> = faults.iter().map(|f| f.split_once(": ").unwrap().0).collect();
     let expected = [
         "/listen",
@@ -68,7 +68,7 @@
         "/exports/1/team",
     ];
     assert_eq!(paths, expected, "{faults:#?}");
-    assert!(read("{").unwrap_err().0[0].starts_with("not JSON: "));
+    assert!(read("{").unwrap_err().lines()[0].starts_with("not JSON: "));
 }
 
 /// One settings object, read by the platform's reader and by the record, means the same.
@@ -81,7 +81,7 @@
     let operator = read(EXAMPLE).unwrap();
     platform.plans = operator.settings.plans.clone();
     assert_eq!(platform, operator.settings);
-    assert_eq!((operator.exports[0].extents[1].from, operator.exports[1].plan), (67108864, 2));
+    assert_eq!((operator.exports[0].extents[1].export_offset, operator.exports[1].plan), (67108864, 2));
 }
 
 #[test]
@@ -112,13 +112,13 @@
         buffered.write_back.is_some() && buffered.exports[0].write_back && !buffered.exports[1].write_back
     );
     let lacks = with(&[("\"hosts\": 1", "\"hosts\": 2, \"write_back\": true")]);
-    let paths: Vec<String> = read(&lacks).unwrap_err().0;
+    let paths: Vec<String> = read(&lacks).unwrap_err().lines();
     assert!(paths[0].starts_with("/exports/0/write_back: ") && paths[1].starts_with("/exports/0/hosts: "));
     let peers = |name: &str, listen: &str, join: &str| {
         let set =
             format!("\"peers\": {{\"name\": \"{name}\", \"listen\": \"{listen}\", \"join\": [\"{join}\"]}}");
         let text = with(&[("\"unit_bytes\"", &format!("{set}, \"unit_bytes\""))]);
-        read(&text).unwrap_err().0
+        read(&text).unwrap_err().lines()
     };
     assert!(peers("n1", "127.0.0.1:0", "127.0.0.1:1")[0].starts_with("/peers/listen: "));
     assert!(peers("n1", "127.0.0.1:9", "10.0.0.1:1")[0].starts_with("/peers/join/0: "));
@@ -146,7 +146,7 @@
         "\"idempotency\": \"idempotent\", \"group\": \"all\", \"late-worth\": 0.3",
         "\"idempotency\": \"at_most_once\", \"group\": \"all\", \"late-worth\": 0.3",
     );
-    let told = |result: Result<operator::Operator, operator::Faults>| result.unwrap_err().0.join("; ");
+    let told = |result: Result<operator::Operator, operator::Faults>| result.unwrap_err().lines().join("; ");
     for (changes, word) in [
         (vec![safe], "no class writes"),
         (vec![two], "'booking', 'export' all write"),
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -138,7 +138,7 @@
             until(|| host.open() == 8).await;
             clients.clear();
             took.push(until(|| host.open() == 0).await);
-            let mut list = operator(&[(boxed.address, 0), (nowhere, 1)]).boxes;
+            let mut list = operator(&[(boxed.address, 0), (nowhere, 1)]).endpoints;
             list.entries.truncate(1);
             host.feed(Input::EndpointList(list));
             assert_eq!(HttpClient::connect(front).await.ask(&read()).await.0, 200);
@@ -258,7 +258,7 @@
                 first.0.write_all(&platform_request("PUT", "gravacao", 0, 1, b"w")).await.unwrap();
                 until(|| seen.get() == 1).await;
                 let boxes = [(drains, 0), (stays.address, 1), (stays.address, 0)];
-                let mut list = operator(&boxes).boxes;
+                let mut list = operator(&boxes).endpoints;
                 let successor = list.entries.pop();
                 list.kind = if whole { EndpointListKind::Full } else { EndpointListKind::Delta };
                 match readiness {
@@ -283,7 +283,7 @@
                 // It has a place for one more.
                 let mut client = HttpClient::connect(front).await;
                 assert_eq!(client.ask(&read()).await.0, 503, "{readiness:?}");
-                let mut list = operator(&boxes).boxes;
+                let mut list = operator(&boxes).endpoints;
                 (list.kind, list.entries) = (EndpointListKind::Delta, successor.into_iter().collect());
                 host.feed(Input::EndpointList(list));
                 assert_eq!(client.ask(&read()).await.0, 200);
