--- a/src/app/serve_platform.rs
+++ b/src/app/serve_platform.rs
@@ -6,11 +6,11 @@
 use listenfd::ListenFd;
 use shaletack::broker::{Broker, Input};
 use shaletack::config::{self, Config};
-use shaletack::net::boxes::Boxes;
 use shaletack::net::downstream::front::{self, Front};
 use shaletack::net::downstream::request_ids::RequestIds;
 use shaletack::net::handover::{self, HandoverLink, HandoverState, Identity, ReceivedHandover};
 use shaletack::net::management;
+use shaletack::net::upstream::endpoint_clients::EndpointClients;
 use shaletack::net::watch::Watch;
 use shaletack::runtime::host::Host;
 use shaletack::runtime::sockets;
@@ -137,14 +137,14 @@
         let reload = Reload { host: host.clone(), watch, file, in_force: in_force.clone() };
         reload.spawn(signals.hangup);
         let listener = listen(held, &config).await?;
-        let endpoints = Boxes::new(&host, descriptors.endpoints);
+        let endpoint_clients = EndpointClients::new(&host, descriptors.endpoints);
         if followable {
             accept_successors(&link, &host, &request_ids, &in_force);
         }
         ready.set(true);
         let succeeded = Rc::new(move || link.is_connected().then(|| link.yield_budgets()).is_some());
         let max_connections = descriptors.clients.min(connections_in_memory(config.memory_mb));
-        let front = Front { host, boxes: endpoints, max_connections, request_ids, succeeded };
+        let front = Front { host, endpoint_clients, max_connections, request_ids, succeeded };
         let mut terminate = signals.terminate;
         front::serve(front, listener, async move {
             terminate.recv().await;
--- a/src/net/downstream/front.rs
+++ b/src/net/downstream/front.rs
@@ -9,7 +9,11 @@
 use super::request_head::{self, head_bytes, single_header, RequestHead};
 use super::request_ids::RequestIds;
 use crate::broker::Answer;
-use crate::net::boxes::{Boxes, Carried, Passed, Rest, Upload, BODIES_MOST, BODY_MOST};
+use crate::net::upstream::endpoint_clients::EndpointClients;
+use crate::net::upstream::limits::{MAX_BUFFERED_BODY, MAX_STREAMED_BODY};
+use crate::net::upstream::request_body::{RequestBody, Upload};
+use crate::net::upstream::response_body::{StreamedResponse, StreamedResponseSlot};
+use crate::net::upstream::upstream_call::UpstreamCall;
 use crate::runtime::host::{Host, Passing};
 use crate::runtime::listener::FrontListener;
 use crate::runtime::shutdown::Shutdown;
@@ -34,8 +38,8 @@
 pub struct Front {
     /// The core.
     pub host: Host,
-    /// For attempts at boxes.
-    pub boxes: Rc<Boxes>,
+    /// The connections to endpoints.
+    pub endpoint_clients: Rc<EndpointClients>,
     /// The most client connections at a time.
     pub max_connections: usize,
     /// The ids of recent requests.
@@ -46,7 +50,7 @@
 
 /// Serves until `stop` ends, and then what was taken.
 pub async fn serve(front: Front, listener: TcpListener, stop: impl std::future::Future<Output = ()>) {
-    let Front { host, boxes, max_connections, request_ids, succeeded } = front;
+    let Front { host, endpoint_clients, max_connections, request_ids, succeeded } = front;
     let shutdown = Shutdown::default();
     let core = host.clone();
     let listener = FrontListener {
@@ -56,7 +60,7 @@
         shutdown: shutdown.clone(),
         succeeded,
     };
-    let service = Rc::new(RequestService { host, boxes, request_ids });
+    let service = Rc::new(RequestService { host, endpoint_clients, request_ids });
     let closing = shutdown.clone();
     let handler = fn_service(move |request: Request| {
         let (service, closing) = (service.clone(), closing.clone());
@@ -105,7 +109,7 @@
 /// What all requests share.
 struct RequestService {
     host: Host,
-    boxes: Rc<Boxes>,
+    endpoint_clients: Rc<EndpointClients>,
     request_ids: Rc<RefCell<RequestIds>>,
 }
 
@@ -132,7 +136,7 @@
             Ok(body) => body,
             Err(status) => return malformed(&connection.0, status),
         };
-        if request.method() != Method::PUT && !matches!(body, Carried::None) {
+        if request.method() != Method::PUT && !matches!(body, RequestBody::None) {
             return malformed(&connection.0, StatusCode::BAD_REQUEST);
         }
         let waited = waited_behind_others(&request, &body, &connection.0);
@@ -152,11 +156,11 @@
         &self,
         request: &Request,
         head: RequestHead,
-        body: Carried,
+        body: RequestBody,
         connection: AnsweredOnDrop,
     ) -> Response<BoxBody> {
         let upload = match &body {
-            Carried::Moving(upload) => Some(upload.clone()),
+            RequestBody::Streaming(upload) => Some(upload.clone()),
             _ => None,
         };
         if upload.is_some() {
@@ -164,23 +168,23 @@
         } else {
             connection.0.request_in_progress();
         }
-        let rest = Rc::new(RefCell::new(None));
-        let call = Passed {
-            boxes: self.boxes.clone(),
+        let streamed_response = StreamedResponseSlot::default();
+        let call = UpstreamCall {
+            endpoint_clients: self.endpoint_clients.clone(),
             method: request.method().clone(),
             target: request.uri().path_and_query().map_or("/", |target| target.as_str()).to_owned(),
-            trace: head.trace_id,
-            key: head.idempotency_key,
+            trace_id: head.trace_id,
+            idempotency_key: head.idempotency_key,
             body,
-            rest: rest.clone(),
+            streamed_response: streamed_response.clone(),
         };
         let answer = self.host.ask(head.request, Rc::new(call)).await;
         // What is still to come of a body that nobody takes would be read as requests.
-        let body_cut = upload.is_some_and(|upload| !upload.went.get());
+        let body_cut = upload.is_some_and(|upload| !upload.is_passed_on.get());
         if body_cut {
             connection.0.closing();
         }
-        let mut response = self.respond(answer, rest, connection);
+        let mut response = self.respond(answer, streamed_response, connection);
         if body_cut {
             response.head_mut().set_connection_type(ConnectionType::Close);
         }
@@ -190,12 +194,12 @@
     fn respond(
         &self,
         answer: Answer,
-        rest: Rc<RefCell<Option<Rest>>>,
+        streamed_response: StreamedResponseSlot,
         connection: AnsweredOnDrop,
     ) -> Response<BoxBody> {
         match answer {
-            Answer::Served(body) => match rest.take() {
-                Some(rest) => stream_response(rest, (connection, self.host.passes())),
+            Answer::Served(body) => match streamed_response.take() {
+                Some(streamed) => stream_response(streamed, (connection, self.host.passes())),
                 None => Response::build(StatusCode::OK).body(body).map_into_boxed_body(),
             },
             Answer::Rejected(retry_after) => {
@@ -210,25 +214,25 @@
 
 /// How long ago the last byte of a request came: it may have waited behind others. The time of a request whose body is
 /// still to come begins with that body's last byte.
-fn waited_behind_others(request: &Request, body: &Carried, connection: &Connection) -> Duration {
+fn waited_behind_others(request: &Request, body: &RequestBody, connection: &Connection) -> Duration {
     let body_bytes = match body {
-        Carried::Moving(_) => return Duration::ZERO,
-        Carried::Whole(bytes) => bytes.len() as u64,
-        Carried::None => 0,
+        RequestBody::Streaming(_) => return Duration::ZERO,
+        RequestBody::Buffered(bytes) => bytes.len() as u64,
+        RequestBody::None => 0,
     };
     connection.request_arrived(head_bytes(request) + body_bytes).elapsed()
 }
 
 /// A large response, as its client takes it. Its request is answered with its last byte.
-fn stream_response(rest: Rest, guards: (AnsweredOnDrop, Passing)) -> Response<BoxBody> {
-    let stated = rest.stated;
-    let body = stream::unfold((rest, guards), |(mut rest, guards)| async move {
-        let next = rest.next().await?;
-        Some((next, (rest, guards)))
+fn stream_response(streamed: StreamedResponse, guards: (AnsweredOnDrop, Passing)) -> Response<BoxBody> {
+    let content_length = streamed.content_length;
+    let body = stream::unfold((streamed, guards), |(mut streamed, guards)| async move {
+        let next = streamed.next().await?;
+        Some((next, (streamed, guards)))
     });
     let body = body.boxed_local();
     let mut response = Response::build(StatusCode::OK);
-    match stated {
+    match content_length {
         Some(length) => response.body(SizedStream::new(length, body)).map_into_boxed_body(),
         None => response.body(BodyStream::new(body)).map_into_boxed_body(),
     }
@@ -242,31 +246,34 @@
 }
 
 /// A request's body: all of it, or of a large one as much as is held.
-async fn read_body(request: &mut Request, connection: &Rc<Connection>) -> Result<Carried, StatusCode> {
-    let stated = single_header(request.headers(), "Content-Length").and_then(|v| v.parse::<u64>().ok());
-    if stated.is_some_and(|length| length > BODIES_MOST) {
+async fn read_body(request: &mut Request, connection: &Rc<Connection>) -> Result<RequestBody, StatusCode> {
+    let content_length =
+        single_header(request.headers(), "Content-Length").and_then(|v| v.parse::<u64>().ok());
+    if content_length.is_some_and(|length| length > MAX_STREAMED_BODY) {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
-    while stated.is_none_or(|length| length <= BODY_MOST as u64) && body.len() <= BODY_MOST {
+    while content_length.is_none_or(|length| length <= MAX_BUFFERED_BODY as u64)
+        && body.len() <= MAX_BUFFERED_BODY
+    {
         match payload.next().await {
             Some(chunk) => body.extend_from_slice(&chunk.map_err(|_| StatusCode::BAD_REQUEST)?),
             // A GET has no body; an empty one would be passed on with a length it did not come with.
-            None if request.method() != Method::PUT && body.is_empty() => return Ok(Carried::None),
-            None => return Ok(Carried::Whole(body.freeze())),
+            None if request.method() != Method::PUT && body.is_empty() => return Ok(RequestBody::None),
+            None => return Ok(RequestBody::Buffered(body.freeze())),
         }
     }
     let (connection, head) = (connection.clone(), head_bytes(request));
-    Ok(Carried::Moving(Rc::new(Upload {
-        stated,
-        read: Cell::new(body.len() as u64),
-        first: body.freeze(),
+    Ok(RequestBody::Streaming(Rc::new(Upload {
+        content_length,
+        bytes_read: Cell::new(body.len() as u64),
+        buffered: body.freeze(),
         payload: RefCell::new(payload.boxed_local()),
-        came: Box::new(move |body| {
+        on_received: Box::new(move |body| {
             connection.request_arrived(head + body);
             connection.request_in_progress();
         }),
-        went: Cell::new(false),
+        is_passed_on: Cell::new(false),
     })))
 }
--- a/src/net/downstream/request_head.rs
+++ b/src/net/downstream/request_head.rs
@@ -2,7 +2,7 @@
 
 use crate::broker::{Broker, IncomingRequest};
 use crate::interface::VolumeId;
-use crate::net::boxes::IDEMPOTENCY_KEY;
+use crate::net::upstream::upstream_call::IDEMPOTENCY_KEY;
 use actix_http::header::{HeaderMap, HeaderValue};
 use actix_http::{HttpMessage, Method, Request};
 use std::ops::RangeInclusive;
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -402,10 +402,10 @@
     let (listener, address) = loopback().await;
     let (core, stop) = (host(&settings), Rc::new(Notify::new()));
     core.feed(Input::EndpointList(boxes));
-    let boxes = shaletack::net::boxes::Boxes::new(&core, 16);
+    let endpoint_clients = shaletack::net::upstream::endpoint_clients::EndpointClients::new(&core, 16);
     let front = shaletack::net::downstream::front::Front {
         host: core.clone(),
-        boxes,
+        endpoint_clients,
         max_connections: 16,
         request_ids: Rc::default(),
         succeeded: Rc::new(|| false),
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -5,8 +5,10 @@
 use common::net::*;
 use shaletack::broker::{Input, OperatorCommand};
 use shaletack::interface::Settings;
-use shaletack::net::boxes::{Boxes, Carried, Passed};
 use shaletack::net::handover::{self, HandoverLink, HandoverState, Identity};
+use shaletack::net::upstream::endpoint_clients::EndpointClients;
+use shaletack::net::upstream::request_body::RequestBody;
+use shaletack::net::upstream::upstream_call::UpstreamCall;
 use shaletack::net::watch::Watch;
 use shaletack::outcome::TransportOutcome;
 use shaletack::runtime::host::Errand;
@@ -244,15 +246,15 @@
 }
 
 /// One read, as it passes on.
-fn reads(boxes: &Rc<Boxes>) -> Passed {
-    Passed {
-        boxes: boxes.clone(),
+fn reads(boxes: &Rc<EndpointClients>) -> UpstreamCall {
+    UpstreamCall {
+        endpoint_clients: boxes.clone(),
         method: actix_http::Method::GET,
         target: "/leitura/1".into(),
-        trace: "1".into(),
-        key: None,
-        body: Carried::None,
-        rest: Rc::default(),
+        trace_id: "1".into(),
+        idempotency_key: None,
+        body: RequestBody::None,
+        streamed_response: Rc::default(),
     }
 }
 
@@ -263,7 +265,7 @@
     story(async {
         let boxed = HttpBox::start(|_, _| None).await;
         let host = host(&operator(&[(boxed.address, 0), (boxed.address, 1)]).settings);
-        let boxes = Boxes::new(&host, 1);
+        let boxes = EndpointClients::new(&host, 1);
         let attempt = || reads(&boxes).attempt(boxed.address, Duration::from_secs(2), Box::new(|_| {}));
         let first = actix_rt::spawn(attempt());
         boxed.came.notified().await;
@@ -306,7 +308,7 @@
         })
         .await;
         let host = host(&operator(&[(boxed, 0), (boxed, 1)]).settings);
-        let boxes = Boxes::new(&host, 4);
+        let boxes = EndpointClients::new(&host, 4);
         for (text, shows, whole) in forms {
             for cut in 0..=text.len() {
                 next.set((text, cut));
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -220,23 +220,25 @@
 #[test]
 fn a_figure_that_can_not_be_is_none() {
     for bad in [None, Some(""), Some("NaN"), Some("inf"), Some("-3"), Some("1e300"), Some("12%")] {
-        assert_eq!(shaletack::net::boxes::figure(bad, 1e4), None, "{bad:?}");
+        assert_eq!(shaletack::net::upstream::load_report::parse_figure(bad, 1e4), None, "{bad:?}");
     }
-    assert_eq!(shaletack::net::boxes::figure(Some("12.5"), 1e4), Some(12.5));
+    assert_eq!(shaletack::net::upstream::load_report::parse_figure(Some("12.5"), 1e4), Some(12.5));
 }
 
 /// On the way to the boxes idle connections were forgotten after 0.1 s, and two of five requests on them reset.
 #[test]
 fn connections_are_not_used_after_rests_that_resets_follow() {
+    use shaletack::net::upstream::keep_alive::{KeepAlivePolicy, ReuseOutcome};
     use std::time::Duration;
     let ms = Duration::from_millis;
-    let idling = shaletack::net::stream::Idling::new(ms(9000));
+    let outcome = |answered| if answered { ReuseOutcome::Answered } else { ReuseOutcome::Reset };
+    let policy = KeepAlivePolicy::new(ms(9000));
     // Resets that come after any rest say nothing of it.
-    (0..800).for_each(|n| idling.note(ms(n * 7 % 800), n % 19 > 0));
-    assert!(idling.allows(ms(700)) && !idling.allows(ms(9000)));
-    let idling = shaletack::net::stream::Idling::new(ms(9000));
-    (0..40).for_each(|n| idling.note(ms(n * 10), n < 10 || n % 5 > 1));
-    assert!(idling.allows(ms(90)) && !idling.allows(ms(150)) && !idling.allows(ms(1000)));
+    (0..800).for_each(|n| policy.record(ms(n * 7 % 800), outcome(n % 19 > 0)));
+    assert!(policy.allows(ms(700)) && !policy.allows(ms(9000)));
+    let policy = KeepAlivePolicy::new(ms(9000));
+    (0..40).for_each(|n| policy.record(ms(n * 10), outcome(n < 10 || n % 5 > 1)));
+    assert!(policy.allows(ms(90)) && !policy.allows(ms(150)) && !policy.allows(ms(1000)));
 }
 
 #[test]
