--- a/src/bin/shaletack-drill.rs
+++ b/src/bin/simulator_adapter.rs
@@ -6,11 +6,11 @@
 fn main() -> ExitCode {
     let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
     let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    match shaletack::wire::serve(&mut input, &mut output) {
+    match shaletack::simulator::serve(&mut input, &mut output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
+        Err(error) => {
             let _ = output.flush();
-            eprintln!("shaletack-drill: {fault}");
+            eprintln!("shaletack-drill: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod operator;
 pub mod peers;
 pub mod runtime;
-pub mod wire;
+pub mod simulator;
 pub mod writeback;
 
 #[doc = include_str!("../README.md")]
--- /dev/null
+++ b/src/simulator/reply.rs
@@ -0,0 +1,95 @@
+//! Actions of schedulers as the records of a reply.
+
+use crate::interface::Action;
+use std::time::Duration;
+
+/// The size of an action's record, in bytes.
+const ACTION_BYTES: usize = 24;
+
+/// A reply being written.
+#[derive(Default)]
+pub(super) struct ReplyFrame {
+    records: Vec<u8>,
+    tail: Vec<u8>,
+}
+
+impl ReplyFrame {
+    /// Adds an action of an instance.
+    pub fn push(&mut self, instance: u16, action: &Action) {
+        let mut cell = [0u8; ACTION_BYTES];
+        let mut put = |at: usize, bytes: &[u8]| cell[at..at + bytes.len()].copy_from_slice(bytes);
+        put(1, &instance.to_le_bytes());
+        match action {
+            Action::Send { request, endpoint: node, timeout } => {
+                put(0, &[1]);
+                put(3, &request.to_le_bytes());
+                put(11, &nanos(*timeout));
+                put(19, &node.to_le_bytes());
+            }
+            Action::Reject { request, retry_after } => {
+                put(0, &[2]);
+                put(3, &request.to_le_bytes());
+                put(11, &nanos(*retry_after));
+            }
+            Action::Fail { request } => {
+                put(0, &[3]);
+                put(3, &request.to_le_bytes());
+            }
+            Action::Cancel { request, number } => {
+                put(0, &[4]);
+                put(3, &request.to_le_bytes());
+                put(11, &[*number]);
+            }
+            Action::SetTimer(at) => {
+                put(0, &[5]);
+                put(11, &nanos(*at));
+            }
+            Action::HealthCheck(node) => {
+                put(0, &[6]);
+                put(3, &node.to_le_bytes());
+            }
+            Action::CloseIdle(node) => {
+                put(0, &[7]);
+                put(3, &node.to_le_bytes());
+            }
+            Action::SendPeerMessage { to, bytes } => {
+                put(0, &[8]);
+                put(3, &to.unwrap_or(u16::MAX).to_le_bytes());
+                put(5, &append(&mut self.tail, bytes));
+            }
+            Action::Log(line) => {
+                put(0, &[9]);
+                put(3, &append(&mut self.tail, line.as_bytes()));
+            }
+            Action::WatchEndpointList(on) => {
+                put(0, &[11]);
+                put(3, &[u8::from(*on)]);
+            }
+            Action::FetchEndpointList => put(0, &[12]),
+        }
+        self.records.extend_from_slice(&cell);
+    }
+
+    /// The whole frame.
+    pub fn finish(self) -> Vec<u8> {
+        let length = 8 + self.records.len() + self.tail.len();
+        let mut out = Vec::with_capacity(length);
+        out.extend_from_slice(&((self.records.len() / ACTION_BYTES) as u32).to_le_bytes());
+        out.extend_from_slice(&(length as u32).to_le_bytes());
+        out.extend_from_slice(&self.records);
+        out.extend_from_slice(&self.tail);
+        out
+    }
+}
+
+fn nanos(span: Duration) -> [u8; 8] {
+    u64::try_from(span.as_nanos()).unwrap_or(u64::MAX).to_le_bytes()
+}
+
+fn append(tail: &mut Vec<u8>, bytes: &[u8]) -> [u8; 8] {
+    let mut field = [0; 8];
+    field[..4].copy_from_slice(&(tail.len() as u32).to_le_bytes());
+    field[4..].copy_from_slice(&(bytes.len() as u32).to_le_bytes());
+    tail.extend_from_slice(bytes);
+    field
+}
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -199,7 +199,7 @@
     fn any_bytes_are_taken_or_refused_calmly(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut framed = (bytes.len() as u32 + 4).to_le_bytes().to_vec();
         framed.extend_from_slice(&bytes);
-        let taken = shaletack::wire::Wire::new().answer(&framed);
+        let taken = shaletack::simulator::Adapter::new().answer(&framed);
         prop_assert!(taken.map_or(true, |reply| reply.len() >= 8));
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's layout, by its worked frames, and what is malformed.
 
-use shaletack::wire::{serve, Wire};
+use shaletack::simulator::{serve, Adapter};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -49,7 +49,7 @@
 
 #[test]
 fn an_empty_batch_is_answered() {
-    let reply = Wire::new().answer(&hex("10000000 90bf68f501000000 00000000")).unwrap();
+    let reply = Adapter::new().answer(&hex("10000000 90bf68f501000000 00000000")).unwrap();
     assert_eq!(reply, hex("00000000 08000000"));
 }
 
@@ -57,7 +57,7 @@
 fn the_example_request_is_sent_to_the_node_with_its_shard() {
     let (mut records, tail) = start();
     records.push(submit());
-    let reply = Wire::new().answer(&frame(CLOCK, &records, &tail)).unwrap();
+    let reply = Adapter::new().answer(&frame(CLOCK, &records, &tail)).unwrap();
     assert_eq!(reply.len() as u32, u32::from_le_bytes(reply[4..8].try_into().unwrap()));
     let cells: Vec<&[u8]> = reply[8..].chunks(24).collect();
     let sent = hex("01 0300 c4913a5d83e30b00 0000000000000000 074a1203 00");
@@ -69,7 +69,7 @@
 fn the_example_outcome_ends_the_request() {
     let (mut records, tail) = start();
     records.push(submit());
-    let mut wire = Wire::new();
+    let mut wire = Adapter::new();
     wire.answer(&frame(CLOCK, &records, &tail)).unwrap();
     let outcome = padded("03 0300 c4913a5d83e30b00 00 074a1203 00 a0491a0100000000 01 5600 0300 01 00006841");
     wire.answer(&frame(CLOCK + 1, &[outcome], &[])).unwrap();
@@ -81,7 +81,7 @@
 #[test]
 fn retire_and_provision_in_one_batch_leave_an_empty_instance() {
     let (records, tail) = start();
-    let mut wire = Wire::new();
+    let mut wire = Adapter::new();
     wire.answer(&frame(CLOCK, &[&records[..], &[submit()]].concat(), &tail)).unwrap();
     let reborn = [&[padded("01 0300")], &records[..], &[padded("0a 0300 c4913a5d83e30b00")]].concat();
     wire.answer(&frame(CLOCK + 1, &reborn, &tail)).unwrap();
@@ -91,7 +91,7 @@
 
 #[test]
 fn events_of_unknown_or_retired_instances_are_passed_over() {
-    let mut wire = Wire::new();
+    let mut wire = Adapter::new();
     let reply = wire.answer(&frame(CLOCK, &[submit(), padded("01 0300"), padded("04 0300")], &[])).unwrap();
     assert_eq!(reply, hex("00000000 08000000"));
 }
@@ -114,7 +114,7 @@
         frame(CLOCK, &records, &unknown_node_state),
         good[..good.len() - 1].to_vec(),
     ] {
-        let fault = Wire::new().answer(&bad).unwrap_err().to_string();
+        let fault = Adapter::new().answer(&bad).unwrap_err().to_string();
         assert!(!fault.is_empty() && !fault.contains('\n'));
     }
 }
@@ -135,6 +135,6 @@
     for config in ["[1]", "nonsense", r#"{"balancers": "three"}"#, r#"{"lanes": 5}"#] {
         let mut provision = padded("08 0300 2a00000000000000");
         provision[15] = config.len() as u8;
-        assert!(Wire::new().answer(&frame(CLOCK, &[provision], config.as_bytes())).is_err(), "{config}");
+        assert!(Adapter::new().answer(&frame(CLOCK, &[provision], config.as_bytes())).is_err(), "{config}");
     }
 }
