--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -44,7 +44,7 @@
 fn run() -> Result<(), String> {
     let (mut name, mut seeds, mut out) = (None, 20u64, PathBuf::from("."));
     let mut hollow =
-        hollow::Set { initiators: 100, processes: 9, program: PathBuf::new(), seconds: 30, volumes: 0 };
+        hollow::Options { initiators: 100, processes: 9, program: PathBuf::new(), seconds: 30, volumes: 0 };
     let (mut only, mut jobs) = (None::<String>, 2usize);
     let mut args = lexopt::Parser::from_env();
     let told = |e: lexopt::Error| format!("{e}\n{USAGE}");
