--- a/crates/lab/src/hollow.rs
+++ b/crates/lab/src/hollow.rs
@@ -3,9 +3,11 @@
 //! while volumes are used; how soon all know of a drain that one was notified of; and how soon a stop, deaths and
 //! a restart of processes are noticed.
 
-mod around;
+mod config;
+mod etcd;
 mod experiment;
 mod initiator;
+mod nbd;
 mod observed;
 mod phases;
 mod process;
--- a/crates/lab/src/hollow/experiment.rs
+++ b/crates/lab/src/hollow/experiment.rs
@@ -1,8 +1,10 @@
 //! The initiators of a run and what surrounds them: starts real processes, hollow initiators on threads of their
 //! own, endpoints and etcd, and ends them.
 
-use super::around::{self, Etcd, BOXES};
+use super::config::{self, BOXES};
+use super::etcd::Etcd;
 use super::initiator::{self, Ledger, News, Parts};
+use super::nbd;
 use super::observed::Observed;
 use super::process::Process;
 use super::{Options, CLIENTS};
@@ -64,7 +66,7 @@
         let (news, events) = mpsc::unbounded_channel();
         let mut endpoints = Vec::new();
         for _ in 0..CLIENTS {
-            endpoints.push(around::disk_box().await.map_err(stand_in_failed)?);
+            endpoints.push(nbd::start_endpoint().await.map_err(stand_in_failed)?);
         }
         let etcd = Etcd::start(endpoints.clone()).await.map_err(stand_in_failed)?;
         let mut sockets = bind_peer_sockets(real, all)?;
@@ -127,7 +129,7 @@
         }
         let join = self.join();
         let listed: Vec<usize> = (0..BOXES).collect();
-        let text = around::file(("h", 0), [join[0]; 2], &join, None, self.all, &self.endpoints, &listed);
+        let text = config::file(("h", 0), [join[0]; 2], &join, None, self.all, &self.endpoints, &listed);
         self.threads = seats.into_iter().map(|seats| thread(text.clone(), seats, over.clone())).collect();
     }
 
@@ -146,7 +148,7 @@
         let file = self.folder.path().join(format!("r{i}.json"));
         let addresses = [self.fronts[i], self.peer_addresses[i]];
         let name = format!("r{i}");
-        let text = around::file((&name, i), addresses, &self.join(), etcd, self.all, &self.endpoints, listed);
+        let text = config::file((&name, i), addresses, &self.join(), etcd, self.all, &self.endpoints, listed);
         std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
         Ok(file)
     }
@@ -154,7 +156,7 @@
     /// Clients begin to read, each at a real process of its own, the last ones.
     pub fn start_clients(&self) {
         for (i, front) in self.fronts.iter().enumerate().skip(self.real - CLIENTS) {
-            tokio::task::spawn_local(around::client(*front, i as u64, self.reads.clone()));
+            tokio::task::spawn_local(nbd::client(*front, i as u64, self.reads.clone()));
         }
     }
 
--- a/crates/lab/src/hollow/phases.rs
+++ b/crates/lab/src/hollow/phases.rs
@@ -1,7 +1,7 @@
 //! The phases of a run, in their order: initiators meet, nothing happens, volumes are used, endpoints drain, and
 //! real processes are stopped, killed and restarted. Each prints what it measured.
 
-use super::around::{self, BOXES};
+use super::config::{self, BOXES};
 use super::experiment::Experiment;
 use super::observed::{quantile, Observed};
 use super::window::{measure, Window};
@@ -101,7 +101,7 @@
             self.etcd.drain(*number);
             self.observed.pass(DRAIN_EVERY).await;
         }
-        let ids: Vec<String> = drained.iter().map(|n| around::name(*n)).collect();
+        let ids: Vec<String> = drained.iter().map(|n| config::name(*n)).collect();
         self.observed.until(KNOWN_WITHIN, |o| ids.iter().all(|id| o.knowing(id) + 1 >= all)).await;
         let delays = ids.iter().map(|id| self.delays(id)).collect::<Result<_, _>>()?;
         self.observed.print_false_deaths("drains");
@@ -119,7 +119,7 @@
 
     /// One process is stopped for a while, in which an endpoint drains.
     pub async fn stop_process(&mut self) -> Result<(), String> {
-        let (name, late) = (format!("r{STOPPED_PROCESS}"), around::name(DRAINS_LATE));
+        let (name, late) = (format!("r{STOPPED_PROCESS}"), config::name(DRAINS_LATE));
         self.observed.faulted.insert(name.clone());
         self.processes[STOPPED_PROCESS].signal(Signal::STOP)?;
         let stopped = Instant::now();
@@ -190,7 +190,7 @@
         }
         let restarted = Instant::now();
         self.processes[back].restart()?;
-        let (name, ids) = (format!("r{back}"), drained.iter().map(|n| around::name(*n)).collect::<Vec<_>>());
+        let (name, ids) = (format!("r{back}"), drained.iter().map(|n| config::name(*n)).collect::<Vec<_>>());
         let knows = |o: &Observed, id: &String| o.stopped.get(id).is_some_and(|k| k.contains_key(&back));
         let informed = |o: &Observed| ids.iter().filter(|id| knows(o, id)).count();
         let observed = &mut self.observed;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -10,6 +10,7 @@
 mod restart;
 mod scale;
 mod slopes;
+mod stand_ins;
 
 use cap::Cap;
 use lexopt::prelude::*;
--- a/crates/lab/src/slopes.rs
+++ b/crates/lab/src/slopes.rs
@@ -1,15 +1,19 @@
 //! One real process of the program, by its slopes: what it costs for each client, request, box and restart.
 //!
-//! All that stands round it is on loopback and in this process ([`stand`]); its cost is what the system says
+//! All that stands round it is on loopback and in this process ([`endpoints`], [`discovery`], [`client`]); its cost is what the system says
 //! of it ([`process`]). Each table is `slopes-PART.csv`, and the least-squares lines through its points
 //! `slopes-PART-fit.csv` with the largest deviation of a point from its line, by which a bend shows.
 
+mod client;
+mod discovery;
+mod endpoints;
 mod process;
-mod stand;
 mod table;
 
+use client::{Client, EXPORTS};
+use discovery::Discovery;
+use endpoints::Boxes;
 use process::{Process, Setup};
-use stand::{Boxes, Client, Discovery};
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -41,7 +45,7 @@
 /// MiB of the deployment page's example.
 const EXAMPLE_MB: u64 = 2_048;
 /// Clients by which requests come: one for each export.
-const ASKING: usize = stand::EXPORTS;
+const ASKING: usize = EXPORTS;
 /// News of each kind, told one after another.
 const NEWS: usize = 10;
 /// What one costs is over by then,
--- /dev/null
+++ b/crates/lab/src/slopes/client.rs
@@ -0,0 +1,88 @@
+//! Clients of either front, each with one request at a time.
+
+use super::endpoints::{READ, SHARD};
+use super::Front;
+use crate::stand_ins::{http, invalid, nbd, Stream};
+use shaletack::nbd::codec::{cmd, Request};
+use std::io;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
+use tokio::net::TcpStream;
+
+/// So many exports, whatever the number of endpoints: each lies on as many shards as that leaves.
+pub const EXPORTS: usize = 44;
+
+/// The trace id of the last request over HTTP.
+static LAST_ID: AtomicU64 = AtomicU64::new(0x9b1f_03aa_5c7e_2d41);
+
+/// A client of either front.
+pub struct Client {
+    front: Front,
+    stream: Stream,
+    shards: usize,
+    export: usize,
+}
+
+impl Client {
+    /// Connects and goes as far as a client does before its first request of data: over NBD through the
+    /// handshake, over HTTP through one question for health.
+    pub async fn connect(front: Front, to: SocketAddr, number: usize, shards: usize) -> io::Result<Self> {
+        let stream = TcpStream::connect(to).await?;
+        stream.set_nodelay(true)?;
+        // A resting client keeps no buffer of its own, so that many find room here.
+        let stream = BufReader::with_capacity(512, stream);
+        let mut client = Client { front, stream, shards, export: number % EXPORTS };
+        match front {
+            Front::Http => {
+                client.stream.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").await?;
+                client.answer().await?;
+            }
+            Front::Nbd => nbd::choose_export(&mut client.stream, &format!("e{}", client.export)).await?,
+        }
+        Ok(client)
+    }
+
+    /// Whether the other side has ended it.
+    pub fn is_over(&self) -> bool {
+        let mut byte = [0];
+        match self.stream.get_ref().try_read(&mut byte) {
+            Err(why) => why.kind() != io::ErrorKind::WouldBlock,
+            Ok(count) => count == 0,
+        }
+    }
+
+    /// One read of a shard; whether it was served.
+    pub async fn ask(&mut self, number: usize) -> io::Result<bool> {
+        match self.front {
+            Front::Http => {
+                let (id, shard, volume) =
+                    (LAST_ID.fetch_add(1, Relaxed), number % self.shards, number % 100 + 1);
+                let head = format!(
+                    "GET /leitura/{number:016x} HTTP/1.1\r\nHost: a\r\nX-Trace-Id: {id:016x}\r\n\
+                     X-Qos-Policy: prioritario\r\nX-Expires-In: 1.200\r\n\
+                     X-Placement: volume={volume:016x},units=1,shard={shard},hosts=1\r\n\r\n"
+                );
+                self.stream.write_all(head.as_bytes()).await?;
+                Ok(self.answer().await? == 200)
+            }
+            Front::Nbd => {
+                let extents = self.shards / EXPORTS;
+                let offset = (number / EXPORTS % extents) as u64 * SHARD;
+                let (cookie, length) = (number as u64, READ);
+                let request = Request { flags: 0, command: cmd::READ, cookie, offset, length };
+                self.stream.write_all(&request.bytes()).await?;
+                nbd::is_served(&mut self.stream).await
+            }
+        }
+    }
+
+    async fn answer(&mut self) -> io::Result<u16> {
+        let lines = http::read_head(&mut self.stream).await?;
+        let first = lines.first().ok_or(io::ErrorKind::UnexpectedEof)?;
+        let status = first.get(9..12).and_then(|s| s.parse().ok()).ok_or_else(|| invalid("no status"))?;
+        let length = http::content_length(&lines);
+        self.stream.read_exact(&mut vec![0; length.unwrap_or(0)]).await?;
+        Ok(status)
+    }
+}
--- a/crates/lab/src/slopes/process.rs
+++ b/crates/lab/src/slopes/process.rs
@@ -1,6 +1,8 @@
 //! One real process of the program: its files, its start and its end, and what the system says of it.
 
-use super::stand::{Discovery, EXPORTS, SHARD};
+use super::client::EXPORTS;
+use super::discovery::Discovery;
+use super::endpoints::SHARD;
 use super::Front;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
