--- a/crates/lab/src/hollow.rs
+++ b/crates/lab/src/hollow.rs
@@ -4,6 +4,7 @@
 //! a restart of processes are noticed.
 
 mod config;
+mod error;
 mod etcd;
 mod experiment;
 mod initiator;
@@ -14,6 +15,7 @@
 mod report;
 mod window;
 
+use error::HollowError;
 use experiment::Experiment;
 use report::Report;
 use std::ops::RangeInclusive;
@@ -43,26 +45,27 @@
 }
 
 /// Plays all phases, writes the table into `out` and prints the figures.
-pub fn run(options: &Options, out: &Path) -> Result<(), String> {
-    let check = |what, n: usize, range: &RangeInclusive<usize>| match range.contains(&n) {
-        true => Ok(()),
-        false => Err(format!("hollow: --{what} {n}, where {} to {} can be had", range.start(), range.end())),
+pub fn run(options: &Options, out: &Path) -> Result<(), HollowError> {
+    let check = |option, value: usize, range: &RangeInclusive<usize>| {
+        let (least, most) = (*range.start(), *range.end());
+        let error = HollowError::OutOfRange { option, value, least, most };
+        range.contains(&value).then_some(()).ok_or(error)
     };
     check("initiators", options.initiators, &INITIATORS)?;
     check("processes", options.processes, &PROCESSES)?;
     check("volumes", options.volumes as usize, &VOLUMES)?;
     check("seconds", options.seconds as usize, &SECONDS)?;
     if !options.program.is_file() {
-        return Err(format!("hollow: --program '{}' is no file", options.program.display()));
+        return Err(HollowError::NoProgram(options.program.clone()));
     }
     let table = out.join(format!("hollow-{}-{}.csv", options.initiators, options.processes));
-    std::fs::write(&table, "").map_err(|e| format!("{}: {e}", table.display()))?;
+    std::fs::write(&table, "").map_err(HollowError::file(&table))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
+    let runtime = runtime.map_err(HollowError::Runtime)?;
     LocalSet::new().block_on(&runtime, play(options, &table))
 }
 
-async fn play(options: &Options, table: &Path) -> Result<(), String> {
+async fn play(options: &Options, table: &Path) -> Result<(), HollowError> {
     let mut experiment = Experiment::start(options).await?;
     experiment.meet().await?;
     let windows = experiment.measure_windows(options.volumes, options.seconds).await?;
--- a/crates/lab/src/hollow/experiment.rs
+++ b/crates/lab/src/hollow/experiment.rs
@@ -2,6 +2,7 @@
 //! own, endpoints and etcd, and ends them.
 
 use super::config::{self, BOXES};
+use super::error::HollowError;
 use super::etcd::Etcd;
 use super::initiator::{self, Ledger, News, Parts};
 use super::nbd;
@@ -60,15 +61,15 @@
 
 impl Experiment {
     /// Starts all initiators at once, real and hollow ones.
-    pub async fn start(options: &Options) -> Result<Self, String> {
+    pub async fn start(options: &Options) -> Result<Self, HollowError> {
         let (real, all) = (options.processes, options.initiators + options.processes);
-        let folder = tempfile::tempdir().map_err(|e| format!("a folder for files: {e}"))?;
+        let folder = tempfile::tempdir().map_err(HollowError::Folder)?;
         let (news, events) = mpsc::unbounded_channel();
         let mut endpoints = Vec::new();
         for _ in 0..CLIENTS {
-            endpoints.push(nbd::start_endpoint().await.map_err(stand_in_failed)?);
+            endpoints.push(nbd::start_endpoint().await.map_err(HollowError::StandIn)?);
         }
-        let etcd = Etcd::start(endpoints.clone()).await.map_err(stand_in_failed)?;
+        let etcd = Etcd::start(endpoints.clone()).await.map_err(HollowError::StandIn)?;
         let mut sockets = bind_peer_sockets(real, all)?;
         let hollow = sockets.split_off(real);
         let peer_addresses: Vec<SocketAddr> = sockets.iter().map(|s| s.address).collect();
@@ -101,14 +102,14 @@
         options: &Options,
         sockets: Vec<PeerSockets>,
         news: &mpsc::UnboundedSender<News>,
-    ) -> Result<(), String> {
+    ) -> Result<(), HollowError> {
         let listed: Vec<usize> = (0..BOXES).collect();
         for (i, reserved) in sockets.into_iter().enumerate() {
             let address = reserved.address;
             drop(reserved);
             // The log of a start with that many endpoints is cut, and may lack where clients connect.
             let free = TcpListener::bind((address.ip(), 0)).and_then(|free| free.local_addr());
-            self.fronts.push(free.map_err(stand_in_failed)?);
+            self.fronts.push(free.map_err(HollowError::StandIn)?);
             let follows = (i == 0).then_some(self.etcd.at);
             let file = self.write_file(i, follows, &listed)?;
             self.processes.push(Process::start(&options.program, &file, i, news.clone())?);
@@ -144,12 +145,12 @@
         i: usize,
         etcd: Option<SocketAddr>,
         listed: &[usize],
-    ) -> Result<PathBuf, String> {
+    ) -> Result<PathBuf, HollowError> {
         let file = self.folder.path().join(format!("r{i}.json"));
         let addresses = [self.fronts[i], self.peer_addresses[i]];
         let name = format!("r{i}");
         let text = config::file((&name, i), addresses, &self.join(), etcd, self.all, &self.endpoints, listed);
-        std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
+        std::fs::write(&file, text).map_err(HollowError::file(&file))?;
         Ok(file)
     }
 
@@ -166,27 +167,23 @@
     }
 
     /// Ends the hollow initiators; real ones end with this value.
-    pub fn stop_hollow(&mut self) -> Result<(), String> {
+    pub fn stop_hollow(&mut self) -> Result<(), HollowError> {
         let _ = self.stop.send(true);
         for thread in self.threads.drain(..) {
-            thread.join().map_err(|_| "a thread of hollow initiators ended early")?;
+            thread.join().map_err(|_| HollowError::ThreadEnded)?;
         }
         Ok(())
     }
 }
 
-fn stand_in_failed(why: std::io::Error) -> String {
-    format!("a stand-in: {why}")
-}
-
 /// Sockets on a loopback address of its own for each initiator, real ones first in the result and evenly among
 /// the others by address, so that the order of addresses prefers none. Hollow initiators keep the sockets; those
 /// of real ones only reserve the address.
-fn bind_peer_sockets(real: usize, all: usize) -> Result<Vec<PeerSockets>, String> {
+fn bind_peer_sockets(real: usize, all: usize) -> Result<Vec<PeerSockets>, HollowError> {
     let reals: Vec<usize> = (0..real).map(|i| i * all / real).collect();
     let others = (0..all).filter(|n| !reals.contains(n));
     let order = reals.iter().copied().chain(others);
-    order.map(|n| bind(n).map_err(|e| format!("a place on loopback: {e}"))).collect()
+    order.map(|n| bind(n).map_err(HollowError::Loopback)).collect()
 }
 
 fn bind(number: usize) -> std::io::Result<PeerSockets> {
--- a/crates/lab/src/hollow/phases.rs
+++ b/crates/lab/src/hollow/phases.rs
@@ -2,6 +2,7 @@
 //! real processes are stopped, killed and restarted. Each prints what it measured.
 
 use super::config::{self, BOXES};
+use super::error::HollowError;
 use super::experiment::Experiment;
 use super::observed::{quantile, Observed};
 use super::window::{measure, Window};
@@ -57,7 +58,7 @@
 
 impl Experiment {
     /// Waits until nearly all hollow initiators know nearly all others, and for what follows to settle.
-    pub async fn meet(&mut self) -> Result<(), String> {
+    pub async fn meet(&mut self) -> Result<(), HollowError> {
         let (observed, others) = (&mut self.observed, self.all - 1);
         let began = Instant::now();
         let enough = others as f64 * MET_ENOUGH;
@@ -67,7 +68,7 @@
         let took = began.elapsed().as_secs_f64();
         println!("start: each hollow one knows {least} or more of {others} others after {took:.1} s");
         if !met {
-            return Err(format!("hollow: they did not meet within {MET_WITHIN:?}"));
+            return Err(HollowError::NotMet(MET_WITHIN));
         }
         observed.pass(SETTLES).await;
         observed.print_false_deaths("start");
@@ -75,7 +76,7 @@
     }
 
     /// Measures while nothing happens, and while so many volumes are used at each hollow initiator, if any.
-    pub async fn measure_windows(&mut self, volumes: u64, seconds: u64) -> Result<Windows, String> {
+    pub async fn measure_windows(&mut self, volumes: u64, seconds: u64) -> Result<Windows, HollowError> {
         let idle = self.measure(seconds).await?;
         self.observed.print_false_deaths("idle");
         if volumes == 0 {
@@ -89,13 +90,13 @@
         Ok(Windows { idle, busy: Some(busy) })
     }
 
-    async fn measure(&mut self, seconds: u64) -> Result<Window, String> {
+    async fn measure(&mut self, seconds: u64) -> Result<Window, HollowError> {
         measure(&mut self.observed, &self.ledger, &mut self.processes, seconds).await
     }
 
     /// Endpoints drain that the first process alone is notified of; how many seconds after it each other
     /// initiator knew, by drain.
-    pub async fn drain(&mut self) -> Result<Vec<BTreeMap<usize, f64>>, String> {
+    pub async fn drain(&mut self) -> Result<Vec<BTreeMap<usize, f64>>, HollowError> {
         let (drained, all) = (drained_endpoints(), self.all);
         for number in &drained {
             self.etcd.drain(*number);
@@ -109,16 +110,16 @@
     }
 
     /// By initiator, without the first process: how many seconds after that it knew that an endpoint drains.
-    fn delays(&self, id: &str) -> Result<BTreeMap<usize, f64>, String> {
+    fn delays(&self, id: &str) -> Result<BTreeMap<usize, f64>, HollowError> {
         let listed = self.observed.listed.get(id);
-        let notified = *listed.ok_or(format!("the first process was not told that {id} drains"))?;
+        let notified = *listed.ok_or_else(|| HollowError::DrainNotListed(id.to_owned()))?;
         let known = self.observed.stopped.get(id).into_iter().flatten().filter(|(who, _)| **who > 0);
         let delay = |at: &Instant| at.saturating_duration_since(notified).as_secs_f64();
         Ok(known.map(|(who, at)| (*who, delay(at))).collect())
     }
 
     /// One process is stopped for a while, in which an endpoint drains.
-    pub async fn stop_process(&mut self) -> Result<(), String> {
+    pub async fn stop_process(&mut self) -> Result<(), HollowError> {
         let (name, late) = (format!("r{STOPPED_PROCESS}"), config::name(DRAINS_LATE));
         self.observed.faulted.insert(name.clone());
         self.processes[STOPPED_PROCESS].signal(Signal::STOP)?;
@@ -180,7 +181,7 @@
 
     /// A killed process returns with a list from before the drains: of a few endpoints, since of a start's log
     /// with many all but fifty lines are left out.
-    pub async fn restart_process(&mut self) -> Result<(), String> {
+    pub async fn restart_process(&mut self) -> Result<(), HollowError> {
         let (back, hollow) = (KILLED_FROM, self.hollow());
         let drained: Vec<usize> = drained_endpoints().into_iter().chain([DRAINS_LATE]).collect();
         let listed: Vec<usize> = drained.iter().copied().chain(1..=FEW).collect();
--- a/crates/lab/src/hollow/process.rs
+++ b/crates/lab/src/hollow/process.rs
@@ -1,6 +1,8 @@
 //! One real process of the program: its log becomes news, its figures come from the system.
 
+use super::error::HollowError;
 use super::initiator::{News, What};
+use rustix::io::Errno;
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::BufRead;
 use std::path::{Path, PathBuf};
@@ -37,7 +39,7 @@
         file: &Path,
         index: usize,
         news: UnboundedSender<News>,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, HollowError> {
         let mut child = Command::new(program)
             .args(["serve", "--operator"])
             .arg(file)
@@ -45,8 +47,8 @@
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
-            .map_err(|e| format!("{}: {e}", program.display()))?;
-        let log = child.stderr.take().ok_or("a process without a log")?;
+            .map_err(HollowError::file(program))?;
+        let log = child.stderr.take().ok_or(HollowError::NoLog)?;
         let tell = news.clone();
         std::thread::spawn(move || {
             let lines = std::io::BufReader::new(log).lines().map_while(Result::ok);
@@ -56,7 +58,7 @@
     }
 
     /// It is killed and starts again.
-    pub fn restart(&mut self) -> Result<(), String> {
+    pub fn restart(&mut self) -> Result<(), HollowError> {
         let next = Self::start(&self.program, &self.file, self.index, self.news.clone())?;
         *self = next;
         Ok(())
@@ -68,25 +70,25 @@
     }
 
     /// Stops it, or lets it go on.
-    pub fn signal(&self, signal: Signal) -> Result<(), String> {
-        let told =
-            |why: &dyn std::fmt::Display| format!("initiator r{} can't be sent a signal: {why}", self.index);
-        let id = Pid::from_raw(self.child.id() as i32).ok_or_else(|| told(&"no such process"))?;
-        kill_process(id, signal).map_err(|why| told(&why))
+    pub fn signal(&self, signal: Signal) -> Result<(), HollowError> {
+        let failed = |why| HollowError::Signal { index: self.index, why };
+        let id = Pid::from_raw(self.child.id() as i32).ok_or(failed(Errno::SRCH))?;
+        kill_process(id, signal).map_err(failed)
     }
 
     /// An error where it has ended.
-    pub fn usage(&mut self) -> Result<Usage, String> {
-        if let Some(ended) = self.child.try_wait().map_err(|e| e.to_string())? {
-            return Err(format!("initiator r{} ended by itself: {ended}", self.index));
+    pub fn usage(&mut self) -> Result<Usage, HollowError> {
+        if let Some(status) = self.child.try_wait().map_err(HollowError::State)? {
+            return Err(HollowError::ProcessEnded { index: self.index, status });
         }
-        let path = format!("/proc/{}/stat", self.child.id());
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
+        let path = PathBuf::from(format!("/proc/{}/stat", self.child.id()));
+        let text = std::fs::read_to_string(&path).map_err(HollowError::file(&path))?;
         // The command's name, which may hold spaces, ends with the last bracket; the state follows.
         let fields: Vec<&str> =
             text.rsplit_once(") ").map(|(_, rest)| rest.split(' ').collect()).unwrap_or_default();
         let number = |at: usize| {
-            fields.get(at).and_then(|f| f.parse::<u64>().ok()).ok_or(format!("{path}: field {at}"))
+            let read = fields.get(at).and_then(|f| f.parse::<u64>().ok());
+            read.ok_or_else(|| HollowError::StatField { path: path.clone(), field: at })
         };
         let seconds = (number(11)? + number(12)?) as f64 / rustix::param::clock_ticks_per_second() as f64;
         Ok(Usage { seconds, resident: number(21)? * rustix::param::page_size() as u64 })
--- a/crates/lab/src/hollow/report.rs
+++ b/crates/lab/src/hollow/report.rs
@@ -1,5 +1,6 @@
 //! The table of a run, a line for each initiator, and the figures that it amounts to.
 
+use super::error::HollowError;
 use super::observed::quantile;
 use super::phases::{Windows, DRAINS};
 use super::window::{ProcessLoad, Window};
@@ -19,10 +20,10 @@
 
 impl Report {
     /// Writes the table.
-    pub fn write(&self, path: &Path) -> Result<(), String> {
+    pub fn write(&self, path: &Path) -> Result<(), HollowError> {
         let mut table = self.head();
         (0..self.all).for_each(|i| table += &self.line(i));
-        std::fs::write(path, table + "\n").map_err(|e| format!("{}: {e}", path.display()))
+        std::fs::write(path, table + "\n").map_err(HollowError::file(path))
     }
 
     fn head(&self) -> String {
--- a/crates/lab/src/hollow/window.rs
+++ b/crates/lab/src/hollow/window.rs
@@ -1,5 +1,6 @@
 //! What a span of time costs each initiator: bytes on the wire, and of real processes processor time and memory.
 
+use super::error::HollowError;
 use super::initiator::Ledger;
 use super::observed::Observed;
 use super::process::{Process, Usage};
@@ -30,8 +31,9 @@
     ledger: &Ledger,
     processes: &mut [Process],
     seconds: u64,
-) -> Result<Window, String> {
-    let mut usage = || -> Result<Vec<Usage>, String> { processes.iter_mut().map(Process::usage).collect() };
+) -> Result<Window, HollowError> {
+    let mut usage =
+        || -> Result<Vec<Usage>, HollowError> { processes.iter_mut().map(Process::usage).collect() };
     let (bytes, used, loop_bytes, since) = (ledger.now(), usage()?, loopback_bytes()?, Instant::now());
     observed.pass(Duration::from_secs(seconds)).await;
     let seconds = since.elapsed().as_secs_f64();
@@ -50,10 +52,10 @@
 }
 
 /// Bytes that the loopback interface has carried since the system started, whosever they are.
-fn loopback_bytes() -> Result<u64, String> {
+fn loopback_bytes() -> Result<u64, HollowError> {
     let path = "/proc/net/dev";
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
+    let text = std::fs::read_to_string(path).map_err(HollowError::file(path))?;
     let line = text.lines().find_map(|line| line.trim().strip_prefix("lo:"));
     let bytes = line.and_then(|rest| rest.split_whitespace().next()?.parse().ok());
-    bytes.ok_or(format!("{path}: no figures of the loopback"))
+    bytes.ok_or_else(|| HollowError::NoLoopbackFigures(path.into()))
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -75,7 +75,7 @@
     }
     std::fs::create_dir_all(&out).map_err(|e| format!("{}: {e}", out.display()))?;
     match name.as_deref() {
-        Some("hollow") => hollow::run(&hollow, &out),
+        Some("hollow") => hollow::run(&hollow, &out).map_err(|why| why.to_string()),
         Some("restart") if seeds > 0 => restart::run(seeds, &out),
         Some("slopes") if hollow.program.as_os_str().is_empty() => {
             Err(format!("slopes: --program is needed\n{USAGE}"))
