--- a/crates/lab/src/slopes.rs
+++ b/crates/lab/src/slopes.rs
@@ -7,14 +7,15 @@
 mod client;
 mod discovery;
 mod endpoints;
+mod error;
 mod process;
 mod table;
 
 use client::{Client, EXPORTS};
 use discovery::Discovery;
 use endpoints::Boxes;
+use error::SlopesError;
 use process::{Process, Setup};
-use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::Ordering::Relaxed;
@@ -68,22 +69,22 @@
     ["idle-http", "idle-nbd", "rate-http", "rate-http-880", "rate-nbd", "rate-nbd-880", "list", "restart"];
 
 /// Measures the parts, or one of them, and leaves the tables in a folder.
-pub fn run(program: &Path, only: Option<&str>, out: &Path) -> Result<(), String> {
+pub fn run(program: &Path, only: Option<&str>, out: &Path) -> Result<(), SlopesError> {
     if !program.is_file() {
-        return Err(format!("--program: '{}' is no file", program.display()));
+        return Err(SlopesError::NoProgram(program.into()));
     }
     if let Some(part) = only.filter(|part| !PARTS.contains(part)) {
-        return Err(format!("--only: '{part}' is none of {}", PARTS.join(", ")));
+        return Err(SlopesError::UnknownPart { part: part.to_owned(), parts: PARTS.join(", ") });
     }
-    let folder = tempfile::tempdir().map_err(|e| format!("no folder for the program's files: {e}"))?;
+    let folder = tempfile::tempdir().map_err(SlopesError::Folder)?;
     let bench = Bench { program: program.into(), folder: folder.path().into(), out: out.into() };
     for part in PARTS.into_iter().filter(|part| only.is_none_or(|only| only == *part)) {
         // All that one part started ends with its threads.
         let threads = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-        let threads = threads.map_err(|e| format!("no threads: {e}"))?;
+        let threads = threads.map_err(SlopesError::Threads)?;
         let measured = threads.block_on(async { timeout(PART_MOST, bench.measure(part)).await });
         threads.shutdown_timeout(Duration::from_secs(5));
-        measured.map_err(|_| format!("{part} took more than {} s", PART_MOST.as_secs()))??;
+        measured.map_err(|_| SlopesError::TooLong { part, seconds: PART_MOST.as_secs() })??;
     }
     Ok(())
 }
@@ -117,10 +118,6 @@
     }
 }
 
-fn told(why: io::Error) -> String {
-    format!("a stand-in: {why}")
-}
-
 /// The value below which this part of the values lies; 0 of none.
 fn quantile(values: &mut [f64], part: f64) -> f64 {
     values.sort_by(f64::total_cmp);
@@ -129,7 +126,7 @@
 }
 
 impl Bench {
-    async fn measure(&self, part: &str) -> Result<(), String> {
+    async fn measure(&self, part: &str) -> Result<(), SlopesError> {
         match part {
             "idle-http" => self.idle(part, Front::Http).await,
             "idle-nbd" => self.idle(part, Front::Nbd).await,
@@ -154,12 +151,12 @@
         boxes: &Boxes,
         sockets: usize,
         memory_mb: u64,
-    ) -> Result<Measured, String> {
+    ) -> Result<Measured, SlopesError> {
         // A port that is free now; the process is told its number, for its log may not have room to say it.
         let free = TcpListener::bind("127.0.0.1:0").await.and_then(|listener| listener.local_addr());
-        let listen = free.map_err(told)?;
+        let listen = free.map_err(SlopesError::StandIn)?;
         let (boxes, draining) = (boxes.addresses.clone(), None);
-        let discovery = Discovery::start(&boxes).await.map_err(told)?;
+        let discovery = Discovery::start(&boxes).await.map_err(SlopesError::StandIn)?;
         let setup = Setup { front, listen, boxes, sockets, memory_mb, draining };
         let mut process = Process::start(&self.program, &self.folder, &setup, &discovery).await?;
         // The burst of lines that a start brings is over, and so are its own calls.
@@ -168,8 +165,8 @@
         Ok(Measured { process, discovery, setup })
     }
 
-    async fn idle(&self, part: &str, front: Front) -> Result<(), String> {
-        let boxes = Boxes::start(front, LISTS[0]).await.map_err(told)?;
+    async fn idle(&self, part: &str, front: Front) -> Result<(), SlopesError> {
+        let boxes = Boxes::start(front, LISTS[0]).await.map_err(SlopesError::StandIn)?;
         let mut table = Table::new(
             part,
             "clients run open descriptors resident_bytes accepts_per_s core_us_per_accept \
@@ -177,7 +174,8 @@
         );
         for (count, run) in IDLE.into_iter().flat_map(|count| (0..RUNS).map(move |run| (count, run))) {
             let Measured { process, .. } = self.start(front, &boxes, ROOMY, 0).await?;
-            let mut busy = Client::connect(front, process.address, 0, LISTS[0]).await.map_err(told)?;
+            let mut busy =
+                Client::connect(front, process.address, 0, LISTS[0]).await.map_err(SlopesError::StandIn)?;
             drive(vec![&mut busy], 50.0, Duration::from_secs(1)).await?;
             let (held, before) = (process.resident()?, process.spent()?);
             let begun = Instant::now();
@@ -220,8 +218,8 @@
         table.write(&self.out)
     }
 
-    async fn rate(&self, part: &str, front: Front, count: usize) -> Result<(), String> {
-        let boxes = Boxes::start(front, count).await.map_err(told)?;
+    async fn rate(&self, part: &str, front: Front, count: usize) -> Result<(), SlopesError> {
+        let boxes = Boxes::start(front, count).await.map_err(SlopesError::StandIn)?;
         let mut table = Table::new(
             part,
             "rate run served refused core_us_per_s core_us_per_request p50_ms p99_ms \
@@ -248,7 +246,7 @@
     }
 
     /// What the number of boxes costs. Over NBD news of the list is a new file, and nothing else.
-    async fn list(&self, part: &str, front: Front) -> Result<(), String> {
+    async fn list(&self, part: &str, front: Front) -> Result<(), SlopesError> {
         let mut table = Table::new(
             part,
             "boxes run resident_ready_bytes file_bytes sighup_ms sighup_core_us whole_list_bytes whole_list_ms \
@@ -256,7 +254,7 @@
              core_us_per_request p50_ms p99_ms",
         );
         for (count, run) in LISTS.into_iter().flat_map(|count| (0..RUNS).map(move |run| (count, run))) {
-            let boxes = Boxes::start(front, count).await.map_err(told)?;
+            let boxes = Boxes::start(front, count).await.map_err(SlopesError::StandIn)?;
             let Measured { mut process, discovery, setup } = self.start(front, &boxes, ROOMY, 0).await?;
             let ready = process.resident()?;
             let mut row = vec![count as f64, run as f64, ready, setup.text(discovery.address)?.len() as f64];
@@ -285,9 +283,9 @@
 
     /// A process with clients is killed, and its successor on the same address gets all of them back, either
     /// at one instant or over one second.
-    async fn restart(&self, part: &str, front: Front) -> Result<(), String> {
+    async fn restart(&self, part: &str, front: Front) -> Result<(), SlopesError> {
         let count = LISTS[LISTS.len() - 1];
-        let boxes = Boxes::start(front, count).await.map_err(told)?;
+        let boxes = Boxes::start(front, count).await.map_err(SlopesError::StandIn)?;
         let columns = "clients run spread_ms ready_ms discovery_calls discovery_bytes box_connections back \
                        back_p50_s back_p99_s back_all_s core_us_per_client resident_bytes";
         let mut tables =
@@ -375,7 +373,7 @@
 
 /// Requests at a steady rate for a span, spread evenly over the clients. One that is late because its client
 /// still waited for the one before counts from when it was due.
-async fn drive(clients: Vec<&mut Client>, rate: f64, span: Duration) -> Result<Load, String> {
+async fn drive(clients: Vec<&mut Client>, rate: f64, span: Duration) -> Result<Load, SlopesError> {
     let start = Instant::now();
     let all = clients.len();
     let each = clients.into_iter().enumerate().map(|(place, client)| async move {
@@ -388,13 +386,13 @@
             let (due, now) = (start + due, Instant::now());
             sleep_until(due.into()).await;
             let from = if now > due { due } else { Instant::now() };
-            match client.ask(number).await.map_err(told)? {
+            match client.ask(number).await.map_err(SlopesError::StandIn)? {
                 true => load.waits.push(from.elapsed().as_secs_f64()),
                 false => load.refused += 1,
             }
         }
         load.served = load.waits.len();
-        Ok::<Load, String>(load)
+        Ok::<Load, SlopesError>(load)
     });
     let mut sum = Load::default();
     for load in futures_util::future::try_join_all(each).await? {
@@ -412,10 +410,12 @@
     shards: usize,
     rate: usize,
     span: Duration,
-) -> Result<(Load, f64), String> {
+) -> Result<(Load, f64), SlopesError> {
     let mut clients = Vec::new();
     for number in 0..ASKING {
-        clients.push(Client::connect(front, process.address, number, shards).await.map_err(told)?);
+        clients.push(
+            Client::connect(front, process.address, number, shards).await.map_err(SlopesError::StandIn)?,
+        );
     }
     drive(clients.iter_mut().collect(), rate as f64, Duration::from_secs(2)).await?;
     let before = process.spent()?;
@@ -425,7 +425,7 @@
 
 /// News of the list, told one after another: the bytes of one, the median of the milliseconds until the log
 /// says that it counts, and the mean of the processor time in microseconds.
-async fn news(process: &mut Process, discovery: &Discovery, whole: bool) -> Result<[f64; 3], String> {
+async fn news(process: &mut Process, discovery: &Discovery, whole: bool) -> Result<[f64; 3], SlopesError> {
     let (mut bytes, mut waits, mut core) = (0, Vec::new(), 0.0);
     for n in 0..NEWS {
         let (shard, before) = (n / 2, process.spent()?);
@@ -444,7 +444,11 @@
 }
 
 /// SIGHUP with a new file each time: the same of it, without the bytes.
-async fn hang_ups(process: &mut Process, setup: &Setup, discovery: &Discovery) -> Result<[f64; 2], String> {
+async fn hang_ups(
+    process: &mut Process,
+    setup: &Setup,
+    discovery: &Discovery,
+) -> Result<[f64; 2], SlopesError> {
     let until =
         if setup.front == Front::Http { "configuration was reloaded" } else { "endpoint listed id=\"s-" };
     let (mut waits, mut core) = (Vec::new(), 0.0);
--- a/crates/lab/src/slopes/process.rs
+++ b/crates/lab/src/slopes/process.rs
@@ -3,6 +3,7 @@
 use super::client::EXPORTS;
 use super::discovery::Discovery;
 use super::endpoints::SHARD;
+use super::error::SlopesError;
 use super::Front;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -38,9 +39,8 @@
 
 impl Setup {
     /// The file as the program reads it.
-    pub fn text(&self, discovery: SocketAddr) -> Result<String, String> {
-        let mut file: Value =
-            serde_json::from_str(EXAMPLE).map_err(|e| format!("deploy/operator.json: {e}"))?;
+    pub fn text(&self, discovery: SocketAddr) -> Result<String, SlopesError> {
+        let mut file: Value = serde_json::from_str(EXAMPLE)?;
         let boxes: Vec<Value> = self
             .boxes
             .iter()
@@ -100,7 +100,7 @@
         folder: &Path,
         setup: &Setup,
         discovery: &Discovery,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, SlopesError> {
         let file = folder.join("config.json");
         write(&file, &setup.text(discovery.address)?)?;
         let mut command = Command::new(program);
@@ -115,9 +115,9 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .map_err(|e| format!("{}: {e}", program.display()))?;
-        let said = child.stderr.take().ok_or("the program has no standard error")?;
-        let pid = child.id().and_then(|id| Pid::from_raw(id as i32)).ok_or("the program ended at once")?;
+            .map_err(SlopesError::file(program))?;
+        let said = child.stderr.take().ok_or(SlopesError::NoLog)?;
+        let pid = child.id().and_then(|id| Pid::from_raw(id as i32)).ok_or(SlopesError::EndedAtOnce)?;
         let (say, lines) = mpsc::unbounded_channel();
         tokio::spawn(async move {
             let mut said = BufReader::new(said).lines();
@@ -132,8 +132,9 @@
         // Its line that it listens may be cut from the log, among those of a long list.
         while TcpStream::connect(address).await.is_err() {
             if started.elapsed() > PATIENCE || process.child.try_wait().is_ok_and(|ended| ended.is_some()) {
-                let last = process.says("shaletack: ").await.map_or_else(|why| why, |(_, line)| line);
-                return Err(format!("the program does not listen at {address}: {last}"));
+                let last =
+                    process.says("shaletack: ").await.map_or_else(|why| why.to_string(), |(_, line)| line);
+                return Err(SlopesError::NotListening { address, last });
             }
             sleep(POLL).await;
         }
@@ -142,7 +143,7 @@
     }
 
     /// Its next line with this in it, and when it came.
-    pub async fn says(&mut self, what: &str) -> Result<(Instant, String), String> {
+    pub async fn says(&mut self, what: &str) -> Result<(Instant, String), SlopesError> {
         let mut last = String::new();
         let found = tokio::time::timeout(PATIENCE, async {
             while let Some((at, line)) = self.lines.recv().await {
@@ -154,7 +155,7 @@
             None
         });
         let found = found.await.ok().flatten();
-        found.ok_or_else(|| format!("the program did not say '{what}'; the last it said: {last}"))
+        found.ok_or_else(|| SlopesError::LineMissing { what: what.to_owned(), last })
     }
 
     /// Forgets what it has said so far.
@@ -163,40 +164,41 @@
     }
 
     /// Gives it another file and tells it to read that; when it was told.
-    pub fn hang_up(&self, text: &str) -> Result<Instant, String> {
+    pub fn hang_up(&self, text: &str) -> Result<Instant, SlopesError> {
         write(&self.file, text)?;
         let at = Instant::now();
-        kill_process(self.pid, Signal::HUP).map_err(|e| format!("SIGHUP: {e}"))?;
+        kill_process(self.pid, Signal::HUP).map_err(SlopesError::Signal)?;
         Ok(at)
     }
 
     /// Ends it as a crash would.
-    pub async fn kill(mut self) -> Result<(), String> {
-        self.child.kill().await.map_err(|e| format!("the program can't be ended: {e}"))
+    pub async fn kill(mut self) -> Result<(), SlopesError> {
+        self.child.kill().await.map_err(SlopesError::Kill)
     }
 
     /// Resident bytes.
-    pub fn resident(&self) -> Result<f64, String> {
+    pub fn resident(&self) -> Result<f64, SlopesError> {
         let text = self.read("statm")?;
-        let pages: f64 =
-            text.split(' ').nth(1).and_then(|n| n.parse().ok()).ok_or("statm has no second field")?;
+        let pages: f64 = text.split(' ').nth(1).and_then(|n| n.parse().ok()).ok_or(SlopesError::Statm)?;
         Ok(pages * rustix::param::page_size() as f64)
     }
 
     /// Processor time of all its threads so far, user and system, in seconds.
-    pub fn spent(&self) -> Result<f64, String> {
+    pub fn spent(&self) -> Result<f64, SlopesError> {
         let mut nanos = 0.0;
         for task in list(&self.path("task"))? {
-            let text =
-                std::fs::read_to_string(task.join("schedstat")).map_err(|e| format!("schedstat: {e}"))?;
-            nanos +=
-                text.split(' ').next().and_then(|n| n.parse::<f64>().ok()).ok_or("schedstat is empty")?;
+            let text = std::fs::read_to_string(task.join("schedstat")).map_err(SlopesError::Schedstat)?;
+            nanos += text
+                .split(' ')
+                .next()
+                .and_then(|n| n.parse::<f64>().ok())
+                .ok_or(SlopesError::SchedstatEmpty)?;
         }
         Ok(nanos / 1e9)
     }
 
     /// Descriptors that it holds.
-    pub fn descriptors(&self) -> Result<usize, String> {
+    pub fn descriptors(&self) -> Result<usize, SlopesError> {
         list(&self.path("fd")).map(|all| all.len())
     }
 
@@ -204,17 +206,17 @@
         PathBuf::from(format!("/proc/{}/{name}", self.pid.as_raw_nonzero()))
     }
 
-    fn read(&self, name: &str) -> Result<String, String> {
+    fn read(&self, name: &str) -> Result<String, SlopesError> {
         let path = self.path(name);
-        std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))
+        std::fs::read_to_string(&path).map_err(SlopesError::file(path))
     }
 }
 
-fn list(folder: &Path) -> Result<Vec<PathBuf>, String> {
-    let told = |e| format!("{}: {e}", folder.display());
-    std::fs::read_dir(folder).map_err(told)?.map(|entry| entry.map(|e| e.path()).map_err(told)).collect()
+fn list(folder: &Path) -> Result<Vec<PathBuf>, SlopesError> {
+    let failed = |source| SlopesError::File { path: folder.into(), source };
+    std::fs::read_dir(folder).map_err(failed)?.map(|entry| entry.map(|e| e.path()).map_err(failed)).collect()
 }
 
-fn write(file: &Path, text: &str) -> Result<(), String> {
-    std::fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))
+fn write(file: &Path, text: &str) -> Result<(), SlopesError> {
+    std::fs::write(file, text).map_err(SlopesError::file(file))
 }
--- a/crates/lab/src/slopes/table.rs
+++ b/crates/lab/src/slopes/table.rs
@@ -1,5 +1,6 @@
 //! Tables of measured figures, and straight lines through them.
 
+use super::error::SlopesError;
 use std::fmt::Write;
 use std::path::Path;
 
@@ -40,10 +41,10 @@
     }
 
     /// Lines of some columns over another.
-    pub fn fit(&mut self, over: &str, columns: &str) -> Result<(), String> {
+    pub fn fit(&mut self, over: &str, columns: &str) -> Result<(), SlopesError> {
         let place = |name: &str| {
             let found = self.columns.iter().position(|c| *c == name);
-            found.ok_or_else(|| format!("{} has no column {name}", self.name))
+            found.ok_or_else(|| SlopesError::NoColumn { table: self.name.clone(), column: name.to_owned() })
         };
         let x = place(over)?;
         for name in columns.split_whitespace() {
@@ -65,10 +66,10 @@
     }
 
     /// Leaves `slopes-NAME.csv`, and `slopes-NAME-fit.csv` where there are lines.
-    pub fn write(&self, folder: &Path) -> Result<(), String> {
+    pub fn write(&self, folder: &Path) -> Result<(), SlopesError> {
         let put = |name: String, text: String| {
             let path = folder.join(name);
-            std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))
+            std::fs::write(&path, text).map_err(SlopesError::file(&path))
         };
         let rows: String = self.rows.iter().map(|row| line(row) + "\n").collect();
         put(format!("slopes-{}.csv", self.name), self.columns.join(",") + "\n" + &rows)?;
