--- a/src/simulator/reply.rs
+++ b/src/simulator/reply.rs
@@ -20,11 +20,11 @@
         let mut put = |at: usize, bytes: &[u8]| cell[at..at + bytes.len()].copy_from_slice(bytes);
         put(1, &instance.to_le_bytes());
         match action {
-            Action::Send { request, endpoint: node, timeout } => {
+            Action::Send { request, endpoint, timeout } => {
                 put(0, &[1]);
                 put(3, &request.to_le_bytes());
                 put(11, &nanos(*timeout));
-                put(19, &node.to_le_bytes());
+                put(19, &endpoint.to_le_bytes());
             }
             Action::Reject { request, retry_after } => {
                 put(0, &[2]);
@@ -44,13 +44,13 @@
                 put(0, &[5]);
                 put(11, &nanos(*at));
             }
-            Action::HealthCheck(node) => {
+            Action::HealthCheck(endpoint) => {
                 put(0, &[6]);
-                put(3, &node.to_le_bytes());
+                put(3, &endpoint.to_le_bytes());
             }
-            Action::CloseIdle(node) => {
+            Action::CloseIdle(endpoint) => {
                 put(0, &[7]);
-                put(3, &node.to_le_bytes());
+                put(3, &endpoint.to_le_bytes());
             }
             Action::SendPeerMessage { to, bytes } => {
                 put(0, &[8]);
