--- a/crates/lab/src/hollow/initiator.rs
+++ b/crates/lab/src/hollow/initiator.rs
@@ -165,7 +165,7 @@
         news,
         ledger,
     });
-    hollow.core(broker::Input::EndpointList(operator.boxes.clone()));
+    hollow.core(broker::Input::EndpointList(operator.endpoints.clone()));
     for to in set.join.clone() {
         spawn_local(hollow.clone().ask(to));
     }
