--- a/src/app/serve_platform.rs
+++ b/src/app/serve_platform.rs
@@ -6,12 +6,12 @@
 use listenfd::ListenFd;
 use shaletack::broker::{Broker, Input};
 use shaletack::config::{self, Config};
+use shaletack::net::discovery::endpoint_list_watch::EndpointListWatch;
 use shaletack::net::downstream::front::{self, Front};
 use shaletack::net::downstream::request_ids::RequestIds;
 use shaletack::net::handover::{self, HandoverLink, HandoverState, Identity, ReceivedHandover};
 use shaletack::net::management;
 use shaletack::net::upstream::endpoint_clients::EndpointClients;
-use shaletack::net::watch::Watch;
 use shaletack::runtime::host::Host;
 use shaletack::runtime::sockets;
 use std::cell::{Cell, RefCell};
@@ -131,8 +131,8 @@
             serve_management(&host, &link, &ready, address).await?;
         }
         let revision = host.look(Broker::revision);
-        let watch = Watch::start(host.clone(), config.discovery, revision, config.seed);
-        watch.first_word().await;
+        let watch = EndpointListWatch::start(host.clone(), config.discovery, revision, config.seed);
+        watch.first_event().await;
         let in_force = Rc::new(RefCell::new(config.text.clone()));
         let reload = Reload { host: host.clone(), watch, file, in_force: in_force.clone() };
         reload.spawn(signals.hangup);
@@ -241,7 +241,7 @@
 /// Reads the configuration again at each SIGHUP: the new address of discovery and the new settings count at once.
 struct Reload {
     host: Host,
-    watch: Watch,
+    watch: EndpointListWatch,
     file: String,
     /// The text of the configuration in force.
     in_force: Rc<RefCell<Vec<u8>>>,
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -5,11 +5,11 @@
 use common::net::*;
 use shaletack::broker::{Input, OperatorCommand};
 use shaletack::interface::Settings;
+use shaletack::net::discovery::endpoint_list_watch::EndpointListWatch;
 use shaletack::net::handover::{self, HandoverLink, HandoverState, Identity};
 use shaletack::net::upstream::endpoint_clients::EndpointClients;
 use shaletack::net::upstream::request_body::RequestBody;
 use shaletack::net::upstream::upstream_call::UpstreamCall;
-use shaletack::net::watch::Watch;
 use shaletack::outcome::TransportOutcome;
 use shaletack::runtime::host::Errand;
 use std::cell::Cell;
@@ -116,7 +116,7 @@
                     .settings,
             );
             let start = Instant::now();
-            let _watch = Watch::start(host.clone(), agent, 41, 1);
+            let _watch = EndpointListWatch::start(host.clone(), agent, 41, 1);
             until(|| host.is_ready()).await;
             start.elapsed()
         });
@@ -164,7 +164,7 @@
         .await;
         let nowhere = "127.0.0.1:9".parse().unwrap();
         let host = host(&operator(&[(nowhere, 0), (nowhere, 1)]).settings);
-        let mut watch = Watch::start(host.clone(), old, 41, 1);
+        let mut watch = EndpointListWatch::start(host.clone(), old, 41, 1);
         until(|| host.look(|b| b.revision()) == 43).await;
         tell.notify_one();
         until(|| host.look(|b| b.revision()) == 50).await;
@@ -203,7 +203,7 @@
         let settings = Settings { endpoint_list_polled: true, ..Settings::clone(&host.settings()) };
         host.feed(Input::Settings(Box::new(settings)));
         let start = Instant::now();
-        let _watch = Watch::start(host.clone(), agent, 1, 1);
+        let _watch = EndpointListWatch::start(host.clone(), agent, 1, 1);
         let mut client = HttpClient::connect(front).await;
         let request = || platform_request("GET", "leitura", 0, 1, b"");
         assert_eq!(client.ask(&request()).await.0, 200);
@@ -548,7 +548,7 @@
         let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
         let settings = Settings { endpoint_list_polled: true, ..Settings::clone(&host.settings()) };
         host.feed(Input::Settings(Box::new(settings)));
-        let _watch = Watch::start(host.clone(), agent, 1, 1);
+        let _watch = EndpointListWatch::start(host.clone(), agent, 1, 1);
         let mut client = HttpClient::connect(front).await;
         let request = || platform_request("GET", "leitura", 0, 1, b"");
         let mut served = Instant::now();
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -6,7 +6,7 @@
 use futures_util::stream;
 use shaletack::interface::AttemptOutcome;
 use shaletack::nbd::codec::{cmd, errno};
-use shaletack::net::watch::Watch;
+use shaletack::net::discovery::endpoint_list_watch::EndpointListWatch;
 use shaletack::outcome::TransportOutcome;
 use shaletack::runtime::json_stream::{JsonObjects, StreamEnd};
 use std::time::{Duration, Instant};
@@ -490,7 +490,7 @@
         let mut client = HttpClient::connect(front).await;
         let health = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
         assert_eq!(client.ask(health).await.0, 503, "nothing to send to");
-        let _watch = Watch::start(host.clone(), agent.address, 41, 1);
+        let _watch = EndpointListWatch::start(host.clone(), agent.address, 41, 1);
         while !host.is_ready() {
             tokio::task::yield_now().await;
         }
@@ -577,8 +577,8 @@
         .await;
         let (_, _, host) = http_front(&[]).await;
         let start = Instant::now();
-        let watch = Watch::start(host.clone(), agent, 41, 1);
-        watch.first_word().await;
+        let watch = EndpointListWatch::start(host.clone(), agent, 41, 1);
+        watch.first_event().await;
         assert!((0.25..1.0).contains(&start.elapsed().as_secs_f64()), "a silent agent holds up no start");
         while !host.is_ready() {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -586,8 +586,8 @@
         assert!(start.elapsed() < Duration::from_secs(6), "{:?}", start.elapsed());
         // What the agent has counts from the first moment of a new process.
         let (_, _, host) = http_front(&[]).await;
-        let watch = Watch::start(host.clone(), agent, 41, 1);
-        watch.first_word().await;
+        let watch = EndpointListWatch::start(host.clone(), agent, 41, 1);
+        watch.first_event().await;
         assert!(host.is_ready());
     });
 }
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -4,7 +4,7 @@
 use common::net::*;
 use shaletack::broker::Input;
 use shaletack::interface::{EndpointListKind, Idempotency, Readiness, Settings};
-use shaletack::net::watch::Watch;
+use shaletack::net::discovery::endpoint_list_watch::EndpointListWatch;
 use shaletack::runtime::host::Host;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -215,7 +215,7 @@
         })
         .await;
         let (_, _, host) = http_front(&[]).await;
-        let _watch = Watch::start(host.clone(), agent, 41, 1);
+        let _watch = EndpointListWatch::start(host.clone(), agent, 41, 1);
         until(|| host.is_ready()).await;
         until(|| fell.get().is_some()).await;
         let (at, calls) = fell.get().unwrap();
@@ -312,7 +312,7 @@
         })
         .await;
         let (_, _, host) = http_front(&[]).await;
-        let mut watch = Watch::start(host.clone(), old, 41, 1);
+        let mut watch = EndpointListWatch::start(host.clone(), old, 41, 1);
         until(|| host.is_ready()).await;
         watch.move_to(dumb);
         retune(&host, |set| set.zones.push("room-new".into()));
