--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -487,7 +487,7 @@
         child.signal("-HUP");
         std::thread::sleep(SECOND / 2);
         faults.set("open 700\n");
-        let told = lines.find(|line| line.contains("configuration is")).unwrap();
+        let told = lines.find(|line| line.contains(" configuration ")).unwrap();
         assert!(told.contains("the configuration was reloaded"), "{told}");
         assert!(begins.elapsed() < 3 * SECOND, "{:?}", begins.elapsed());
     }
