--- a/crates/gossip/src/aggregation/amount.rs
+++ b/crates/gossip/src/aggregation/amount.rs
@@ -1,16 +1,17 @@
-//! Amounts on the wire: floats of 11 significant bits in a `u16`, since a page is mostly amounts.
+//! The wire format of amounts: floating-point numbers with 11 significant bits in a `u16`. Most of a page is
+//! amounts, so they are kept short.
 
-/// The greatest amount that one member or cell can state, in thousandths of a unit a second. It bounds what a false
-/// statement does.
+/// The greatest amount that one member or cell can report, in thousandths of a unit per second. The limit
+/// bounds the effect of a false report.
 pub const MAX_AMOUNT: u64 = 1 << 40;
 
-/// Bits of an amount after the leading one.
+/// The number of bits of an amount after the leading 1.
 const FRACTION_BITS: u32 = 10;
-/// Amounts below this are exact.
+/// The leading 1 of a fraction. Amounts below this are packed exactly.
 const LEADING_ONE: u64 = 1 << FRACTION_BITS;
 const FRACTION_MASK: u16 = LEADING_ONE as u16 - 1;
 
-/// Packs an amount, rounded down by less than 1/1024 of it.
+/// Packs an amount. It is capped at [`MAX_AMOUNT`], and rounded down by less than 1/1024 of its value.
 pub fn pack_amount(amount: u64) -> u16 {
     let amount = amount.min(MAX_AMOUNT);
     if amount < LEADING_ONE {
@@ -20,7 +21,7 @@
     (((shift + 1) << FRACTION_BITS) as u16) | ((amount >> shift) as u16 & FRACTION_MASK)
 }
 
-/// The amount that was packed; at most [`MAX_AMOUNT`], whatever the bits.
+/// Unpacks an amount. Every bit pattern gives at most [`MAX_AMOUNT`].
 pub fn unpack_amount(packed: u16) -> u64 {
     let (exponent, fraction) = (u32::from(packed >> FRACTION_BITS), u64::from(packed & FRACTION_MASK));
     match exponent {
--- a/crates/gossip/src/aggregation/contributor.rs
+++ b/crates/gossip/src/aggregation/contributor.rs
@@ -1,7 +1,8 @@
-//! The member's side: contributions of the own amounts to the owners of the own cell, and the totals that come back.
+//! The contributor: sends this process's amounts to the owners in its cell, and stores the totals that they
+//! answer.
 //!
-//! Amounts change all the time, and most changes are small. Sending each would cost more than it tells: while answers
-//! come and nothing changes much, contributions are rarer.
+//! Amounts change all the time, and most changes are too small to be worth a message. Contributions are
+//! therefore sent less often while the owners answer and no amount changes much.
 
 use super::amount::{pack_amount, unpack_amount};
 use super::placement::Placement;
@@ -16,28 +17,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Keys that a process contributes; of more, those of the greatest amounts.
+/// The most keys that a process contributes. Of more keys, those with the greatest amounts are contributed.
 pub const MAX_OWN_KEYS: usize = 4096;
-/// How long a total counts after its oldest partial came.
+/// How long a total is used after its oldest partial was received.
 pub const TOTAL_TTL: Duration = Duration::from_secs(4);
 
-/// Between two contributions while amounts change or no answer came, jitter aside.
+/// The time between two contributions, without jitter, while amounts change or answers are missing.
 const BUSY_INTERVAL: Duration = Duration::from_millis(900);
-/// Between two contributions while nothing changes much.
+/// The time between two contributions, without jitter, while no amount changes much.
 const QUIET_INTERVAL: Duration = Duration::from_millis(1450);
-/// Between a contribution that is not answered and its retry. An owner is near.
+/// The time after which an unanswered contribution is retried, without jitter. It is short because the owner
+/// is nearby, in the same cell.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// Retries that follow each other so closely.
+/// The most retries at [`RETRY_INTERVAL`]; the next attempt follows after [`BUSY_INTERVAL`].
 const MAX_RETRIES: u8 = 2;
-/// How soon keys that the owner does not know are sent in full.
+/// The delay before keys that the owner does not know are sent in full.
 const FULL_LAYOUT_DELAY: Duration = Duration::from_millis(20);
-/// A total whose oldest partial is older than this is asked for again after the busy interval.
+/// A total whose oldest partial is older than this is requested again after [`BUSY_INTERVAL`].
 const MAX_QUIET_AGE: Duration = Duration::from_millis(1200);
-/// A change by less than this part of an amount, or of the mean contribution, waits for the quiet interval.
-const NEGLIGIBLE_FRACTION: u64 = 16;
-/// Contributions of a page that answers are expected to.
+/// A change of at most 1/16 of an amount, or of the mean contribution to its key, waits for
+/// [`QUIET_INTERVAL`].
+const NEGLIGIBLE_CHANGE_DIVISOR: u64 = 16;
+/// The most contributions of a page that are remembered, so that answers to them can be matched.
 const MAX_REMEMBERED_CONTRIBUTIONS: usize = 4;
-/// Contributions that nothing is left, if nobody answers.
+/// The most rounds that tell the owner that no keys are left in a shard, if it does not answer.
 const MAX_EMPTY_ROUNDS: u8 = 3;
 
 #[derive(Clone, Copy, Debug)]
@@ -56,14 +59,14 @@
 }
 
 impl KnownTotal {
-    fn at(&self, now: Duration) -> Option<Total> {
+    fn total_at(&self, now: Duration) -> Option<Total> {
         let age = now.saturating_sub(self.oldest_at);
         let KnownTotal { others, contributors, missing_cells, .. } = *self;
         (age <= TOTAL_TTL).then_some(Total { others, contributors, age, missing_cells })
     }
 }
 
-/// A contribution of a page: the own amounts in it are taken off the totals that answer it.
+/// A contribution of a page that was sent. Its amounts are subtracted from the totals that answer it.
 #[derive(Clone, Debug)]
 struct SentContribution {
     sequence: u32,
@@ -71,7 +74,7 @@
     amounts: Vec<u16>,
 }
 
-/// What was contributed of one page.
+/// The state of one page of contributions.
 #[derive(Clone, Debug)]
 struct ContributedPage {
     owner: SocketAddr,
@@ -90,7 +93,7 @@
         self.sent.back().map(|contribution| &contribution.amounts)
     }
 
-    /// The keys in full, or their hash where the owner has them.
+    /// Returns the keys in full, or a hash of the keys if the owner already has them.
     fn layout(&self, in_full: bool) -> Layout {
         let rows: Vec<KeyRow> = self.keys.iter().map(|key| KeyRow { key: *key, contributors: 1 }).collect();
         if in_full {
@@ -113,7 +116,7 @@
 #[derive(Clone, Debug, Default)]
 struct ContributedShard {
     next_contribution_at: Option<Duration>,
-    /// When the last round of contributions began, retries aside.
+    /// When the last round of contributions began, not counting retries.
     last_round_at: Option<Duration>,
     retries: u8,
     empty_rounds: u8,
@@ -129,18 +132,19 @@
         self.pages.values().filter(|page| !page.keys.is_empty()).count()
     }
 
-    /// Whether the owner is to be told once more that nothing is left.
+    /// Returns whether the owner has to be told once more that no keys are left.
     fn needs_empty_round(&self) -> bool {
         let is_pending = self.pages.values().any(|page| !page.keys.is_empty() || !page.is_answered);
         is_pending && self.empty_rounds < MAX_EMPTY_ROUNDS
     }
 
-    fn end(&mut self) {
+    fn stop(&mut self) {
         self.pages.clear();
         self.next_contribution_at = None;
     }
 
-    /// Sets when the shard is sent next if no answer comes. Whether this is a retry.
+    /// Schedules the next round for the case that no answer arrives, and returns whether the present round is
+    /// a retry.
     fn begin_round(&mut self, now: Duration, owner_is_self: bool, transmitter: &mut Transmitter) -> bool {
         let is_retry = self.retries > 0;
         if !is_retry {
@@ -154,7 +158,7 @@
     }
 }
 
-/// One round of a shard's contributions.
+/// One round of contributions to a shard.
 struct ContributionRound {
     now: Duration,
     shard: usize,
@@ -164,7 +168,7 @@
     is_retry: bool,
 }
 
-/// The own amounts, what was contributed of them, and the totals that are known.
+/// This process's amounts, what was contributed of them, and the known totals.
 #[derive(Debug)]
 pub(super) struct Contributor {
     own_address: SocketAddr,
@@ -187,12 +191,12 @@
         self.shards[shard].next_contribution_at.is_some_and(|at| at <= now)
     }
 
-    /// When contributions are due, of each shard that has any.
+    /// Returns when each shard that has contributions is due.
     pub(super) fn next_contribution_at(&self) -> impl Iterator<Item = Duration> + '_ {
         self.shards.iter().filter_map(|shard| shard.next_contribution_at)
     }
 
-    /// Replaces the own amounts; what changed is sent as soon as the busy interval allows.
+    /// Replaces this process's amounts. Shards that changed are sent as soon as [`BUSY_INTERVAL`] allows.
     pub(super) fn set_amounts(
         &mut self,
         now: Duration,
@@ -216,8 +220,8 @@
         }
     }
 
-    /// After a change of members: a shard whose owner is another one is sent to it soon.
-    pub(super) fn follow_owners(
+    /// Handles a change of members: shards whose owner has changed are sent to the new owner soon.
+    pub(super) fn handle_owner_changes(
         &mut self,
         now: Duration,
         placement: &Placement,
@@ -231,7 +235,8 @@
         }
     }
 
-    /// A shard's contributions that go to its owner now, one for each page. `split`: how the own zone is split.
+    /// Returns the contributions to a shard that have to be sent to its owner now, one for each page. `split`
+    /// is the split of this process's own zone.
     pub(super) fn contribute(
         &mut self,
         now: Duration,
@@ -244,7 +249,7 @@
         let contributed = &mut self.shards[shard];
         if pages.is_empty() {
             if !contributed.needs_empty_round() {
-                contributed.end();
+                contributed.stop();
                 return Vec::new();
             }
             contributed.empty_rounds += 1;
@@ -256,14 +261,13 @@
         let round = ContributionRound { now, shard, owner, split, page_count, is_retry };
         let pages = pages.into_iter().enumerate();
         pages
-            .filter_map(|(number, amounts)| {
-                self.contribution_of_page(&round, number as u8, &amounts, transmitter)
-            })
+            .filter_map(|(number, amounts)| self.contribute_page(&round, number as u8, &amounts, transmitter))
             .collect()
     }
 
-    /// One page of a round; `None`: it is answered already, or the limiter does not allow it.
-    fn contribution_of_page(
+    /// Returns the contribution of one page, or `None` if the page is answered already or the limiter does
+    /// not allow it.
+    fn contribute_page(
         &mut self,
         round: &ContributionRound,
         number: u8,
@@ -299,7 +303,8 @@
         Some(contribution)
     }
 
-    /// Takes the owner's answer to a contribution.
+    /// Handles the owner's answer to a contribution. An answer to a contribution that is not remembered is
+    /// ignored.
     pub(super) fn receive_totals(
         &mut self,
         from: SocketAddr,
@@ -331,14 +336,15 @@
         }
     }
 
-    /// Puts off the next contribution of a shard that is answered, and for longer while it does not change.
-    fn schedule_next(&mut self, number: usize, is_young: bool, transmitter: &mut Transmitter) {
+    /// Postpones the next round of a shard whose pages are all answered, and for longer if the amounts have
+    /// not changed.
+    fn schedule_next(&mut self, number: usize, is_fresh: bool, transmitter: &mut Transmitter) {
         let shard = &self.shards[number];
         let is_answered = shard.pages.values().all(|page| page.is_answered);
         if !is_answered || shard.pages.values().any(|page| page.owner == self.own_address) {
             return;
         }
-        let is_quiet = is_young && !self.has_changed(number);
+        let is_quiet = is_fresh && !self.has_changed(number);
         let interval = if is_quiet { QUIET_INTERVAL } else { BUSY_INTERVAL } + transmitter.jitter();
         let shard = &mut self.shards[number];
         let is_done = is_quiet && shard.pages.values().all(|page| page.keys.is_empty());
@@ -346,7 +352,8 @@
         shard.next_contribution_at = shard.last_round_at.filter(|_| !is_done).map(|last| last + interval);
     }
 
-    /// The owner does not know the keys of a page: the next one goes in full, and soon.
+    /// Handles an answer that the owner does not know the keys of a page: the page is soon sent again with
+    /// all keys.
     pub(super) fn send_full_layout(&mut self, now: Duration, owner: SocketAddr, shard: u8, page: u8) {
         let Some(shard) = self.shards.get_mut(usize::from(shard)) else { return };
         let Some(page) = shard.pages.get_mut(&page) else { return };
@@ -356,23 +363,26 @@
         }
     }
 
-    /// The total of a key, if it is known and young enough.
+    /// Returns the total of a key, if it is known and not older than [`TOTAL_TTL`].
     pub(super) fn total(&self, now: Duration, key: Key) -> Option<Total> {
-        self.totals.get(&short_key(key))?.at(now)
+        self.totals.get(&short_key(key))?.total_at(now)
     }
 
     pub(super) fn totals(&self, now: Duration) -> impl Iterator<Item = (Key, Total)> + '_ {
-        self.totals.iter().filter_map(move |(key, known)| Some((self.amounts.get(key)?.key, known.at(now)?)))
+        self.totals
+            .iter()
+            .filter_map(move |(key, known)| Some((self.amounts.get(key)?.key, known.total_at(now)?)))
     }
 
-    /// The own keys and amounts of a shard, in order, page by page.
+    /// Returns this process's keys and amounts of a shard, in ascending order, divided into pages.
     fn own_pages(&self, shard: usize) -> Vec<Vec<(ShortKey, u64)>> {
         let own = self.amounts.iter().filter(|(key, _)| shard_of(**key) == shard);
         let own = own.map(|(key, own)| (*key, own.amount)).take(MAX_PAGES * MAX_PAGE_KEYS);
         own.collect::<Vec<_>>().chunks(MAX_PAGE_KEYS).map(<[_]>::to_vec).collect()
     }
 
-    /// Whether a shard's amounts differ from the contributed ones by more than is negligible.
+    /// Returns whether the amounts of a shard differ from the contributed ones by more than a negligible
+    /// change.
     fn has_changed(&self, number: usize) -> bool {
         let shard = &self.shards[number];
         let own = self.own_pages(number);
@@ -396,19 +406,20 @@
     fn amount_changed(&self, key: &ShortKey, amount: u64, contributed: u64) -> bool {
         let total = self.totals.get(key);
         let mean = total.map_or(0, |total| total.others / u64::from(total.contributors.max(1)));
-        let negligible = contributed.max(mean) / NEGLIGIBLE_FRACTION;
+        let negligible = contributed.max(mean) / NEGLIGIBLE_CHANGE_DIVISOR;
         unpack_amount(pack_amount(amount)).abs_diff(contributed) > negligible
     }
 }
 
-/// The totals of an answer without what of this process's own is in them.
+/// Returns the totals of an answer without this process's own amounts.
 fn totals_of_others(
     page: &ContributedPage,
     contribution: &SentContribution,
     answer: &TotalsPage,
     age: Duration,
 ) -> Vec<(ShortKey, KnownTotal)> {
-    // Counted from the contribution on: an answer that was long on the way is no younger for it.
+    // The age counts from when the contribution was sent, so that a delayed answer does not make the total
+    // look younger.
     let oldest_at = contribution.sent_at.saturating_sub(age);
     let missing_cells = u32::from(answer.missing_cells);
     let totals = page.keys.iter().zip(&contribution.amounts).zip(&answer.totals);
--- a/crates/gossip/src/aggregation/mod.rs
+++ b/crates/gossip/src/aggregation/mod.rs
@@ -1,17 +1,19 @@
-//! Decentralised aggregation: sums over all initiators, each counted once.
+//! Decentralised aggregation: sums over all initiators, with each initiator counted once.
 //!
-//! A volume's limit, and the budget of an endpoint in slow start, depend on what all initiators together are asked for and
-//! spend. Were each to tell each, this would grow with the square of the fleet. So the sums are made in two stages, over
-//! owners that nobody elects:
+//! The limit of a volume and the budget of an endpoint in slow start apply to the total demand and spending
+//! of all initiators. If each initiator reported to every other one, the traffic would grow with the square
+//! of the fleet. The sums are therefore computed in two stages by owners, which are assigned by hashing
+//! without an election:
 //!
-//! 1. Members are grouped into cells (a small region, a zone, or a slice of a large zone), and keys into shards. In each
-//!    cell each shard has one owner, found by rendezvous hashing (`placement`).
-//! 2. A member sends its amounts to the owners of its own cell (`contributor`).
-//! 3. An owner sends its cell's partial sums to the owners of the other cells, and answers each contribution with the totals
-//!    of its keys (`owner`).
+//! 1. Members are grouped into cells (a small region, a zone, or a slice of a large zone), and keys into
+//!    shards. Each shard has one owner in each cell, assigned by rendezvous hashing (`placement`).
+//! 2. A member sends its amounts to the owners in its own cell (`contributor`).
+//! 3. An owner sends the partial sums of its cell to the owners in the other cells, and answers each
+//!    contribution with the totals of its keys (`owner`).
 //!
-//! An owner keeps one contribution for each member and one partial for each other cell. So a message that comes twice, or
-//! an owner that changes, counts nobody twice. `docs/design/GOSSIP-AGGREGATION.md` has the rules and the error bounds.
+//! An owner stores one contribution per member and one partial per other cell, each replaced by the next one.
+//! Neither a duplicated message nor a change of owner therefore counts an initiator twice. The protocol and
+//! its error bounds are described in `docs/design/GOSSIP-AGGREGATION.md`.
 
 mod amount;
 mod contributor;
@@ -43,37 +45,38 @@
 /// A live initiator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Where it receives datagrams.
+    /// The address at which the initiator receives datagrams.
     pub address: SocketAddr,
-    /// Its incarnation.
+    /// The initiator's incarnation.
     pub incarnation: u64,
-    /// Where it stands.
+    /// The initiator's locality.
     pub locality: Locality,
 }
 
-/// A message and its receiver.
+/// An outgoing message and its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope {
     /// The receiver's address.
     pub to: SocketAddr,
-    /// What it is sent.
+    /// The message.
     pub message: Message,
 }
 
 /// The sum of a key over all other initiators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Total {
-    /// The amounts of all others, in thousandths of a unit.
+    /// The sum of the amounts of all other initiators, in thousandths of a unit.
     pub others: u64,
-    /// Initiators that the sum holds, the own one included if its amount is above 0.
+    /// The number of initiators that contribute, including this one if its amount is above 0.
     pub contributors: u32,
-    /// How long ago the oldest partial came to the owner.
+    /// How long ago the owner received the oldest partial in the sum.
     pub age: Duration,
-    /// Cells that have members and are not in the sum: cut off, silent, or without that key. 0: the sum is complete.
+    /// The number of cells that have members and are not in the sum: partitioned, silent, or without that
+    /// key. 0 if the sum is complete.
     pub missing_cells: u32,
 }
 
-/// One process's part in the aggregation, as a state machine.
+/// The aggregation state machine of one process: a contributor, and an owner of shards.
 #[derive(Debug)]
 pub struct Aggregation {
     placement: Placement,
@@ -83,7 +86,8 @@
 }
 
 impl Aggregation {
-    /// A process that knows of no other one. The seed spreads its rounds.
+    /// Creates the state machine of a process that knows no other members. The seed determines the jitter of
+    /// its rounds.
     pub fn new(own: Member, seed: u64) -> Self {
         Aggregation {
             contributor: Contributor::new(own.address),
@@ -93,20 +97,22 @@
         }
     }
 
-    /// Replaces the live members that speak this protocol version; the own one is implied. Contributions of whom it does
-    /// not name any more are dropped at once.
+    /// Replaces the live members that speak this protocol version. This process is always a member.
+    ///
+    /// Contributions of members that are not listed any more are dropped at once.
     pub fn set_members(&mut self, now: Duration, members: Vec<Member>) {
-        let resplit = self.placement.set_members(members);
-        self.owner.retain_placed(&self.placement, &resplit);
-        self.contributor.follow_owners(now, &self.placement, &mut self.transmitter);
+        let resplit_zones = self.placement.set_members(members);
+        self.owner.retain_current_members(&self.placement, &resplit_zones);
+        self.contributor.handle_owner_changes(now, &self.placement, &mut self.transmitter);
     }
 
-    /// Replaces this process's amounts, in thousandths of a unit. 0 asks for a key's total and adds nobody to it.
+    /// Replaces this process's amounts, in thousandths of a unit. An amount of 0 requests the total of its
+    /// key without adding a contributor.
     pub fn set_amounts(&mut self, now: Duration, amounts: Vec<(Key, u64)>) {
         self.contributor.set_amounts(now, amounts, &mut self.transmitter);
     }
 
-    /// Sends what is due. To be called at [`Aggregation::wake_at`].
+    /// Returns the messages that are due. The caller has to call this at [`Aggregation::wake_at`].
     pub fn tick(&mut self, now: Duration) -> Vec<Envelope> {
         let mut out = Vec::new();
         for shard in 0..SHARDS {
@@ -120,7 +126,7 @@
         out
     }
 
-    /// When [`Aggregation::tick`] has something to do; `Duration::MAX`: nothing.
+    /// Returns when [`Aggregation::tick`] is due next, or `Duration::MAX` if nothing is scheduled.
     pub fn wake_at(&self) -> Duration {
         self.contributor
             .next_contribution_at()
@@ -129,7 +135,9 @@
             .unwrap_or(Duration::MAX)
     }
 
-    /// Takes a message of a process at that address and of that incarnation; what to answer.
+    /// Handles a message from the process with this address and incarnation, and returns the answers.
+    ///
+    /// Messages from processes that are not live members are ignored.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -169,18 +177,19 @@
         out
     }
 
-    /// The sum over all others of one of this process's keys; `None`: unknown, or its oldest partial came more than
-    /// [`TOTAL_TTL`] ago.
+    /// Returns the sum of one of this process's keys over all other initiators, or `None` if the sum is
+    /// unknown or its oldest partial is older than [`TOTAL_TTL`].
     pub fn total(&self, now: Duration, key: Key) -> Option<Total> {
         self.contributor.total(now, key)
     }
 
-    /// All sums that are known.
+    /// Returns all sums that are known.
     pub fn totals(&self, now: Duration) -> impl Iterator<Item = (Key, Total)> + '_ {
         self.contributor.totals(now)
     }
 
-    /// Takes another cell's partial sums, which count only from whom this process takes for that cell's owner.
+    /// Handles partial sums of another cell. They count only if their sender is the owner in that cell, and
+    /// the cell's zone is split as in this process's own view.
     fn receive_partial(
         &mut self,
         now: Duration,
@@ -189,27 +198,30 @@
         page: Page,
         out: &mut Vec<Envelope>,
     ) {
-        let is_split_alike = page.split == self.placement.split_of(&sender.locality);
+        let has_same_split = page.split == self.placement.split_of(&sender.locality);
         let cell_owner = self.placement.owner(&sender.cell, usize::from(page.shard));
         let is_from_owner = cell_owner == Some(from.address);
-        if is_split_alike && is_from_owner {
+        if has_same_split && is_from_owner {
             self.owner.receive_partial(now, from, sender.cell, page, &mut self.transmitter, out);
         }
     }
 
-    /// Sends the own amounts of a shard to its owner, which may be this process.
+    /// Sends this process's amounts of a shard to the owner, which may be this process.
     fn contribute(&mut self, now: Duration, shard: usize, out: &mut Vec<Envelope>) {
         let Some(owner) = self.placement.own_cell_owner(shard) else { return };
         let split = self.placement.own_split();
         let contributions = self.contributor.contribute(now, shard, owner, split, &mut self.transmitter);
         if owner == self.placement.own().address {
-            contributions.into_iter().for_each(|contribution| self.contribute_to_itself(now, contribution));
+            contributions
+                .into_iter()
+                .for_each(|contribution| self.deliver_own_contribution(now, contribution));
         } else {
             out.extend(contributions.into_iter().map(|message| Envelope { to: owner, message }));
         }
     }
 
-    fn contribute_to_itself(&mut self, now: Duration, contribution: Message) {
+    /// Handles a contribution of this process to itself, and the answer to it.
+    fn deliver_own_contribution(&mut self, now: Duration, contribution: Message) {
         let own = self.placement.own();
         let (address, incarnation) = (own.address, own.incarnation);
         for answer in self.receive(now, address, incarnation, contribution) {
--- a/crates/gossip/src/aggregation/owner.rs
+++ b/crates/gossip/src/aggregation/owner.rs
@@ -1,7 +1,9 @@
-//! The owner's side: what members of the own cell and owners of other cells have sent, and the sums of it.
+//! The owner: sums the contributions of the members in its cell and the partial sums of the owners in other
+//! cells.
 //!
-//! An owner dies without notice, and messages are lost: so everything that is stored expires, and is sent again by whoever
-//! sent it. What is lost makes a sum too small for a while, never too great.
+//! An owner may fail without notice, and messages may be lost. Everything that an owner stores therefore
+//! expires, and is sent again regularly by its sender. A lost message makes a sum too small for a while, but
+//! never too large.
 
 use super::amount::pack_amount;
 use super::placement::{Cell, Placement};
@@ -17,64 +19,65 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Amounts that are stored of a shard, of all members and cells; a page past it is not taken.
+/// The most amounts of a shard that are stored, over all members and cells. A page that exceeds the limit is
+/// ignored.
 pub const MAX_STORED_KEYS_PER_SHARD: usize = 8_192;
-/// How long a contribution counts after it came.
+/// How long a contribution counts after it was received.
 pub const CONTRIBUTION_TTL: Duration = Duration::from_secs(4);
-/// How long a cell's partial sums count after they came.
+/// How long the partial sums of a cell count after they were received.
 pub const PARTIAL_TTL: Duration = Duration::from_secs(3);
 
-/// Between two rounds of partial sums, jitter aside.
+/// The time between two rounds of partial sums, without jitter.
 const PARTIAL_INTERVAL: Duration = Duration::from_millis(800);
-/// Between two answers to one member about one page.
+/// The minimum time between two answers to one member about one page.
 const MIN_ANSWER_GAP: Duration = Duration::from_millis(200);
-/// How often expired pages are looked for: they may count longer by this.
+/// The minimum time between two checks for expired pages. A page may count longer than its TTL by this time.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Rounds that tell the other cells that nothing is left.
+/// The number of rounds that tell the other cells that no keys are left.
 const EMPTY_ROUNDS: u8 = 3;
 
-/// The pages of one shard that go to one cell.
+/// One page of a shard's partial sums, as sent repeatedly to one cell.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PartialStream {
     cell: Cell,
     page: u8,
 }
 
-/// The keys that a receiver has of a stream.
+/// The keys that a receiver has got for a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct SentLayout {
     to: SocketAddr,
     hash: u32,
 }
 
-/// A page of partial sums, the same for each cell.
+/// A page of partial sums, which is the same for each receiving cell.
 struct PartialPage {
     rows: Vec<KeyRow>,
     amounts: Vec<u16>,
 }
 
-/// One round of a shard's partial sums.
+/// One round of partial sums of a shard.
 struct PartialRound {
     now: Duration,
     shard: usize,
-    /// How the own zone is split.
+    /// The split of this process's own zone.
     split: u8,
     pages: Vec<PartialPage>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct OwnedShard {
-    /// By member of the own cell.
+    /// The contributions of the members of this process's own cell.
     contributions: BTreeMap<SocketAddr, ReceivedPages>,
-    /// By other cell.
+    /// The partial sums of the other cells.
     partials: BTreeMap<Cell, ReceivedPages>,
-    expired_at: Option<Duration>,
+    last_expiry_at: Option<Duration>,
     next_partials_at: Option<Duration>,
     empty_rounds_left: u8,
     sent_layouts: BTreeMap<PartialStream, SentLayout>,
 }
 
-/// What this process stores and sums as an owner of shards.
+/// The shards that this process stores and sums as an owner.
 #[derive(Debug)]
 pub(super) struct Owner {
     shards: Vec<OwnedShard>,
@@ -89,26 +92,33 @@
         self.shards[shard].next_partials_at.is_some_and(|at| at <= now)
     }
 
-    /// When partial sums are due, of each shard that has any.
+    /// Returns when the partial sums of each shard that has any are due.
     pub(super) fn next_partials_at(&self) -> impl Iterator<Item = Duration> + '_ {
         self.shards.iter().filter_map(|shard| shard.next_partials_at)
     }
 
-    /// After a change of members: drops what came from whom this process takes for a member or cell no more. A zone that
-    /// is split in another way begins anew, so that nobody counts in an old cell and in a new one.
-    pub(super) fn retain_placed(&mut self, placement: &Placement, resplit: &BTreeSet<Locality>) {
+    /// Handles a change of members: drops the contributions of processes that are not members of this cell
+    /// any more, and the partial sums of cells that are gone. The partial sums of a zone whose split has
+    /// changed are dropped too, so that no member is counted in both an old and a new cell.
+    pub(super) fn retain_current_members(
+        &mut self,
+        placement: &Placement,
+        resplit_zones: &BTreeSet<Locality>,
+    ) {
         for shard in &mut self.shards {
             shard
                 .contributions
                 .retain(|address, pages| placement.is_in_own_cell(*address, pages.sender().incarnation));
             shard.partials.retain(|cell, _| {
-                cell != placement.own_cell() && placement.has_cell(cell) && !resplit.contains(cell.locality())
+                cell != placement.own_cell()
+                    && placement.has_cell(cell)
+                    && !resplit_zones.contains(cell.locality())
             });
             shard.sent_layouts.retain(|stream, _| placement.has_cell(&stream.cell));
         }
     }
 
-    /// Takes a member's contribution, and answers it with the totals of its keys.
+    /// Stores a contribution of a member, and answers with the totals of its keys.
     pub(super) fn receive_contribution(
         &mut self,
         now: Duration,
@@ -143,7 +153,7 @@
         }
     }
 
-    /// Takes the partial sums of another cell, which replace what came from it before.
+    /// Stores a page of partial sums of another cell, which replaces the earlier page.
     pub(super) fn receive_partial(
         &mut self,
         now: Duration,
@@ -167,13 +177,14 @@
         }
     }
 
-    /// The shard of a page, if there are such a shard and such a page.
+    /// Returns the shard of a page, or `None` if the number of the shard or the page is out of range.
     fn shard_of_page(&mut self, page: &Page) -> Option<&mut OwnedShard> {
         let in_bounds = usize::from(page.page) < MAX_PAGES;
         self.shards.get_mut(usize::from(page.shard)).filter(|_| in_bounds)
     }
 
-    /// A receiver of partial sums does not know their keys: the next page goes in full.
+    /// Handles an answer that a receiver does not know the keys of a page: the next page is sent with all
+    /// keys.
     pub(super) fn forget_sent_layout(&mut self, receiver: SocketAddr, cell: Cell, shard: u8, page: u8) {
         let Some(owned) = self.shards.get_mut(usize::from(shard)) else { return };
         let stream = PartialStream { cell, page };
@@ -182,7 +193,7 @@
         }
     }
 
-    /// Sends the own cell's partial sums of a shard to the owners of the other cells.
+    /// Sends this cell's partial sums of a shard to the owners in the other cells.
     pub(super) fn send_partials(
         &mut self,
         now: Duration,
@@ -194,10 +205,11 @@
         let owned = &mut self.shards[shard];
         owned.expire(now);
         let sums = owned.own_cell_sums();
-        // Cells that have keys are answered, so that they know that there is none here.
-        let waiting = owned.cells_with_keys();
+        // Cells that have keys get a page even if it is empty, so that they do not count this cell as
+        // missing.
+        let cells_with_keys = owned.cells_with_keys();
         let to_all = !sums.is_empty() || owned.empty_rounds_left > 0;
-        if !to_all && waiting.is_empty() {
+        if !to_all && cells_with_keys.is_empty() {
             owned.sent_layouts.clear();
             owned.next_partials_at = None;
             return;
@@ -206,7 +218,7 @@
             if sums.is_empty() { owned.empty_rounds_left.saturating_sub(1) } else { EMPTY_ROUNDS };
         owned.next_partials_at = Some(now + PARTIAL_INTERVAL + transmitter.jitter());
         let round = PartialRound { now, shard, split: placement.own_split(), pages: partial_pages(sums) };
-        for cell in placement.other_cells().filter(|cell| to_all || waiting.contains(cell)) {
+        for cell in placement.other_cells().filter(|cell| to_all || cells_with_keys.contains(cell)) {
             if let Some(to) = placement.owner(cell, shard) {
                 owned.send_round(&round, cell, to, transmitter, out);
             }
@@ -216,9 +228,9 @@
 
 impl OwnedShard {
     fn accept_contribution(&mut self, now: Duration, from: SenderId, page: Page) -> PageOutcome {
-        let room = self.expire(now);
+        let capacity = self.expire(now);
         let mut stored = self.contributions.remove(&from.address);
-        let outcome = accept_page(&mut stored, now, from, page, room);
+        let outcome = accept_page(&mut stored, now, from, page, capacity);
         if let Some(stored) = stored {
             self.contributions.insert(from.address, stored);
         }
@@ -226,19 +238,19 @@
     }
 
     fn accept_partial(&mut self, now: Duration, from: SenderId, cell: Cell, page: Page) -> PageOutcome {
-        let room = self.expire(now);
+        let capacity = self.expire(now);
         let mut stored = self.partials.remove(&cell);
-        let outcome = accept_page(&mut stored, now, from, page, room);
+        let outcome = accept_page(&mut stored, now, from, page, capacity);
         if let Some(stored) = stored {
             self.partials.insert(cell, stored);
         }
         outcome
     }
 
-    /// Drops what has expired; how many more keys may be stored.
+    /// Drops expired pages, and returns how many more keys may be stored.
     fn expire(&mut self, now: Duration) -> usize {
-        if self.expired_at.is_none_or(|at| now.saturating_sub(at) >= EXPIRY_INTERVAL) {
-            self.expired_at = Some(now);
+        if self.last_expiry_at.is_none_or(|at| now.saturating_sub(at) >= EXPIRY_INTERVAL) {
+            self.last_expiry_at = Some(now);
             self.contributions.values_mut().for_each(|pages| pages.expire(now, CONTRIBUTION_TTL));
             self.contributions.retain(|_, pages| !pages.is_expired());
             self.partials.values_mut().for_each(|pages| pages.expire(now, PARTIAL_TTL));
@@ -248,20 +260,21 @@
         MAX_STORED_KEYS_PER_SHARD.saturating_sub(stored.map(ReceivedPages::stored_keys).sum())
     }
 
-    /// Something came: a round of partial sums is due soon, if none is due already.
+    /// Schedules a round of partial sums soon, unless one is already scheduled.
     fn schedule_partials(&mut self, now: Duration, transmitter: &mut Transmitter) {
         let soon = now + transmitter.jitter();
         self.next_partials_at.get_or_insert(soon);
     }
 
-    /// The totals of the keys of a member's page, unless it was answered just now.
+    /// Returns the totals of the keys of a member's page, or `None` if it was answered within
+    /// [`MIN_ANSWER_GAP`].
     fn take_totals(&mut self, now: Duration, member: SocketAddr, page: u8) -> Option<Vec<PackedTotal>> {
         let contribution = self.contributions.get_mut(&member)?;
         let keys = contribution.take_answerable(now, page, MIN_ANSWER_GAP)?;
         Some(keys.iter().map(|key| self.total(key)).collect())
     }
 
-    /// The sum of a key over the own cell and all others.
+    /// Returns the sum of a key over this cell and all other cells.
     fn total(&self, key: &ShortKey) -> PackedTotal {
         let (mut sum, mut contributors) = (0_u64, 0_u32);
         for contribution in self.contributions.values().filter_map(|pages| pages.amount(key)) {
@@ -275,20 +288,20 @@
         PackedTotal { amount: pack_amount(sum), contributors }
     }
 
-    /// How old the oldest partial is, see [`TotalsPage::age_ticks`].
+    /// Returns the age of the oldest partial, rounded up; see [`TotalsPage::age_ticks`].
     fn age_ticks(&self, now: Duration) -> u8 {
-        let oldest = self.partials.values().map(ReceivedPages::oldest).min().unwrap_or(now);
+        let oldest = self.partials.values().map(ReceivedPages::oldest_received_at).min().unwrap_or(now);
         let ticks = now.saturating_sub(oldest).as_millis().div_ceil(AGE_TICK.as_millis());
         ticks.min(u128::from(u8::MAX)) as u8
     }
 
-    /// Other cells of which no partial is stored.
+    /// Returns the number of other cells of which no partial is stored.
     fn missing_cells(&self, placement: &Placement) -> u16 {
         let missing = placement.other_cells().count().saturating_sub(self.partials.len());
         missing.min(usize::from(u16::MAX)) as u16
     }
 
-    /// The sums over the own cell.
+    /// Returns the sums over this cell.
     fn own_cell_sums(&self) -> BTreeMap<ShortKey, SummedAmount> {
         let mut sums: BTreeMap<ShortKey, SummedAmount> = BTreeMap::new();
         for contribution in self.contributions.values() {
@@ -304,13 +317,14 @@
         sums
     }
 
-    /// Other cells that have keys in this shard.
+    /// Returns the other cells that have keys in this shard.
     fn cells_with_keys(&self) -> BTreeSet<Cell> {
         let with_keys = self.partials.iter().filter(|(_, pages)| !pages.has_no_keys());
         with_keys.map(|(cell, _)| cell.clone()).collect()
     }
 
-    /// Sends all pages of a round to one cell's owner, as far as the limiter allows.
+    /// Sends the pages of a round to the owner in one cell, leaving out those that the limiter does not
+    /// allow.
     fn send_round(
         &mut self,
         round: &PartialRound,
@@ -345,7 +359,7 @@
     }
 }
 
-/// Sums as pages; an empty page where there are none.
+/// Divides sums into pages; returns one empty page if there are no sums.
 fn partial_pages(sums: BTreeMap<ShortKey, SummedAmount>) -> Vec<PartialPage> {
     let sums: Vec<(ShortKey, SummedAmount)> = sums.into_iter().take(MAX_PAGES * MAX_PAGE_KEYS).collect();
     if sums.is_empty() {
--- a/crates/gossip/src/aggregation/received.rs
+++ b/crates/gossip/src/aggregation/received.rs
@@ -1,4 +1,5 @@
-//! The pages that one sender has sent of a shard, each counted once however often and late it comes.
+//! The pages of a shard that one sender has sent. Each page is counted once, even if it arrives late or more
+//! than once.
 
 use super::amount::unpack_amount;
 use super::wire::{layout_hash, shard_of, KeyRow, Layout, Page, ShortKey, MAX_PAGE_KEYS};
@@ -6,14 +7,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The process that sent a page.
+/// The identity of the process that sent a page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SenderId {
     pub(super) address: SocketAddr,
     pub(super) incarnation: u64,
 }
 
-/// The amount of a key.
+/// The amount of a key, and the number of its contributors.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SummedAmount {
     /// In thousandths of a unit.
@@ -21,13 +22,13 @@
     pub(super) contributors: u32,
 }
 
-/// What became of a page.
+/// The result of receiving a page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PageOutcome {
     Accepted,
-    /// Late, doubled, malformed or too large.
+    /// The page is late, duplicated, malformed or too large.
     Ignored,
-    /// Its keys are not known here.
+    /// The page refers to keys that are not known here.
     LayoutUnknown,
 }
 
@@ -41,7 +42,7 @@
     answered_at: Option<Duration>,
 }
 
-/// All that counts of one sender about one shard.
+/// The current pages of one sender for one shard.
 #[derive(Clone, Debug)]
 pub(super) struct ReceivedPages {
     sender: SenderId,
@@ -53,7 +54,7 @@
         self.sender
     }
 
-    /// The amount of a key, from the latest page that has it: keys move between pages.
+    /// Returns the amount of a key, from the latest page that contains it: keys may move between pages.
     pub(super) fn amount(&self, key: &ShortKey) -> Option<SummedAmount> {
         let found = self.pages.values().filter_map(|page| {
             let index = page.rows.binary_search_by_key(key, |row| row.key).ok()?;
@@ -64,28 +65,28 @@
         found.max().map(|(_, amount)| amount)
     }
 
-    /// All keys, each once.
+    /// Returns all keys, each once.
     pub(super) fn keys(&self) -> BTreeSet<ShortKey> {
         self.pages.values().flat_map(|page| page.rows.iter().map(|row| row.key)).collect()
     }
 
-    /// Amounts that are stored.
+    /// Returns the number of stored amounts. A key on two pages counts twice.
     pub(super) fn stored_keys(&self) -> usize {
         self.pages.values().map(|page| page.rows.len()).sum()
     }
 
-    /// Whether its sender has no keys in this shard.
+    /// Returns whether the sender has no keys in this shard.
     pub(super) fn has_no_keys(&self) -> bool {
         self.pages.values().all(|page| page.rows.is_empty())
     }
 
-    /// Whether all pages have expired.
+    /// Returns whether all pages have expired.
     pub(super) fn is_expired(&self) -> bool {
         self.pages.is_empty()
     }
 
-    /// When the oldest page came.
-    pub(super) fn oldest(&self) -> Duration {
+    /// Returns when the oldest page was received.
+    pub(super) fn oldest_received_at(&self) -> Duration {
         self.pages.values().map(|page| page.received_at).min().unwrap_or_default()
     }
 
@@ -93,7 +94,8 @@
         self.pages.retain(|_, page| now.saturating_sub(page.received_at) < ttl);
     }
 
-    /// The keys of a page that is to be answered now; `None`: unknown, or answered within `min_gap`.
+    /// Returns the keys of a page that has to be answered now, or `None` if the page is unknown or was
+    /// answered within `min_gap`.
     pub(super) fn take_answerable(
         &mut self,
         now: Duration,
@@ -109,14 +111,14 @@
     }
 }
 
-/// Takes a page into what is stored of its sender's shard. A later incarnation replaces an earlier one. `room`: how many
-/// more keys may be stored.
+/// Stores a page of a sender in `stored`. A page of another sender, such as a later incarnation or a new
+/// owner, replaces everything that is stored. `capacity` is the number of further keys that may be stored.
 pub(super) fn accept_page(
     stored: &mut Option<ReceivedPages>,
     now: Duration,
     sender: SenderId,
     page: Page,
-    room: usize,
+    capacity: usize,
 ) -> PageOutcome {
     let same_sender = stored.as_ref().filter(|stored| stored.sender == sender);
     let is_same_sender = same_sender.is_some();
@@ -132,8 +134,8 @@
             _ => return PageOutcome::LayoutUnknown,
         },
     };
-    let room = room + previous.map_or(0, |previous| previous.rows.len());
-    if rows.len() != page.amounts.len() || rows.len() > room || !is_well_formed(&rows, page.shard) {
+    let capacity = capacity + previous.map_or(0, |previous| previous.rows.len());
+    if rows.len() != page.amounts.len() || rows.len() > capacity || !is_well_formed(&rows, page.shard) {
         return PageOutcome::Ignored;
     }
     if !is_same_sender {
@@ -153,7 +155,7 @@
     PageOutcome::Accepted
 }
 
-/// Whether the keys ascend, belong to the shard, and fit a page.
+/// Returns whether the keys are in ascending order, belong to the shard, and fit into a page.
 fn is_well_formed(rows: &[KeyRow], shard: u8) -> bool {
     let ascends = rows.windows(2).all(|pair| pair[0].key < pair[1].key);
     let in_shard = rows.iter().all(|row| shard_of(row.key) == usize::from(shard));
--- a/crates/gossip/src/aggregation/transmitter.rs
+++ b/crates/gossip/src/aggregation/transmitter.rs
@@ -1,4 +1,4 @@
-//! What all messages of the aggregation share: sequence numbers, random delays, and the bytes that may be sent.
+//! Sequence numbers, random delays and byte limits of the aggregation messages.
 
 use super::wire::{encoded_len, Message};
 use crate::rate_limiter::RateLimiter;
@@ -6,15 +6,18 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// Bytes a second that go to owners, and as many at once; headers included.
+/// Bytes per second that are sent to owners, headers included. The burst is as many bytes.
 pub const OWNER_BYTES_PER_SECOND: f64 = 8_000.0;
-/// Bytes a second of answers, and as many at once; headers included. Answers are what is left out first.
+/// Bytes per second of answers, headers included. The burst is as many bytes. Answers are the first messages
+/// to be left out.
 pub const ANSWER_BYTES_PER_SECOND: f64 = 12_000.0;
-/// Bytes of a datagram beside its message: IPv4's and UDP's headers (28 bytes), the gossip header and the sender (28).
+/// The bytes of a datagram besides its message: the IPv4 and UDP headers (28), and the gossip header and the
+/// sender (28).
 pub const DATAGRAM_OVERHEAD_BYTES: usize = 56;
-/// Rounds and answers are put off by up to this, at random, so that processes do not run in step.
+/// The upper bound of the random delay of a round, which keeps processes from sending in lockstep.
 const MAX_JITTER: Duration = Duration::from_millis(100);
 
+/// Numbers the messages of this process, and limits their bytes.
 #[derive(Debug)]
 pub(super) struct Transmitter {
     rng: StdRng,
@@ -34,7 +37,7 @@
         }
     }
 
-    /// A random delay.
+    /// Returns a random delay below [`MAX_JITTER`].
     pub(super) fn jitter(&mut self) -> Duration {
         self.rng.random_range(Duration::ZERO..MAX_JITTER)
     }
@@ -44,12 +47,12 @@
         self.sequence
     }
 
-    /// Whether a message may go to an owner; its bytes are taken then.
+    /// Returns whether a message may be sent to an owner, and if so takes its bytes from the limiter.
     pub(super) fn try_send_to_owner(&mut self, now: Duration, message: &Message) -> bool {
         self.to_owners.try_acquire(now, DATAGRAM_OVERHEAD_BYTES + encoded_len(message))
     }
 
-    /// Whether an answer may be sent; its bytes are taken then.
+    /// Returns whether an answer may be sent, and if so takes its bytes from the limiter.
     pub(super) fn try_answer(&mut self, now: Duration, answer: &Message) -> bool {
         self.answers.try_acquire(now, DATAGRAM_OVERHEAD_BYTES + encoded_len(answer))
     }
--- a/crates/gossip/src/codec.rs
+++ b/crates/gossip/src/codec.rs
@@ -1,7 +1,9 @@
-//! The datagrams of the gossip protocol: a magic byte, a version, a checksum, and a message in postcard.
+//! The datagram format of the gossip protocol: a magic byte, a version, a CRC-32 checksum, and a message in
+//! postcard.
 //!
-//! UDP loses, cuts and alters datagrams, and anybody may send to the port. So a datagram counts as a whole or not at all.
-//! The encoding goes by position: the order of fields and variants is part of the protocol.
+//! UDP may lose, truncate and corrupt datagrams, and any process may send to the port. A datagram is
+//! therefore accepted as a whole or not at all. Postcard encodes by position: the order of fields and
+//! variants is part of the protocol.
 
 use crate::{aggregation, Locality};
 use serde::{Deserialize, Serialize};
@@ -9,108 +11,112 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The first byte of each datagram; none of the membership protocol begins with it.
+/// The first byte of each gossip datagram. No datagram of the membership protocol starts with this byte.
 pub const MAGIC: u8 = 0xd8;
 /// The protocol version that this program speaks.
 pub const VERSION: u8 = 1;
-/// Bytes before the message: magic, version and checksum.
+/// The size of the header, in bytes: magic, version and checksum.
 pub const HEADER_BYTES: usize = 6;
-/// The most bytes in one datagram, the same as the membership protocol's.
+/// The maximum size of a datagram, in bytes; the same as in the membership protocol.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Bytes that the network adds to each datagram: IPv4's and UDP's headers.
+/// The size of the IPv4 and UDP headers, in bytes, which the network adds to each datagram.
 pub const IP_UDP_HEADER_BYTES: usize = 28;
 
-/// An initiator as the others know it. It changes only when the process restarts.
+/// The identity, address and locality of an initiator. A record changes only when its process restarts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipRecord {
-    /// Its name and incarnation.
+    /// The initiator's name and incarnation.
     pub process: Observer,
-    /// Where it receives datagrams.
+    /// The address at which the initiator receives datagrams.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The initiator's locality.
     pub locality: Locality,
 }
 
-/// A message that known observations still hold, so that they are not forgotten. It costs 5 bytes for each where the
-/// observation would take 45.
+/// States that known observations still hold, so that they do not expire.
+///
+/// A refresh takes 5 bytes per observation, where the observation itself would take 45.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refresh {
-    /// Who still sees it.
+    /// The process that still observes them.
     pub observer: Observer,
-    /// How often this was passed on, this time included.
+    /// How often the refresh was forwarded, this time included; 0 if the sender is the observer.
     pub hops: u8,
-    /// How long ago it was seen.
+    /// How long ago they were last observed.
     pub age: Duration,
-    /// Ids of the records.
+    /// The ids of the observations' records.
     pub record_ids: Vec<u32>,
 }
 
-/// One record of an update or of the answer to a digest.
+/// One entry of a push or of the answer to a digest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Item {
-    /// Something that was seen of an endpoint.
+    /// An observation of an endpoint.
     Observation(Report),
-    /// Who an initiator is.
+    /// The membership record of an initiator.
     Member(MembershipRecord),
     /// Known observations that still hold.
     Refresh(Refresh),
 }
 
-/// What one process sends another.
+/// The body of a gossip message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Updates, pushed.
+    /// Pushed updates.
     Push(Vec<Item>),
-    /// A digest of all records that are held.
+    /// A digest of all records that the sender holds.
     Digest {
-        /// Comes back with the answer.
+        /// A random number that the answer repeats.
         token: u32,
-        /// One hash of everything; or, in answer to another such hash, one for each range of record ids.
+        /// One hash of all records or, in answer to such a hash that differs, one hash for each range of
+        /// record ids.
         range_hashes: Vec<u32>,
     },
     /// The answer to a digest.
     Differences {
-        /// The digest's token.
+        /// The token of the digest.
         token: u32,
-        /// A bit for each range whose records follow; 0: everything is equal.
+        /// A bit for each range whose record ids follow; 0 if both processes hold the same records.
         ranges: u16,
-        /// Ids of the records that the sender holds in those ranges.
+        /// The ids of the records that the sender holds in those ranges.
         record_ids: Vec<u32>,
     },
-    /// Ids of records that the sender lacks.
+    /// The ids of records that the sender lacks and requests.
     Request(Vec<u32>),
-    /// Records that were requested, or that the receiver was found to lack.
+    /// Records that were requested, or that the receiver lacks or holds in an older state.
     Records(Vec<Item>),
-    /// Aggregation over all initiators.
+    /// A message of the aggregation over all initiators.
     Aggregation(aggregation::Message),
 }
 
-/// What a datagram holds.
+/// The content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who sends it; without a name where the body holds no items.
+    /// The sender. Its name is empty where the body holds no items.
     pub from: Observer,
-    /// What it says.
+    /// The body.
     pub body: Body,
 }
 
-/// Why a datagram is dropped. Trying again does not help.
+/// The reason why a datagram is dropped. Decoding the same datagram again does not help.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It does not begin with [`MAGIC`].
-    #[error("not a peer's datagram: see who else sends to this address")]
+    /// The datagram does not start with [`MAGIC`].
+    #[error("not a gossip datagram: unknown first byte; check what else sends to this address")]
     UnknownMagic,
-    /// Its version is not [`VERSION`].
-    #[error("version {theirs} of the gossip protocol, where this program speaks {VERSION}: bring both to one release")]
+    /// The version of the datagram is not [`VERSION`].
+    #[error(
+        "unsupported gossip version {version}, expected {VERSION}: run the same release on both initiators"
+    )]
     UnsupportedVersion {
         /// The sender's version.
-        theirs: u8,
+        version: u8,
     },
-    /// Its checksum does not match.
-    #[error("cut or altered on the way: see the path to that peer")]
+    /// The checksum does not match, or the datagram is too short to have one.
+    #[error("checksum mismatch: truncated or corrupted in transit; check the network path to this peer")]
     ChecksumMismatch,
-    /// Its message can't be decoded.
-    #[error("unreadable: that peer is broken or no initiator, stop it")]
+    /// The checksum matches, but the message cannot be decoded.
+    #[error("malformed message: the peer is faulty or not an initiator; stop that process")]
     Malformed,
 }
 
@@ -127,11 +133,11 @@
 ///
 /// # Errors
 ///
-/// Says why the datagram is dropped; nothing of it counts then.
+/// Returns the reason why the datagram has to be dropped as a whole.
 pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
     match bytes {
         [MAGIC, VERSION, rest @ ..] => decode_message(rest),
-        [MAGIC, theirs, ..] => Err(DecodeError::UnsupportedVersion { theirs: *theirs }),
+        [MAGIC, version, ..] => Err(DecodeError::UnsupportedVersion { version: *version }),
         _ => Err(DecodeError::UnknownMagic),
     }
 }
@@ -147,7 +153,7 @@
     }
 }
 
-/// Bytes that an item takes in a datagram.
+/// Returns the number of bytes that an item takes in a datagram.
 pub fn encoded_len(item: &Item) -> usize {
     postcard::experimental::serialized_size(item).unwrap_or(MAX_DATAGRAM_BYTES)
 }
--- a/crates/gossip/src/directory.rs
+++ b/crates/gossip/src/directory.rs
@@ -1,8 +1,10 @@
-//! Who the other initiators are: members, their membership records, and who speaks this protocol version.
+//! The other initiators: the members, their membership records, and which members speak this protocol
+//! version.
 //!
-//! Membership says which addresses are alive. Where they stand, and whether they take a gossip datagram at all, is known
-//! from their records, from datagrams of theirs, or from an exchange over TCP. An initiator of the previous release would
-//! log each gossip datagram as noise, so nothing is sent to anybody who is not confirmed.
+//! Membership reports which addresses are alive. The locality of a member is known from its record. Whether a
+//! member accepts gossip datagrams is known from its record, from a datagram that it sent, or from an
+//! exchange over TCP. An initiator of the previous release would log each gossip datagram as invalid, so
+//! nothing is sent to a member that is not confirmed to speak this version.
 
 use crate::aggregation;
 use crate::anti_entropy::Record;
@@ -15,9 +17,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A member that speaks this version has shown a record, or sent a datagram, by then.
-const INTRODUCTION_TIME: Duration = Duration::from_secs(3);
-/// How long a record is kept whose initiator membership does not have yet.
+/// The time within which a new member that speaks this version is expected to be confirmed by its record or
+/// by a datagram.
+const CONFIRMATION_GRACE_PERIOD: Duration = Duration::from_secs(3);
+/// How long a record is kept if its initiator is not a member yet.
 const NON_MEMBER_RECORD_TTL: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Copy, Debug)]
@@ -33,32 +36,32 @@
     received_at: Duration,
 }
 
-/// What became of a membership record.
+/// The result of storing a membership record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RecordOutcome {
-    /// It was new.
+    /// The record was new.
     Stored,
-    /// It is known, or of an earlier incarnation.
+    /// The record is known already, or its incarnation is not that of the member.
     Redundant,
-    /// There is no room for one that is no member.
+    /// The store is full, and the record is not that of a member.
     Full,
 }
 
 /// A member that is known to speak this version.
 pub(crate) struct ConfirmedMember<'a> {
     pub(crate) address: SocketAddr,
-    /// `None`: its record is on its way.
+    /// `None` if the record of the member has not arrived yet.
     pub(crate) locality: Option<&'a Locality>,
 }
 
-/// The other initiators.
+/// The members, their records, and which of them are confirmed to speak this protocol version.
 #[derive(Debug)]
 pub(crate) struct Directory {
     own: MembershipRecord,
     members: BTreeMap<SocketAddr, Member>,
     records: BTreeMap<SocketAddr, StoredRecord>,
     confirmed: BTreeSet<SocketAddr>,
-    /// Incarnations that were confirmed and are members no more: who comes back needs no asking.
+    /// Incarnations that were confirmed and have left: they need no new confirmation if they come back.
     departed: BTreeMap<SocketAddr, u64>,
     changed: bool,
 }
@@ -75,11 +78,12 @@
         }
     }
 
-    /// This process's own record.
+    /// Returns the record of this process.
     pub(crate) fn own(&self) -> &MembershipRecord {
         &self.own
     }
 
+    /// Adds a member, or replaces one of another incarnation at the same address.
     pub(crate) fn member_up(&mut self, now: Duration, address: SocketAddr, incarnation: u64) {
         let known = self.members.get(&address).is_some_and(|member| member.incarnation == incarnation);
         if address == self.own.address || known {
@@ -89,17 +93,18 @@
         self.changed = true;
         let returned = self.departed.remove(&address) == Some(incarnation);
         let stored = self.records.get(&address);
-        let introduced = stored.is_some_and(|stored| stored.record.process.incarnation == incarnation);
-        if returned || introduced {
+        let has_current_record =
+            stored.is_some_and(|stored| stored.record.process.incarnation == incarnation);
+        if returned || has_current_record {
             self.confirm(address);
         } else {
-            // Of another incarnation nothing is known, not even whether it speaks this version.
+            // Nothing is known about a new incarnation, not even whether it speaks this version.
             self.records.remove(&address);
             self.confirmed.remove(&address);
         }
     }
 
-    /// Whether that incarnation was a member until now.
+    /// Removes a member and its record. Returns whether that incarnation was a member.
     pub(crate) fn member_down(&mut self, address: SocketAddr, incarnation: u64) -> bool {
         if self.members.get(&address).is_none_or(|member| member.incarnation != incarnation) {
             return false;
@@ -116,7 +121,7 @@
         true
     }
 
-    /// Whoever is at that address speaks this version.
+    /// Records that the process at this address speaks this protocol version.
     pub(crate) fn confirm(&mut self, address: SocketAddr) {
         self.changed |= address != self.own.address && self.confirmed.insert(address);
     }
@@ -129,15 +134,15 @@
         self.members.len()
     }
 
-    /// Members that are not known to speak this version.
+    /// Returns the members that are not confirmed to speak this version.
     pub(crate) fn unconfirmed(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.members.keys().copied().filter(|address| !self.confirmed.contains(address))
     }
 
-    /// Those of them that have been members for long enough to have introduced themselves.
-    pub(crate) fn overdue(&self, now: Duration) -> impl Iterator<Item = SocketAddr> + '_ {
+    /// Returns the unconfirmed members that have been members for at least [`CONFIRMATION_GRACE_PERIOD`].
+    pub(crate) fn overdue_for_confirmation(&self, now: Duration) -> impl Iterator<Item = SocketAddr> + '_ {
         let since = |address: &SocketAddr| self.members.get(address).map_or(Duration::ZERO, |m| m.since);
-        self.unconfirmed().filter(move |address| now >= since(address) + INTRODUCTION_TIME)
+        self.unconfirmed().filter(move |address| now >= since(address) + CONFIRMATION_GRACE_PERIOD)
     }
 
     pub(crate) fn confirmed_members(&self) -> impl Iterator<Item = ConfirmedMember<'_>> {
@@ -145,7 +150,7 @@
         confirmed.map(|address| ConfirmedMember { address, locality: self.locality(address) })
     }
 
-    /// Members whose record is known.
+    /// Returns the members whose record, and so whose locality, is known.
     pub(crate) fn located_members(&self) -> Vec<aggregation::Member> {
         let located = self.members.iter().filter_map(|(address, member)| {
             let locality = self.locality(*address)?.clone();
@@ -158,7 +163,7 @@
         self.records.get(&address).map(|stored| &stored.record.locality)
     }
 
-    /// The record of that address, this process's own included.
+    /// Returns the record of an address, which may be that of this process.
     pub(crate) fn record(&self, address: SocketAddr) -> Option<&MembershipRecord> {
         if address == self.own.address {
             return Some(&self.own);
@@ -166,12 +171,13 @@
         self.records.get(&address).map(|stored| &stored.record)
     }
 
-    /// All records of others.
+    /// Returns all records of other initiators.
     pub(crate) fn records(&self) -> impl Iterator<Item = &MembershipRecord> {
         self.records.values().map(|stored| &stored.record)
     }
 
-    /// Takes a record of another initiator.
+    /// Stores a record of another initiator. The record of a member confirms that the member speaks this
+    /// version.
     pub(crate) fn store(&mut self, now: Duration, record: MembershipRecord) -> RecordOutcome {
         let address = record.address;
         let member = self.members.get(&address).copied();
@@ -192,7 +198,7 @@
         RecordOutcome::Stored
     }
 
-    /// Drops records whose initiators did not become members.
+    /// Drops the records of initiators that did not become members within [`NON_MEMBER_RECORD_TTL`].
     pub(crate) fn expire_records(&mut self, now: Duration) {
         let members = &self.members;
         self.records.retain(|address, stored| {
@@ -200,7 +206,7 @@
         });
     }
 
-    /// The records that digests cover: those of members, and the own one.
+    /// Returns the records that digests cover: those of members, and that of this process.
     pub(crate) fn digest_records(&self) -> impl Iterator<Item = Record> + '_ {
         let of_members = self.records.iter().filter(|(address, _)| self.members.contains_key(address));
         let of_members =
@@ -209,7 +215,7 @@
         of_members.chain([own])
     }
 
-    /// Whether members or records changed since this was last asked for.
+    /// Returns whether members or records have changed since the last call, and clears the flag.
     pub(crate) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
--- a/crates/gossip/src/events.rs
+++ b/crates/gossip/src/events.rs
@@ -1,4 +1,4 @@
-//! What goes into the state machine and what comes out of it.
+//! The inputs and effects of the gossip state machine.
 
 use crate::aggregation::{Key, Total};
 use crate::codec::DecodeError;
@@ -7,81 +7,84 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What happened.
+/// An event that [`crate::Gossip::step`] handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Membership has a member of that incarnation at that address.
+    /// Membership reports that a member is alive.
     MemberUp {
-        /// Where it receives datagrams.
+        /// The address at which the member receives datagrams.
         address: SocketAddr,
-        /// Its incarnation.
+        /// The member's incarnation.
         incarnation: u64,
     },
-    /// Membership has it no more.
+    /// Membership reports that a member has left or failed.
     MemberDown {
-        /// Where it received datagrams.
+        /// The address at which the member received datagrams.
         address: SocketAddr,
-        /// Its incarnation.
+        /// The member's incarnation.
         incarnation: u64,
     },
-    /// Whoever is at that address speaks this protocol version.
+    /// The process at this address is known to speak this protocol version.
     SupportConfirmed(SocketAddr),
-    /// Everything that this process sees first-hand now. Only what is new to it is passed on.
+    /// Everything that this process observes first-hand now. Only new observations are pushed, and those that
+    /// still hold are refreshed before they expire.
     LocalObservations(Vec<Report>),
-    /// What an exchange over TCP brought.
+    /// An exchange of reports with a peer over TCP has completed.
     Exchanged {
-        /// Who answered.
+        /// The peer.
         from: Observer,
-        /// The exchange's round trip.
+        /// The round-trip time of the exchange.
         round_trip: Duration,
-        /// What it reported.
+        /// The reports that the peer sent.
         reports: Vec<Report>,
     },
-    /// This process's amounts, in thousandths of a unit; replaces the last ones. 0 asks for a key's total and adds nobody.
+    /// This process's amounts, in thousandths of a unit; they replace all earlier amounts. An amount of 0
+    /// requests the total of its key without adding a contributor.
     LocalAmounts(Vec<(Key, u64)>),
-    /// This process has that configuration version in force from now on; `None`: its configuration names no version.
+    /// The configuration version that is in force in this process from now on; `None` if its configuration
+    /// names no version.
     ConfigVersion(Option<u64>),
     /// A datagram arrived.
     Datagram {
         /// The sender's address.
         from: SocketAddr,
-        /// All of its bytes.
+        /// The whole datagram.
         bytes: Vec<u8>,
     },
-    /// The moment of the last [`Effect::WakeAt`] has come.
+    /// The time of the last [`Effect::WakeAt`] has come.
     TimerFired,
 }
 
-/// What the caller has to do.
+/// An action that the caller of [`crate::Gossip::step`] has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a datagram. A loss is made up for.
+    /// Send a datagram. The caller need not resend a lost datagram: the protocol makes up for losses.
     Send {
         /// The receiver's address.
         to: SocketAddr,
-        /// All of its bytes.
+        /// The whole datagram.
         bytes: Vec<u8>,
     },
-    /// Observations that were new, already validated.
+    /// Validated observations that were new to this process.
     Learned(Vec<Report>),
-    /// The sums over all other initiators as they are now.
+    /// The sums over all other initiators that are known now, except those of configuration versions.
     Totals(Vec<(Key, Total)>),
-    /// How far this process's configuration version is in force, when that has changed.
+    /// The progress of this process's configuration version across the fleet has changed.
     ConfigRollout(ConfigRollout),
-    /// A datagram was dropped.
+    /// A datagram could not be decoded and was dropped.
     DatagramRejected {
         /// The sender's address.
         from: SocketAddr,
-        /// Why.
+        /// The reason.
         error: DecodeError,
     },
-    /// A peer sent items that are out of range or in another's name.
+    /// A peer sent items that are out of range, or first-hand items in the name of another observer.
     InvalidItems {
         /// The peer's name.
         from: String,
-        /// How many.
+        /// The number of such items in one datagram.
         count: usize,
     },
-    /// Send [`Input::TimerFired`] at that moment; an earlier timer is void.
+    /// Send [`Input::TimerFired`] at this time. Replaces any earlier timer.
     WakeAt(Duration),
 }
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -1,11 +1,12 @@
-//! The state machine of one process: it takes inputs, and connects the parts that each own one concern.
+//! The gossip state machine of one process, which dispatches inputs to push gossip, anti-entropy and
+//! aggregation.
 
 use crate::aggregation::{self, Aggregation, Key, Total};
 use crate::anti_entropy::{self, AntiEntropy};
 use crate::codec::{decode, encode, encoded_len, Body, Item, MembershipRecord, Message, IP_UDP_HEADER_BYTES};
 use crate::config_rollout::RolloutTracker;
-use crate::limits::received_datagrams;
-use crate::local_observations::{observe, refresh_age};
+use crate::limits::datagram_rate_limiter;
+use crate::local_observations::{merge_local_observations, refresh_age};
 use crate::merge::{merge, Delivery, Source};
 use crate::peer_selection::{Peers, DIGEST_BIAS};
 use crate::push::{Subject, FANOUT};
@@ -19,39 +20,42 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Between two reports of the totals.
+/// The time between two [`Effect::Totals`].
 const TOTALS_INTERVAL: Duration = Duration::from_millis(500);
-/// The least time from one timer to the next.
-const MIN_TIMER: Duration = Duration::from_millis(1);
-/// The internal clock shows at least this at the start, so that what was seen before has a moment on it.
-const MIN_START: Duration = OBSERVATION_LIFETIME.saturating_mul(2);
-
-/// One process's part in gossip. Moments are on the caller's monotonic clock, which may begin with the process.
+/// The minimum delay of a timer.
+const MIN_TIMER_DELAY: Duration = Duration::from_millis(1);
+/// The internal clock shows at least this at the start, so that observations from before the start have a
+/// time on the clock. Times cannot be negative, and the caller's clock may begin at 0 with the process.
+const MIN_INTERNAL_CLOCK: Duration = OBSERVATION_LIFETIME.saturating_mul(2);
+
+/// The gossip state machine of one process. All times are on the caller's monotonic clock, which may begin at
+/// 0 with the process.
 #[derive(Debug)]
 pub struct Gossip {
-    /// The internal clock is ahead of the caller's by this.
+    /// The difference by which the internal clock is ahead of the caller's clock.
     clock_offset: Duration,
     rng: StdRng,
     replica: Replica,
     peers: Peers,
     anti_entropy: AntiEntropy,
     round_trips: RoundTrips,
-    received: RateLimiter,
+    receive_limiter: RateLimiter,
     aggregation: Aggregation,
     next_totals_at: Duration,
     rollout: RolloutTracker,
 }
 
-/// Updates that go out in one datagram.
+/// The updates that are sent in one datagram.
 struct Batch {
     items: Vec<Item>,
     subjects: Vec<Subject>,
 }
 
 impl Gossip {
-    /// A process that knows of no other one. The seed has to differ from process to process.
+    /// Creates the state machine of a process that knows no members yet. The seed has to differ between
+    /// processes.
     pub fn new(process: Observer, address: SocketAddr, locality: Locality, seed: u64, now: Duration) -> Self {
-        let clock_offset = MIN_START.saturating_sub(now);
+        let clock_offset = MIN_INTERNAL_CLOCK.saturating_sub(now);
         let now = now + clock_offset;
         let mut rng = StdRng::seed_from_u64(seed);
         let member =
@@ -64,54 +68,62 @@
             peers: Peers::new(now),
             anti_entropy: AntiEntropy::new(now),
             round_trips: RoundTrips::default(),
-            received: received_datagrams(now),
+            receive_limiter: datagram_rate_limiter(now),
             aggregation,
             next_totals_at: now,
             rollout: RolloutTracker::default(),
         }
     }
 
-    /// Members that are not known to speak this protocol version.
+    /// Returns the members that are not confirmed to speak this protocol version.
     pub fn unconfirmed_members(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.replica.directory.unconfirmed()
     }
 
-    /// Those of them that have been members for long enough to have introduced themselves. They are to be asked over TCP
-    /// one after another; a newcomer would else be asked by all at once.
+    /// Returns the unconfirmed members that have had enough time to be confirmed by their record or a
+    /// datagram.
+    ///
+    /// The caller should query them over TCP one after another. Members that joined just now are left out,
+    /// since all processes would query them at once.
     pub fn members_to_ask(&self, now: Duration) -> impl Iterator<Item = SocketAddr> + '_ {
-        self.replica.directory.overdue(now + self.clock_offset)
+        self.replica.directory.overdue_for_confirmation(now + self.clock_offset)
     }
 
-    /// Initiators that speak this protocol version, this one included.
-    pub fn participants(&self) -> usize {
+    /// Returns the number of initiators that speak this protocol version, this one included.
+    pub fn participant_count(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// The observations that are held, on the internal clock: the caller's, where that showed two minutes at the start.
+    /// Returns the observations that this process holds.
+    ///
+    /// Their times are on the internal clock. That is the caller's clock if it showed at least two minutes at
+    /// the start, and is ahead of the caller's clock otherwise.
     pub fn observations(&self) -> &ObservationStore {
         &self.replica.observations
     }
 
-    /// The membership records of the others.
+    /// Returns the membership records of the other initiators.
     pub fn membership_records(&self) -> impl Iterator<Item = &MembershipRecord> {
         self.replica.directory.records()
     }
 
-    /// How far this process's configuration version is known to be in force; `None`: it names none, or no sum is known yet.
+    /// Returns the progress of this process's configuration version across the fleet, or `None` if its
+    /// configuration names no version or the sum is not known yet.
     pub fn config_rollout(&self, now: Duration) -> Option<ConfigRollout> {
         self.rollout_state(now + self.clock_offset)
     }
 
-    /// Takes an input, and does what is due by now.
+    /// Handles an input and everything that is due by `now`, and returns the effects for the caller to carry
+    /// out.
     pub fn step(&mut self, now: Duration, input: Input) -> Vec<Effect> {
         let now = now + self.clock_offset;
         let mut effects = Vec::new();
         self.apply(now, input, &mut effects);
         self.rebuild_peers(now);
         self.push_updates(now, &mut effects);
-        self.send_digest(now, &mut effects);
+        self.run_anti_entropy(now, &mut effects);
         self.run_aggregation(now, &mut effects);
-        let wake_at = self.next_timer().max(now + MIN_TIMER);
+        let wake_at = self.next_timer().max(now + MIN_TIMER_DELAY);
         effects.push(Effect::WakeAt(wake_at.saturating_sub(self.clock_offset)));
         effects
     }
@@ -137,13 +149,13 @@
             Input::SupportConfirmed(address) => self.replica.directory.confirm(address),
             Input::LocalObservations(reports) => {
                 let refresh_age = refresh_age(self.own_address(), &self.peers);
-                observe(&mut self.replica, now, reports, refresh_age);
+                merge_local_observations(&mut self.replica, now, reports, refresh_age);
             }
             Input::Exchanged { from, round_trip, reports } => {
                 self.merge_exchange(now, &from, round_trip, reports);
             }
             Input::LocalAmounts(mut amounts) => {
-                // Whoever has the version in force counts as one.
+                // Each process contributes 1 to the sum of the version that it has in force.
                 amounts.extend(self.rollout.key().map(|key| (key, 1)));
                 self.aggregation.set_amounts(now, amounts);
             }
@@ -157,16 +169,17 @@
         self.replica.directory.own().address
     }
 
-    /// The caller has taken the exchange itself, amounts included; here its news is only passed on.
+    /// Pushes on what an exchange over TCP brought. The caller has already merged the exchange itself,
+    /// amounts included, so no [`Effect::Learned`] is emitted.
     fn merge_exchange(&mut self, now: Duration, from: &Observer, round_trip: Duration, reports: Vec<Report>) {
         let reports = reports.into_iter().filter(|report| !report.claim.is_contribution());
         let items = reports.map(Item::Observation).collect();
-        let source = Source { process: from, one_way: round_trip / 2, delivery: Delivery::Pushed };
+        let source = Source { process: from, one_way_delay: round_trip / 2, delivery: Delivery::Pushed };
         merge(&mut self.replica, now, &source, items);
     }
 
     fn receive(&mut self, now: Duration, from: SocketAddr, bytes: &[u8], effects: &mut Vec<Effect>) {
-        if !self.received.try_acquire(now, 1) {
+        if !self.receive_limiter.try_acquire(now, 1) {
             return;
         }
         match decode(bytes) {
@@ -194,14 +207,14 @@
                 self.answer_digest(now, from, token, &range_hashes, effects);
             }
             Body::Differences { token, ranges, record_ids } => {
-                if let Some(round_trip) = self.anti_entropy.answered(now, token, from) {
-                    self.measured(now, from, round_trip);
+                if let Some(round_trip) = self.anti_entropy.complete_digest(now, token, from) {
+                    self.record_round_trip(now, from, round_trip);
                     self.reconcile(now, from, ranges, record_ids, effects);
                 }
             }
             Body::Request(ids) => {
                 let records = self.replica.digest_records(now);
-                self.send_records(now, from, &anti_entropy::requested(records, ids), effects);
+                self.send_records(now, from, &anti_entropy::requested_subjects(records, ids), effects);
             }
             Body::Aggregation(message) => {
                 let answers = self.aggregation.receive(now, from, process.incarnation, message);
@@ -210,7 +223,8 @@
         }
     }
 
-    /// Merges a datagram's items; the sender gets what is newer here.
+    /// Merges the items of a datagram. Answers a push with those records that are newer here than at the
+    /// sender.
     fn merge_items(
         &mut self,
         now: Duration,
@@ -220,8 +234,8 @@
         items: Vec<Item>,
         effects: &mut Vec<Effect>,
     ) {
-        let one_way = self.round_trips.one_way(now, self.replica.directory.locality(from));
-        let source = Source { process, one_way, delivery };
+        let one_way_delay = self.round_trips.one_way_delay(now, self.replica.directory.locality(from));
+        let source = Source { process, one_way_delay, delivery };
         let mut merged = merge(&mut self.replica, now, &source, items);
         if delivery == Delivery::Pushed {
             merged.outdated.dedup();
@@ -235,7 +249,8 @@
         }
     }
 
-    /// One hash of everything is answered by one for each range if it differs, and those by what is in the ranges.
+    /// Answers a digest. A single hash of all records that differs is answered with a hash for each range;
+    /// hashes of ranges are answered with the record ids in some of the ranges that differ.
     fn answer_digest(
         &mut self,
         now: Duration,
@@ -255,11 +270,12 @@
             let equal = Body::Differences { token, ranges: 0, record_ids: Vec::new() };
             self.send(now, from, equal, effects);
         } else {
-            self.ask_by_digest(now, from, range_hashes, effects);
+            self.send_digest(now, from, range_hashes, effects);
         }
     }
 
-    fn ask_by_digest(
+    /// Sends a digest, if the limiter allows, and waits for the answer.
+    fn send_digest(
         &mut self,
         now: Duration,
         to: SocketAddr,
@@ -272,12 +288,13 @@
         }
     }
 
-    fn measured(&mut self, now: Duration, from: SocketAddr, round_trip: Duration) {
+    fn record_round_trip(&mut self, now: Duration, from: SocketAddr, round_trip: Duration) {
         if let Some(locality) = self.replica.directory.locality(from) {
-            self.round_trips.measured(now, locality, round_trip);
+            self.round_trips.record(now, locality, round_trip);
         }
     }
 
+    /// Requests the records that this process lacks in the given ranges, and sends those that the peer lacks.
     fn reconcile(
         &mut self,
         now: Duration,
@@ -288,13 +305,13 @@
     ) {
         let records = self.replica.digest_records(now);
         let found = anti_entropy::reconcile(records, ranges, record_ids);
-        if !found.missing_here.is_empty() {
-            self.send(now, from, Body::Request(found.missing_here), effects);
+        if !found.missing_locally.is_empty() {
+            self.send(now, from, Body::Request(found.missing_locally), effects);
         }
-        self.send_records(now, from, &found.missing_there, effects);
+        self.send_records(now, from, &found.missing_at_peer, effects);
     }
 
-    /// Sends the records of these subjects, the most urgent first, as far as the limiter allows.
+    /// Sends the records of these subjects, the most urgent first, until the limiter is exhausted.
     fn send_records(
         &mut self,
         now: Duration,
@@ -303,17 +320,18 @@
         effects: &mut Vec<Effect>,
     ) {
         let items = self.replica.items_by_priority(now, subjects);
-        for payload in anti_entropy::payloads(items) {
+        for payload in anti_entropy::split_into_payloads(items) {
             if !self.send(now, to, Body::Records(payload), effects) {
                 return;
             }
         }
     }
 
-    /// Sends a digest or an answer, if the limiter allows; whether it did.
+    /// Sends a digest or an answer if the limiter allows, and returns whether it did.
     fn send(&mut self, now: Duration, to: SocketAddr, body: Body, effects: &mut Vec<Effect>) -> bool {
         let process = self.replica.own_process();
-        // Only what others saw needs the name of who passes it on.
+        // Only a body with items needs the sender's name: receivers compare the name with the observers of
+        // the items.
         let name = match body {
             Body::Push(_) | Body::Records(_) => process.name.clone(),
             Body::Digest { .. } | Body::Differences { .. } | Body::Request(_) | Body::Aggregation(_) => {
@@ -328,7 +346,7 @@
         sent
     }
 
-    /// Draws the peers anew after a change of members.
+    /// Rebuilds the peer lists after a change of members, at most once per interval.
     fn rebuild_peers(&mut self, now: Duration) {
         if now < self.peers.rebuild_at() || !self.replica.directory.take_changed() {
             return;
@@ -339,7 +357,7 @@
         self.aggregation.set_members(now, directory.located_members());
         if was_alone && !self.peers.is_empty() {
             let own = Subject::Member(self.own_address());
-            self.anti_entropy.digest_now(now);
+            self.anti_entropy.schedule_digest_now(now);
             self.replica.updates.start(now, own, MEMBER_PRIORITY);
         }
     }
@@ -349,7 +367,7 @@
         if !self.replica.updates.is_due(now) {
             return;
         }
-        let due = self.replica.updates.due(now);
+        let due = self.replica.updates.due_subjects(now);
         if !due.is_empty() {
             let Some(budget) = self.replica.updates.payload_budget(now) else { return };
             let batch = self.fill_batch(now, due, budget);
@@ -360,7 +378,8 @@
         self.replica.updates.schedule(now);
     }
 
-    /// As many of these updates as fit; those with nothing to say any more end.
+    /// Returns as many of the due updates as fit into `budget` bytes. Updates that have nothing left to send
+    /// are removed.
     fn fill_batch(&mut self, now: Duration, due: Vec<Subject>, mut budget: usize) -> Batch {
         let mut batch = Batch { items: Vec::new(), subjects: Vec::new() };
         for subject in due {
@@ -376,11 +395,11 @@
         batch
     }
 
-    /// Pushes a batch to a few peers; `false`: it waits for the limiter.
+    /// Pushes a batch to a few peers. Returns `false` if the batch has to wait for the limiter.
     fn push_batch(&mut self, now: Duration, batch: Batch, effects: &mut Vec<Effect>) -> bool {
         let Batch { items, subjects } = batch;
         if self.peers.is_empty() {
-            // Whoever comes finds it by digests.
+            // A peer that joins later receives these records by anti-entropy.
             subjects.iter().for_each(|subject| self.replica.updates.remove(subject));
             return true;
         }
@@ -392,14 +411,14 @@
         if !self.replica.updates.try_acquire(now, cost) {
             return false;
         }
-        let targets = self.peers.draw_push_targets(&mut self.rng);
-        effects.extend(targets.into_iter().map(|to| Effect::Send { to, bytes: bytes.clone() }));
-        self.replica.updates.round_done(now, &subjects);
+        let receivers = self.peers.choose_push_peers(&mut self.rng);
+        effects.extend(receivers.into_iter().map(|to| Effect::Send { to, bytes: bytes.clone() }));
+        self.replica.updates.complete_round(now, &subjects);
         true
     }
 
-    /// Sends a digest to a random peer, and forgets what is too old.
-    fn send_digest(&mut self, now: Duration, effects: &mut Vec<Effect>) {
+    /// Sends a digest to a random peer when one is due, and drops expired records.
+    fn run_anti_entropy(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         if !self.anti_entropy.take_due(now, &mut self.rng) {
             return;
         }
@@ -407,13 +426,15 @@
         if self.peers.is_empty() {
             return;
         }
-        let Some(to) = self.peers.draw(DIGEST_BIAS, &[], &mut self.rng) else { return };
+        let Some(to) = self.peers.choose(DIGEST_BIAS, &[], &mut self.rng) else { return };
         let range_hashes = anti_entropy::range_hashes(&self.replica.digest_records(now));
         let overall = anti_entropy::overall_hash(&range_hashes);
-        self.ask_by_digest(now, to, vec![overall], effects);
+        self.send_digest(now, to, vec![overall], effects);
     }
 
-    /// Aggregation has limiters of its own, so that updates never wait behind it.
+    /// Sends the aggregation messages that are due, and reports totals and the rollout of the configuration.
+    ///
+    /// Aggregation has rate limiters of its own, so updates never wait behind it.
     fn run_aggregation(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         if now < self.aggregation.wake_at() {
             return;
@@ -437,7 +458,10 @@
         }
     }
 
-    /// There are many of these, and address and incarnation are enough to know the sender: it has no name.
+    /// Wraps an aggregation message into a datagram.
+    ///
+    /// The sender's name is left out to save bytes: these datagrams are frequent, and the address and
+    /// incarnation identify the sender.
     fn aggregation_datagram(&self, envelope: aggregation::Envelope) -> Effect {
         let from = Observer { name: String::new(), incarnation: self.replica.own_process().incarnation };
         let body = Body::Aggregation(envelope.message);
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,15 +1,17 @@
-//! Gossip between the initiators of a large fleet, without the sockets.
+//! Gossip between the initiators of a large fleet, as a state machine without I/O.
 //!
-//! Every initiator has to learn within seconds what any other one has seen, and what all of them together are asked for,
-//! at a cost that does not grow with their number and with no process that all depend on. Three mechanisms do this:
+//! Every initiator has to learn within seconds what any other initiator has observed, and the total demand on
+//! all initiators. The cost per initiator must not grow with the size of the fleet, and no single process may
+//! be required. Three mechanisms provide this:
 //!
-//! - push gossip: an update goes to a few random peers at once, until most of them already had it;
+//! - push gossip: an update is sent to a few random peers at once, until most peers already have it;
 //! - anti-entropy: peers compare digests at intervals, and exchange the records that one of them lacks;
 //! - decentralised aggregation ([`aggregation`]): sums over all initiators, each counted once.
 //!
-//! [`Gossip`] is one process's part in all three, as a state machine: datagrams, local events and moments come in;
-//! datagrams, learned observations and the next moment go out. It opens no socket, reads no clock, draws no seed, and does
-//! not judge what peers report. No input makes it panic.
+//! [`Gossip`] implements one process's part in all three. Its inputs are datagrams, local events and the
+//! current time; its outputs are datagrams, learned observations and the time of the next timer. The crate
+//! opens no socket, reads no clock and generates no seed. It validates what peers report, but does not judge
+//! whether a report is true. No input causes a panic.
 
 pub mod aggregation;
 mod anti_entropy;
@@ -34,11 +36,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Where an initiator stands: a region and, in it, a zone.
+/// The location of an initiator: a region and a zone within it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Locality {
-    /// The region's name.
+    /// The name of the region.
     pub region: String,
-    /// The zone's name within the region.
+    /// The name of the zone within the region.
     pub zone: String,
 }
--- a/crates/gossip/src/limits.rs
+++ b/crates/gossip/src/limits.rs
@@ -1,38 +1,44 @@
-//! Bounds on what gossip sends, takes in and keeps, so that neither a flood of news nor a faulty peer costs more than
-//! this. The aggregation has bounds of its own (see [`crate::aggregation`]).
+//! Limits on what gossip sends, receives and stores.
+//!
+//! The limits bound the cost of a flood of updates and of a faulty peer. Aggregation has limits of its own,
+//! see [`crate::aggregation`].
 
 use crate::codec::{IP_UDP_HEADER_BYTES, MAX_DATAGRAM_BYTES};
 use crate::rate_limiter::RateLimiter;
 use shaletack_observations::MAX_NAME_BYTES;
 use std::time::Duration;
 
-/// Bytes a second that updates and digests may send together, headers included; half of it each.
+/// Bytes per second, headers included, that updates and digests may send together. Each of the two gets half.
 pub const GOSSIP_BYTES_PER_SECOND: f64 = 3000.0;
-/// Bytes that they may send at once.
+/// Burst size, in bytes, of updates and digests together. Each of the two gets half.
 pub const GOSSIP_BURST_BYTES: f64 = 24_576.0;
-/// Datagrams a second that are read, and twice as many at once; more are dropped unread.
+/// Datagrams per second that are decoded, with a burst of twice as many. Datagrams above the limit are
+/// dropped without being decoded.
 pub const MAX_DATAGRAMS_PER_SECOND: f64 = 300.0;
-/// Updates that are pushed at a time; past it the least urgent are left to digests.
+/// The most updates that are pushed at the same time. Above the limit the least urgent updates are dropped,
+/// and their records spread by anti-entropy only.
 pub const MAX_UPDATES: usize = 256;
-/// Membership records that are kept.
+/// The most membership records that are stored.
 pub const MAX_MEMBERSHIP_RECORDS: usize = 4096;
-/// Record ids in one datagram.
+/// The most record ids in one datagram.
 pub(crate) const MAX_RECORD_IDS: usize = 220;
-/// Bytes of items that a datagram is filled up to.
+/// The most bytes of items in one datagram.
 pub(crate) const MAX_PAYLOAD_BYTES: usize = 1200;
-/// Bytes that any one item fits into.
+/// An upper bound of the encoded size of one item, in bytes.
 pub(crate) const MAX_ITEM_BYTES: usize = 2 * MAX_NAME_BYTES + 64;
-/// Bytes that surround the items of a datagram: headers, and the sender with the longest name.
-pub(crate) const ENVELOPE_BYTES: usize = IP_UDP_HEADER_BYTES + MAX_NAME_BYTES + 24;
+/// The most bytes of a datagram besides its items: IP, UDP and gossip headers, and a sender with the longest
+/// name.
+pub(crate) const MAX_DATAGRAM_OVERHEAD_BYTES: usize = IP_UDP_HEADER_BYTES + MAX_NAME_BYTES + 24;
 
 const _: () = assert!(MAX_PAYLOAD_BYTES + 100 < MAX_DATAGRAM_BYTES);
 
-/// A limiter of one half of the bytes: updates and digests each have one, so neither delays the other.
-pub(crate) fn half_of_gossip_bytes(now: Duration) -> RateLimiter {
+/// Creates a limiter for half of the gossip bytes. Updates and digests have one each, so neither delays the
+/// other.
+pub(crate) fn gossip_rate_limiter(now: Duration) -> RateLimiter {
     RateLimiter::new(GOSSIP_BYTES_PER_SECOND / 2.0, GOSSIP_BURST_BYTES / 2.0, now)
 }
 
-/// A limiter of the datagrams that are read.
-pub(crate) fn received_datagrams(now: Duration) -> RateLimiter {
+/// Creates a limiter for the datagrams that are decoded.
+pub(crate) fn datagram_rate_limiter(now: Duration) -> RateLimiter {
     RateLimiter::new(MAX_DATAGRAMS_PER_SECOND, 2.0 * MAX_DATAGRAMS_PER_SECOND, now)
 }
--- a/crates/gossip/src/merge.rs
+++ b/crates/gossip/src/merge.rs
@@ -1,7 +1,8 @@
-//! Merging what a peer sent: each item is validated, compared with what is known, and passed on if it is news.
+//! Merges the items that a peer sent: validates each item, compares it with what is known, and pushes new
+//! ones on.
 //!
-//! A peer may be late, mistaken or malicious. Nobody may report first-hand in another's name, and nothing out of range
-//! is taken.
+//! A peer may be late, mistaken or malicious. Items that are out of range are rejected, and so are first-hand
+//! items in the name of another observer than the sender.
 
 use crate::codec::{Item, MembershipRecord, Refresh};
 use crate::directory::RecordOutcome;
@@ -15,69 +16,70 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What an answer brought is pushed on while it is at most as old as this.
-const MAX_PUSHED_ON_AGE: Duration = Duration::from_secs(5);
-/// An observation that was seen within this before the refresh needs none.
-pub(crate) const FRESH_FOR: Duration = Duration::from_secs(10);
+/// An observation received by anti-entropy is pushed on only if its age is at most this.
+const MAX_FORWARD_AGE: Duration = Duration::from_secs(5);
+/// A refresh does not apply to an observation that was made at most this long before it.
+pub(crate) const FRESHNESS_WINDOW: Duration = Duration::from_secs(10);
 
-/// How items came.
+/// How items were delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Delivery {
-    /// As an update: its news is pushed on.
+    /// By a push or an exchange over TCP: new items are pushed on.
     Pushed,
-    /// In answer to a digest: the others may well know it.
+    /// By anti-entropy: the other processes probably know the items already, so only recent observations are
+    /// pushed on.
     Answered,
 }
 
-/// Where items come from.
+/// The sender of items.
 pub(crate) struct Source<'a> {
     pub(crate) process: &'a Observer,
-    /// Half of the round trip to it.
-    pub(crate) one_way: Duration,
+    /// Half of the round trip to the sender.
+    pub(crate) one_way_delay: Duration,
     pub(crate) delivery: Delivery,
 }
 
-/// What became of the items.
+/// The result of merging items.
 #[derive(Debug, Default)]
 pub(crate) struct Merged {
-    /// Observations that were new.
+    /// Observations that were new to this process.
     pub(crate) learned: Vec<Report>,
-    /// Items that are out of range or in another's name.
+    /// The number of items that were out of range, or first-hand in the name of another observer.
     pub(crate) invalid: usize,
-    /// Subjects of which this process knows something newer.
+    /// Subjects of which this process holds a newer observation than the sender.
     pub(crate) outdated: Vec<Subject>,
 }
 
-/// Merges a peer's items.
+/// Merges the items of a peer.
 pub(crate) fn merge(replica: &mut Replica, now: Duration, source: &Source, items: Vec<Item>) -> Merged {
-    let mut merge = Merge { replica, now, source, merged: Merged::default() };
+    let mut merger = Merger { replica, now, source, merged: Merged::default() };
     for item in items {
         match item {
-            Item::Observation(report) => merge.observation(report),
-            Item::Member(record) => merge.member(record),
-            Item::Refresh(refresh) => merge.refresh(refresh),
+            Item::Observation(report) => merger.merge_observation(report),
+            Item::Member(record) => merger.merge_member(record),
+            Item::Refresh(refresh) => merger.merge_refresh(refresh),
         }
     }
-    merge.merged
+    merger.merged
 }
 
-struct Merge<'a> {
+struct Merger<'a> {
     replica: &'a mut Replica,
     now: Duration,
     source: &'a Source<'a>,
     merged: Merged,
 }
 
-impl Merge<'_> {
-    fn observation(&mut self, report: Report) {
+impl Merger<'_> {
+    fn merge_observation(&mut self, report: Report) {
         let is_own = report.observer == *self.replica.own_process();
         let is_valid = report.is_valid()
             && !report.claim.is_contribution()
             && (report.hops == 0) == (report.observer == *self.source.process);
-        let observation = report.into_observation(self.now, self.source.one_way);
+        let observation = report.into_observation(self.now, self.source.one_way_delay);
         let subject = Subject::Observation(observation.subject());
         if is_own {
-            self.replica.updates.received_again(&subject);
+            self.replica.updates.record_redundant_receipt(&subject);
             return;
         }
         if !is_valid {
@@ -88,14 +90,15 @@
             Novelty::New => self.learn(subject, observation),
             Novelty::Same => {
                 self.replica.observations.merge(observation);
-                self.replica.updates.received_again(&subject);
+                self.replica.updates.record_redundant_receipt(&subject);
             }
             Novelty::Outdated => self.merged.outdated.push(subject),
         }
     }
 
+    /// Stores a new observation, and starts an update if it has to be pushed on.
     fn learn(&mut self, subject: Subject, observation: Observation) {
-        let is_recent = observation.age(self.now) <= MAX_PUSHED_ON_AGE;
+        let is_recent = observation.age(self.now) <= MAX_FORWARD_AGE;
         let priority = observation.claim.send_order();
         self.merged.learned.extend(observation.to_report(self.now, self.replica.own_process()));
         self.replica.observations.merge(observation);
@@ -104,7 +107,7 @@
         }
     }
 
-    fn member(&mut self, record: MembershipRecord) {
+    fn merge_member(&mut self, record: MembershipRecord) {
         let address = record.address;
         if address == self.replica.directory.own().address {
             return;
@@ -115,7 +118,7 @@
         }
         let subject = Subject::Member(address);
         match self.replica.directory.store(self.now, record) {
-            RecordOutcome::Redundant => self.replica.updates.received_again(&subject),
+            RecordOutcome::Redundant => self.replica.updates.record_redundant_receipt(&subject),
             RecordOutcome::Stored if self.source.delivery == Delivery::Pushed => {
                 self.replica.updates.start(self.now, subject, MEMBER_PRIORITY);
             }
@@ -123,7 +126,7 @@
         }
     }
 
-    fn refresh(&mut self, refresh: Refresh) {
+    fn merge_refresh(&mut self, refresh: Refresh) {
         if refresh.observer == *self.replica.own_process() {
             return;
         }
@@ -135,10 +138,10 @@
             self.merged.invalid += 1;
             return;
         }
-        let seen_at = self.now.saturating_sub(refresh.age).saturating_sub(self.source.one_way);
-        let refreshed = self.refreshed(&refresh, seen_at);
+        let observed_at = self.now.saturating_sub(refresh.age).saturating_sub(self.source.one_way_delay);
+        let refreshed = self.refreshed_observations(&refresh, observed_at);
         if refreshed.is_empty() {
-            self.replica.updates.received_again(&Subject::Refresh(refresh.observer));
+            self.replica.updates.record_redundant_receipt(&Subject::Refresh(refresh.observer));
             return;
         }
         for observation in refreshed {
@@ -146,23 +149,23 @@
             self.replica.observations.merge(observation);
         }
         if refresh.hops < MAX_HOPS {
-            let state = RefreshState { seen_at, hops: refresh.hops + 1, record_ids: refresh.record_ids };
+            let state = RefreshState { observed_at, hops: refresh.hops + 1, record_ids: refresh.record_ids };
             self.replica.updates.start_refresh(self.now, refresh.observer, REFRESH_PRIORITY, state);
         }
     }
 
-    /// The observations that a refresh makes younger, as they are then.
-    fn refreshed(&self, refresh: &Refresh, seen_at: Duration) -> Vec<Observation> {
+    /// Returns the observations that a refresh applies to, dated `observed_at`.
+    fn refreshed_observations(&self, refresh: &Refresh, observed_at: Duration) -> Vec<Observation> {
         let ids: BTreeSet<u32> = refresh.record_ids.iter().copied().collect();
         let is_named = |observation: &&Observation| {
             matches!(observation.claim, Claim::Readiness { .. }) && ids.contains(&observation_id(observation))
         };
         let named = self.replica.observations.iter().filter(is_named);
-        let stale = named.filter(|observation| observation.observed_at + FRESH_FOR < seen_at);
+        let stale = named.filter(|observation| observation.observed_at + FRESHNESS_WINDOW < observed_at);
         let refreshed = stale.map(|observation| Observation {
             observer: refresh.observer.clone(),
             hops: refresh.hops,
-            observed_at: seen_at,
+            observed_at,
             ..observation.clone()
         });
         refreshed.collect()
--- a/crates/gossip/src/peer_selection.rs
+++ b/crates/gossip/src/peer_selection.rs
@@ -1,7 +1,7 @@
-//! Whom to gossip with: random peers, drawn mostly from nearby.
+//! Selects the peers to gossip with: at random, with a bias towards nearby ones.
 //!
-//! Random choice needs no coordination and no repair when peers die. The bias keeps most bytes within a zone, and still
-//! sends some of each update to other regions.
+//! Random selection needs no coordination, and no repair when peers fail. The bias keeps most of the traffic
+//! within a zone, while part of each update is still sent to other regions.
 
 use crate::directory::ConfirmedMember;
 use crate::Locality;
@@ -11,21 +11,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Members that come or go within this time change the peers once.
+/// The minimum time between two rebuilds of the peer lists; all membership changes in between are handled by
+/// one rebuild.
 const REBUILD_INTERVAL: Duration = Duration::from_millis(20);
-/// Own zone, own region, anywhere else.
+/// The number of proximity classes: own zone, own region, and anywhere else.
 const PROXIMITIES: usize = 3;
 
-/// Which part of draws stays near; where nobody is that near, the draw goes to the next distance.
+/// The probabilities with which a nearby peer is chosen.
+///
+/// Where the chosen proximity class has no peers, the next class is used, and the own zone after the
+/// farthest.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bias {
-    /// The chance of a peer of the own zone.
+    /// The probability of a peer in the own zone.
     own_zone: f64,
-    /// The chance of a peer of the own region, the own zone included.
+    /// The probability of a peer in the own region, the own zone included.
     own_region: f64,
 }
 
-/// One bias for each peer of a push: two of the own zone, one of elsewhere.
+/// The bias of each peer of a push: two peers in the own zone, and one elsewhere, mostly in the own region.
 pub(crate) const PUSH_BIASES: [Bias; 3] = [
     Bias { own_zone: 1.0, own_region: 1.0 },
     Bias { own_zone: 1.0, own_region: 1.0 },
@@ -34,7 +38,7 @@
 /// The bias of digests.
 pub(crate) const DIGEST_BIAS: Bias = Bias { own_zone: 0.5, own_region: 0.83 };
 
-/// The peers that datagrams are sent to, by proximity.
+/// The peers that datagrams are sent to, by proximity class.
 #[derive(Debug)]
 pub(crate) struct Peers {
     by_proximity: [Vec<SocketAddr>; PROXIMITIES],
@@ -46,12 +50,12 @@
         Peers { by_proximity: Default::default(), rebuild_at: now }
     }
 
-    /// When the peers may be rebuilt next.
+    /// Returns the earliest time of the next rebuild.
     pub(crate) fn rebuild_at(&self) -> Duration {
         self.rebuild_at
     }
 
-    /// Replaces the peers by these members.
+    /// Replaces the peers by the given members.
     pub(crate) fn rebuild<'a>(
         &mut self,
         now: Duration,
@@ -64,7 +68,7 @@
             let proximity = match member.locality {
                 Some(locality) if locality == own => 0,
                 Some(locality) if locality.region == own.region => 1,
-                // Whose record is on its way may be anywhere.
+                // A member whose record has not arrived yet may be anywhere.
                 _ => 2,
             };
             self.by_proximity[proximity].push(member.address);
@@ -83,10 +87,11 @@
         self.len() == 0
     }
 
-    /// Draws a peer that is not among `excluded`.
-    pub(crate) fn draw(&self, bias: Bias, excluded: &[SocketAddr], rng: &mut StdRng) -> Option<SocketAddr> {
+    /// Chooses a random peer that is not among `excluded`, or returns `None` if there is none.
+    pub(crate) fn choose(&self, bias: Bias, excluded: &[SocketAddr], rng: &mut StdRng) -> Option<SocketAddr> {
         let drawn: f64 = rng.random();
-        let nearest = [bias.own_zone, bias.own_region].iter().take_while(|part| drawn >= **part).count();
+        let nearest =
+            [bias.own_zone, bias.own_region].iter().take_while(|probability| drawn >= **probability).count();
         let candidates = |proximity: usize| -> Vec<SocketAddr> {
             let peers = self.by_proximity[proximity].iter();
             peers.copied().filter(|address| !excluded.contains(address)).collect()
@@ -96,12 +101,12 @@
         candidates.choose(rng).copied()
     }
 
-    /// Draws the peers of one push, each at most once.
-    pub(crate) fn draw_push_targets(&self, rng: &mut StdRng) -> Vec<SocketAddr> {
-        let mut targets = Vec::with_capacity(PUSH_BIASES.len());
+    /// Chooses the peers of one push, each at most once.
+    pub(crate) fn choose_push_peers(&self, rng: &mut StdRng) -> Vec<SocketAddr> {
+        let mut peers = Vec::with_capacity(PUSH_BIASES.len());
         for bias in PUSH_BIASES {
-            targets.extend(self.draw(bias, &targets, rng));
+            peers.extend(self.choose(bias, &peers, rng));
         }
-        targets
+        peers
     }
 }
--- a/crates/gossip/src/push.rs
+++ b/crates/gossip/src/push.rs
@@ -1,48 +1,50 @@
-//! Push gossip: which updates are under way, and when each goes out next.
+//! Push gossip: the updates that are in progress, and when each of them is sent next.
 //!
-//! An update goes to a few peers in each of a few rounds. A peer that already had it says so by pushing it back; after
-//! some of these the update stops, since nearly everybody has it. Anti-entropy reaches the few that it missed.
+//! An update is sent to a few peers in each of a few rounds. Each receipt of the same update from a peer
+//! shows that the peer already has it; after a number of such redundant receipts the update stops, because
+//! nearly all peers have it. Anti-entropy reaches the few that it missed.
 
-use crate::limits::{half_of_gossip_bytes, ENVELOPE_BYTES, MAX_ITEM_BYTES, MAX_PAYLOAD_BYTES, MAX_UPDATES};
+use crate::limits::{
+    gossip_rate_limiter, MAX_DATAGRAM_OVERHEAD_BYTES, MAX_ITEM_BYTES, MAX_PAYLOAD_BYTES, MAX_UPDATES,
+};
 use crate::rate_limiter::RateLimiter;
-use shaletack_observations::Observer;
-use shaletack_observations::Subject as ObservationSubject;
+use shaletack_observations::{Observer, Subject as ObservationSubject};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Peers that an update is pushed to in each round.
+/// The number of peers that an update is sent to in each round.
 pub(crate) const FANOUT: usize = 3;
-/// Rounds of an update.
+/// The number of rounds of an update.
 const PUSH_ROUNDS: u8 = 3;
-/// Between two rounds.
+/// The time between two rounds of an update.
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
-/// Updates that start within this go out together.
+/// The delay before a new update is sent, so that updates that start at about the same time share a datagram.
 const BATCH_DELAY: Duration = Duration::from_millis(10);
-/// An update that was received again so often stops.
+/// The number of redundant receipts after which an update stops.
 const MAX_REDUNDANT_RECEIPTS: u8 = 6;
 
-/// What an update is about; there is one at a time for each.
+/// The subject of an update. There is at most one update for each subject at a time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Subject {
-    /// An observation.
+    /// The observation of that subject.
     Observation(ObservationSubject),
-    /// Observations that somebody still sees.
+    /// The observations that this observer still makes.
     Refresh(Observer),
-    /// The membership record of that address.
+    /// The membership record of the initiator at that address.
     Member(SocketAddr),
 }
 
-/// What a [`Subject::Refresh`] says.
+/// The content of a [`Subject::Refresh`] update.
 #[derive(Clone, Debug)]
 pub(crate) struct RefreshState {
-    pub(crate) seen_at: Duration,
-    /// How often it has been passed on once it is sent.
+    pub(crate) observed_at: Duration,
+    /// How often the refresh has been forwarded, the next time included; 0 if it is this process's own.
     pub(crate) hops: u8,
     pub(crate) record_ids: Vec<u32>,
 }
 
-/// An update under way.
+/// An update in progress.
 #[derive(Clone, Debug)]
 struct Update {
     rounds_left: u8,
@@ -53,7 +55,7 @@
     refresh: Option<RefreshState>,
 }
 
-/// The updates under way.
+/// The updates in progress, and the byte limit for pushes.
 #[derive(Debug)]
 pub(crate) struct PushQueue {
     updates: BTreeMap<Subject, Update>,
@@ -63,10 +65,10 @@
 
 impl PushQueue {
     pub(crate) fn new(now: Duration) -> Self {
-        PushQueue { updates: BTreeMap::new(), next_push_at: None, limiter: half_of_gossip_bytes(now) }
+        PushQueue { updates: BTreeMap::new(), next_push_at: None, limiter: gossip_rate_limiter(now) }
     }
 
-    /// Starts an update, in place of an earlier one on the same subject. `priority` 0 is the most urgent.
+    /// Starts an update, which replaces an earlier one on the same subject. `priority` 0 is the most urgent.
     pub(crate) fn start(&mut self, now: Duration, subject: Subject, priority: u64) {
         self.insert(now, subject, priority, None);
     }
@@ -99,8 +101,9 @@
         }
     }
 
-    /// A peer sent what it is about: an update that most have stops.
-    pub(crate) fn received_again(&mut self, subject: &Subject) {
+    /// Counts the receipt of an update that this process already has, and stops the update after
+    /// [`MAX_REDUNDANT_RECEIPTS`].
+    pub(crate) fn record_redundant_receipt(&mut self, subject: &Subject) {
         let Some(update) = self.updates.get_mut(subject) else { return };
         update.redundant_receipts += 1;
         if update.redundant_receipts >= MAX_REDUNDANT_RECEIPTS {
@@ -116,7 +119,7 @@
         self.updates.get(subject)?.refresh.as_ref()
     }
 
-    /// When the next update is due.
+    /// Returns when the next push is due, or `None` if no update is in progress.
     pub(crate) fn next_push_at(&self) -> Option<Duration> {
         self.next_push_at
     }
@@ -125,8 +128,9 @@
         self.next_push_at.is_some_and(|at| at <= now)
     }
 
-    /// The updates that go out now, the most urgent first.
-    pub(crate) fn due(&self, now: Duration) -> Vec<Subject> {
+    /// Returns the subjects of the updates that are due, or due within [`BATCH_DELAY`], the most urgent
+    /// first.
+    pub(crate) fn due_subjects(&self, now: Duration) -> Vec<Subject> {
         let due = self.updates.iter().filter(|(_, update)| update.due <= now + BATCH_DELAY);
         let mut due: Vec<(u64, Duration, &Subject)> =
             due.map(|(subject, update)| (update.priority, update.due, subject)).collect();
@@ -134,20 +138,23 @@
         due.into_iter().map(|(.., subject)| subject.clone()).collect()
     }
 
-    /// Bytes of items that the limiter allows in a push now. `None`: too few for one item; the push waits.
+    /// Returns the bytes of items that the limiter allows in a push now.
+    ///
+    /// Returns `None` and postpones the push if the limiter does not allow an item of the greatest size.
     pub(crate) fn payload_budget(&mut self, now: Duration) -> Option<usize> {
-        // Near the limit the most urgent update goes alone, and does not wait for the rest.
+        // Near the limit the most urgent update is sent alone, rather than waiting until all fit.
         let per_peer = self.limiter.available(now) / FANOUT;
-        let budget = per_peer.saturating_sub(ENVELOPE_BYTES).min(MAX_PAYLOAD_BYTES);
+        let budget = per_peer.saturating_sub(MAX_DATAGRAM_OVERHEAD_BYTES).min(MAX_PAYLOAD_BYTES);
         if budget < MAX_ITEM_BYTES {
-            let needed = FANOUT * (MAX_ITEM_BYTES + ENVELOPE_BYTES);
+            let needed = FANOUT * (MAX_ITEM_BYTES + MAX_DATAGRAM_OVERHEAD_BYTES);
             self.next_push_at = Some(self.limiter.available_at(now, needed).max(now + BATCH_DELAY));
             return None;
         }
         Some(budget)
     }
 
-    /// Takes the bytes of a push from the limiter. If they are not available the push waits.
+    /// Takes the bytes of a push from the limiter, and returns whether they were available. If not, postpones
+    /// the push.
     pub(crate) fn try_acquire(&mut self, now: Duration, bytes: usize) -> bool {
         let acquired = self.limiter.try_acquire(now, bytes);
         if !acquired {
@@ -156,8 +163,8 @@
         acquired
     }
 
-    /// These updates were pushed once more.
-    pub(crate) fn round_done(&mut self, now: Duration, subjects: &[Subject]) {
+    /// Records that one more round of these updates was sent, and removes those that have no rounds left.
+    pub(crate) fn complete_round(&mut self, now: Duration, subjects: &[Subject]) {
         for subject in subjects {
             let Some(update) = self.updates.get_mut(subject) else { continue };
             update.rounds_left -= 1;
@@ -168,7 +175,7 @@
         }
     }
 
-    /// Sets the next push by the updates that are left.
+    /// Schedules the next push for the updates that remain.
     pub(crate) fn schedule(&mut self, now: Duration) {
         let next = self.updates.values().map(|update| update.due).min();
         self.next_push_at = next.map(|due| due.max(now + BATCH_DELAY));
--- a/crates/gossip/src/rate_limiter.rs
+++ b/crates/gossip/src/rate_limiter.rs
@@ -1,8 +1,8 @@
-//! A bound on how much is sent or taken in: a token bucket on the caller's clock.
+//! A token bucket on the caller's clock, which limits the rate of sent bytes and of received datagrams.
 
 use std::time::Duration;
 
-/// A token bucket. A token is a byte or a datagram, whatever the caller counts.
+/// A token bucket. The caller decides what a token stands for: a byte or a datagram.
 #[derive(Clone, Copy, Debug)]
 pub struct RateLimiter {
     tokens_per_second: f64,
@@ -12,7 +12,7 @@
 }
 
 impl RateLimiter {
-    /// A full bucket that refills by `tokens_per_second` and holds `burst` tokens.
+    /// Creates a full bucket that refills at `tokens_per_second` and holds at most `burst` tokens.
     pub fn new(tokens_per_second: f64, burst: f64, now: Duration) -> Self {
         RateLimiter { tokens_per_second, burst, available: burst, refilled_at: now }
     }
@@ -23,7 +23,7 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Takes the tokens if all of them are available; whether it did.
+    /// Takes `tokens` if all of them are available, and returns whether they were.
     pub fn try_acquire(&mut self, now: Duration, tokens: usize) -> bool {
         self.refill(now);
         let enough = self.available >= tokens as f64;
@@ -33,13 +33,14 @@
         enough
     }
 
-    /// Whole tokens that are available.
+    /// Returns the number of whole tokens that are available.
     pub fn available(&mut self, now: Duration) -> usize {
         self.refill(now);
         self.available as usize
     }
 
-    /// When so many tokens will be available if nobody takes any; for more than the burst, when the bucket is full.
+    /// Returns when `tokens` will be available if none are taken until then. For more tokens than the burst,
+    /// returns when the bucket will be full.
     pub fn available_at(&mut self, now: Duration, tokens: usize) -> Duration {
         self.refill(now);
         let missing = (tokens as f64).min(self.burst) - self.available;
--- a/crates/gossip/src/replica.rs
+++ b/crates/gossip/src/replica.rs
@@ -1,4 +1,4 @@
-//! What this process holds and passes on: observations, membership records, and the updates about them.
+//! The records that this process holds, and the updates that push them to peers.
 
 use crate::anti_entropy::Record;
 use crate::codec::{Item, MembershipRecord, Refresh};
@@ -8,12 +8,13 @@
 use shaletack_observations::{ObservationStore, Observer, OBSERVATION_LIFETIME};
 use std::time::Duration;
 
-/// The priority of membership records: after everything about endpoints.
+/// The push priority of membership records: after all observations of endpoints.
 pub(crate) const MEMBER_PRIORITY: u64 = u64::MAX;
-/// The priority of a refresh: that of an endpoint that drains.
+/// The push priority of a refresh: the same as that of a draining endpoint in
+/// [`shaletack_observations::Claim::send_order`].
 pub(crate) const REFRESH_PRIORITY: u64 = 2;
 
-/// One process's copy of what the fleet knows.
+/// This process's copy of the observations and membership records that the fleet shares.
 #[derive(Debug)]
 pub(crate) struct Replica {
     pub(crate) observations: ObservationStore,
@@ -30,12 +31,13 @@
         }
     }
 
-    /// This process.
+    /// Returns the name and incarnation of this process.
     pub(crate) fn own_process(&self) -> &Observer {
         &self.directory.own().process
     }
 
-    /// What is to be sent about a subject; `None`: nothing any more.
+    /// Returns the item to send about a subject, or `None` if nothing is left to send: the record is gone,
+    /// has expired, or has been forwarded too often.
     pub(crate) fn item(&self, now: Duration, subject: &Subject) -> Option<Item> {
         match subject {
             Subject::Observation(topic) => {
@@ -44,7 +46,7 @@
             Subject::Member(address) => self.directory.record(*address).cloned().map(Item::Member),
             Subject::Refresh(observer) => {
                 let state = self.updates.refresh_state(subject)?;
-                let age = now.saturating_sub(state.seen_at);
+                let age = now.saturating_sub(state.observed_at);
                 let record_ids = state.record_ids.clone();
                 let refresh = Refresh { observer: observer.clone(), hops: state.hops, age, record_ids };
                 (age <= OBSERVATION_LIFETIME).then_some(Item::Refresh(refresh))
@@ -52,7 +54,7 @@
         }
     }
 
-    /// The items of these subjects, the most urgent first.
+    /// Returns the items of these subjects, the most urgent first.
     pub(crate) fn items_by_priority(&self, now: Duration, subjects: &[Subject]) -> Vec<Item> {
         let mut items: Vec<Item> = subjects.iter().filter_map(|subject| self.item(now, subject)).collect();
         items.sort_by_key(|item| match item {
@@ -62,7 +64,7 @@
         items
     }
 
-    /// All records that digests cover.
+    /// Returns all records that digests cover.
     pub(crate) fn digest_records(&self, now: Duration) -> Vec<Record> {
         let observations = self.observations.iter().filter(|observation| is_digested(observation, now));
         let observations = observations.map(|observation| Record {
@@ -72,7 +74,7 @@
         observations.chain(self.directory.digest_records()).collect()
     }
 
-    /// Drops what is too old.
+    /// Drops expired observations and membership records.
     pub(crate) fn expire(&mut self, now: Duration) {
         self.observations.expire(now, |_| true);
         self.directory.expire_records(now);
