--- a/crates/gossip/tests/aggregation/cost.rs
+++ b/crates/gossip/tests/aggregation/cost.rs
@@ -1,4 +1,4 @@
-//! What the sums cost, and how near the truth they are.
+//! Tests of the cost of the sums, and of how close they are to the true sums.
 
 use crate::network::{Network, SECOND};
 use rand::RngExt;
@@ -9,28 +9,29 @@
 const SETTLE_SECONDS: usize = 4;
 const MEASURED_SECONDS: usize = 6;
 
-/// What a second costs each, sent and received, headers included.
+/// The bytes per second that an initiator sends and receives, headers included, and the accuracy of the
+/// totals.
 struct Cost {
     mean_bytes: f64,
-    greatest_bytes: f64,
-    /// The share of the truth that is known, at the worst hundredth of all readings.
+    max_bytes: f64,
+    /// The share of the true sum that is known, at the first percentile of all readings.
     worst_share: f64,
 }
 
-/// The sum of a key, and what it may be at most.
+/// The true sum of a key, and the most that a total may be while amounts change.
 #[derive(Clone, Copy, Default)]
-struct Truth {
+struct ExpectedSum {
     sum: u64,
-    most: u64,
+    max: u64,
     contributors: u32,
 }
 
 type Amounts = Vec<(Key, u64)>;
 
-/// `noise`: by which part amounts change up and down each second.
+/// Measures a network. `noise` is the fraction by which amounts vary up and down every second.
 fn measure(initiators: usize, zones: usize, volumes_each: usize, noise: f64) -> Cost {
     let mut network = Network::new(initiators, zones, 47);
-    network.draw_amounts(volumes_each, VOLUMES, 12_000);
+    network.set_random_amounts(volumes_each, VOLUMES, 12_000);
     let amounts = network.nodes.iter().map(|node| node.amounts.iter());
     let means: Vec<Amounts> =
         amounts.map(|amounts| amounts.map(|(key, amount)| (*key, *amount)).collect()).collect();
@@ -41,19 +42,19 @@
         change_amounts(&mut network, &means, noise);
         network.run(SECOND);
     }
-    let shares = known_shares(&network, &truths(&network, &means, noise));
+    let shares = known_shares(&network, &expected_sums(&network, &means, noise));
     let worst_share = shares.get(shares.len() / 100).copied().unwrap_or(1.0);
     let seconds = MEASURED_SECONDS as f64;
     let bytes: Vec<f64> = network.nodes.iter().map(|node| node.bytes as f64 / seconds).collect();
     let mean_bytes = bytes.iter().sum::<f64>() / bytes.len() as f64;
-    let greatest_bytes = bytes.iter().copied().fold(0.0, f64::max);
-    let most_datagrams = network.nodes.iter().map(|node| node.datagrams).max().unwrap_or(0) as f64 / seconds;
+    let max_bytes = bytes.iter().copied().fold(0.0, f64::max);
+    let max_datagrams = network.nodes.iter().map(|node| node.datagrams).max().unwrap_or(0) as f64 / seconds;
     println!(
         "{initiators} in {zones} zones, {volumes_each} of 1,000 volumes, noise {noise}: \
-         mean {mean_bytes:.0} bytes/s, worst {greatest_bytes:.0} bytes/s in {most_datagrams:.0} datagrams; \
+         mean {mean_bytes:.0} bytes/s, worst {max_bytes:.0} bytes/s in {max_datagrams:.0} datagrams; \
          share at the worst hundredth {worst_share:.3}"
     );
-    Cost { mean_bytes, greatest_bytes, worst_share }
+    Cost { mean_bytes, max_bytes, worst_share }
 }
 
 fn change_amounts(network: &mut Network, means: &[Amounts], noise: f64) {
@@ -66,27 +67,27 @@
     }
 }
 
-fn truths(network: &Network, means: &[Amounts], noise: f64) -> BTreeMap<Key, Truth> {
-    let mut truths: BTreeMap<Key, Truth> = BTreeMap::new();
+fn expected_sums(network: &Network, means: &[Amounts], noise: f64) -> BTreeMap<Key, ExpectedSum> {
+    let mut expected_sums: BTreeMap<Key, ExpectedSum> = BTreeMap::new();
     for (node, means) in network.nodes.iter().zip(means) {
         for (key, mean) in means {
-            let truth = truths.entry(*key).or_default();
-            truth.sum += node.amounts[key];
-            truth.most += (*mean as f64 * (1.0 + noise)) as u64 + 1;
-            truth.contributors += 1;
+            let expected = expected_sums.entry(*key).or_default();
+            expected.sum += node.amounts[key];
+            expected.max += (*mean as f64 * (1.0 + noise)) as u64 + 1;
+            expected.contributors += 1;
         }
     }
-    truths
+    expected_sums
 }
 
-/// Which share of the truth each reading is, in ascending order.
-fn known_shares(network: &Network, truths: &BTreeMap<Key, Truth>) -> Vec<f64> {
+/// The share of the true sum that each reading knows, in ascending order.
+fn known_shares(network: &Network, expected_sums: &BTreeMap<Key, ExpectedSum>) -> Vec<f64> {
     let mut shares = Vec::new();
     for (reader, key) in network.readings() {
-        let Truth { sum, most, contributors } = truths[&key];
+        let ExpectedSum { sum, max, contributors } = expected_sums[&key];
         let others = sum - network.nodes[reader].amounts[&key];
         let share = network.total(reader, key).map_or(0.0, |total| {
-            assert!(total.others <= most, "{reader} {key:?} {total:?} of {sum}");
+            assert!(total.others <= max, "{reader} {key:?} {total:?} of {sum}");
             assert!(total.contributors <= contributors, "{reader} {key:?} {total:?} of {contributors}");
             if others == 0 {
                 1.0
@@ -101,13 +102,13 @@
 }
 
 #[test]
-fn what_a_second_costs_does_not_grow_with_the_fleet() {
+fn the_cost_per_initiator_does_not_grow_with_the_fleet() {
     assert_eq!(measure(300, 9, 0, 0.0).mean_bytes, 0.0);
     let mean_bytes_of = |initiators: usize| {
-        let Cost { mean_bytes, greatest_bytes, worst_share } = measure(initiators, 9, 100, 0.04);
+        let Cost { mean_bytes, max_bytes, worst_share } = measure(initiators, 9, 100, 0.04);
         assert!(mean_bytes <= 5_500.0, "{initiators}: {mean_bytes}");
-        let most = 2.0 * (OWNER_BYTES_PER_SECOND + ANSWER_BYTES_PER_SECOND);
-        assert!(greatest_bytes <= most, "{initiators}: {greatest_bytes}");
+        let limit = 2.0 * (OWNER_BYTES_PER_SECOND + ANSWER_BYTES_PER_SECOND);
+        assert!(max_bytes <= limit, "{initiators}: {max_bytes}");
         assert!(worst_share >= 0.9, "{initiators}: {worst_share}");
         mean_bytes
     };
--- a/crates/gossip/tests/aggregation/main.rs
+++ b/crates/gossip/tests/aggregation/main.rs
@@ -1,4 +1,4 @@
-//! Sums over all initiators on a network in virtual time.
+//! Tests of aggregation among many initiators on a simulated network in virtual time.
 
 mod amounts;
 mod cost;
--- a/crates/gossip/tests/aggregation/network.rs
+++ b/crates/gossip/tests/aggregation/network.rs
@@ -1,4 +1,5 @@
-//! Initiators in virtual time, the network between them, and what each of them sees of the members.
+//! Initiators in virtual time, a simulated network between them, and each initiator's own view of the
+//! members.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -28,13 +29,13 @@
     }
 }
 
-/// Three zones make a region.
+/// A member in one of the zones; three zones make a region.
 pub fn member(node: usize, incarnation: u64, zone: usize) -> Member {
     let locality = Locality { region: format!("region-{}", zone / 3), zone: format!("zone-{zone}") };
     Member { address: address(node), incarnation, locality }
 }
 
-/// A page of one key.
+/// A page with one key.
 pub fn page_of(key: Key, sequence: u32, amount: u64) -> Page {
     Page {
         shard: shard_of(short_key(key)) as u8,
@@ -57,7 +58,8 @@
 
 enum Event {
     Datagram(Datagram),
-    /// A node's own view of the members, and its number: a later one is never followed by an earlier one.
+    /// A new view of the members at one node. A node ignores a view whose number is not greater than the last
+    /// one's.
     View {
         node: usize,
         number: u64,
@@ -72,8 +74,8 @@
     pub is_up: bool,
     pub amounts: BTreeMap<Key, u64>,
     wake_at: Duration,
-    view: u64,
-    /// Sent and received, headers included.
+    view_number: u64,
+    /// The bytes sent and received, headers included.
     pub bytes: usize,
     pub datagrams: usize,
     pub longest_message: usize,
@@ -88,10 +90,10 @@
     event_count: u64,
     pub loss: f64,
     pub duplication: f64,
-    /// Zones that nobody outside reaches.
-    pub cut_zones: BTreeSet<usize>,
+    /// Zones that exchange no messages with other zones.
+    pub partitioned_zones: BTreeSet<usize>,
     incarnations: u64,
-    views: u64,
+    view_round: u64,
 }
 
 impl Network {
@@ -105,18 +107,18 @@
             event_count: 0,
             loss: 0.0,
             duplication: 0.0,
-            cut_zones: BTreeSet::new(),
+            partitioned_zones: BTreeSet::new(),
             incarnations: 0,
-            views: 0,
+            view_round: 0,
         };
         for node in 0..initiators {
             network.join(node % zones);
         }
-        network.tell_views(Duration::ZERO);
+        network.schedule_views(Duration::ZERO);
         network
     }
 
-    /// Looks up when a node wants to be called next.
+    /// Updates when a node has to be called next.
     pub fn reschedule(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         self.wakes.remove(&(node.wake_at, index));
@@ -129,7 +131,7 @@
         self.events.insert((self.now + after, self.event_count), event);
     }
 
-    /// A message of a node arrives at once, whoever sent it.
+    /// Delivers a message at once, as sent by `from`.
     pub fn deliver(&mut self, from: usize, to: usize, message: Message) {
         let incarnation = self.nodes[from].incarnation;
         let datagram = Datagram { from, incarnation, to, message, bytes: 0 };
@@ -141,24 +143,24 @@
         up.map(|(index, node)| member(index, node.incarnation, node.zone)).collect()
     }
 
-    /// Each learns who is up now, within that time, each at its own moment.
-    pub fn tell_views(&mut self, within: Duration) {
+    /// Schedules a view of the nodes that are up now at each node, at a random time within `within`.
+    pub fn schedule_views(&mut self, within: Duration) {
         let members = self.members();
-        self.begin_views();
+        self.begin_view_round();
         for node in 0..self.nodes.len() {
-            self.tell_view(node, within, members.clone());
+            self.schedule_view(node, within, members.clone());
         }
     }
 
-    /// The views that are told from now on replace earlier ones.
-    pub fn begin_views(&mut self) {
-        self.views += 1;
+    /// Makes the views that are scheduled from now on replace earlier ones.
+    pub fn begin_view_round(&mut self) {
+        self.view_round += 1;
     }
 
-    /// One learns of these members, within that time.
-    pub fn tell_view(&mut self, node: usize, within: Duration, members: Vec<Member>) {
+    /// Schedules a view of these members at one node, at a random time within `within`.
+    pub fn schedule_view(&mut self, node: usize, within: Duration, members: Vec<Member>) {
         let after = if within.is_zero() { within } else { self.rng.random_range(Duration::ZERO..within) };
-        self.schedule(after, Event::View { node, number: self.views, members });
+        self.schedule(after, Event::View { node, number: self.view_round, members });
     }
 
     pub fn set_amounts(&mut self, index: usize, amounts: &[(Key, u64)]) {
@@ -168,7 +170,7 @@
         self.reschedule(index);
     }
 
-    /// The same amounts at all.
+    /// Sets the same amounts at all nodes.
     pub fn set_all_amounts(&mut self, amounts: &[(Key, u64)]) {
         (0..self.nodes.len()).for_each(|node| self.set_amounts(node, amounts));
     }
@@ -184,7 +186,7 @@
             is_up: true,
             amounts: BTreeMap::new(),
             wake_at: SECOND,
-            view: 0,
+            view_number: 0,
             bytes: 0,
             datagrams: 0,
             longest_message: 0,
@@ -226,7 +228,7 @@
             sender.longest_message = sender.longest_message.max(length);
             let incarnation = sender.incarnation;
             let (a, b) = (sender.zone, self.nodes[to].zone);
-            if a != b && (self.cut_zones.contains(&a) || self.cut_zones.contains(&b)) {
+            if a != b && (self.partitioned_zones.contains(&a) || self.partitioned_zones.contains(&b)) {
                 continue;
             }
             let latency = Self::latency(a, b);
@@ -235,8 +237,8 @@
                 if self.rng.random_bool(self.loss) {
                     continue;
                 }
-                let late = if copy == 0 { latency / 5 } else { 700 * MILLISECOND };
-                let after = latency + self.rng.random_range(Duration::ZERO..late);
+                let max_delay = if copy == 0 { latency / 5 } else { 700 * MILLISECOND };
+                let after = latency + self.rng.random_range(Duration::ZERO..max_delay);
                 let message = message.clone();
                 self.schedule(after, Event::Datagram(Datagram { from, incarnation, to, message, bytes }));
             }
@@ -271,8 +273,8 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::View { node: index, number, members } if number > self.nodes[index].view => {
-                self.nodes[index].view = number;
+            Event::View { node: index, number, members } if number > self.nodes[index].view_number => {
+                self.nodes[index].view_number = number;
                 let others = members.into_iter().filter(|member| member.address != address(index));
                 self.nodes[index].aggregation.set_members(self.now, others.collect());
                 self.reschedule(index);
@@ -290,8 +292,8 @@
         }
     }
 
-    /// The true sum over all others.
-    pub fn truth(&self, reader: usize, key: Key) -> u64 {
+    /// The true sum of a key over all nodes but the reader.
+    pub fn true_sum(&self, reader: usize, key: Key) -> u64 {
         let others = self.nodes.iter().enumerate().filter(|(index, _)| *index != reader);
         others.filter_map(|(_, node)| node.amounts.get(&key)).sum()
     }
@@ -305,30 +307,30 @@
         self.nodes[reader].aggregation.total(self.now, key)
     }
 
-    /// Each reader of each of its keys.
+    /// Each node that is up, with each of its keys.
     pub fn readings(&self) -> Vec<(usize, Key)> {
         let up = self.nodes.iter().enumerate().filter(|(_, node)| node.is_up);
         up.flat_map(|(index, node)| node.amounts.keys().map(move |key| (index, *key))).collect()
     }
 
-    /// All know exactly what is so.
+    /// Asserts that every node knows the exact total of each of its keys.
     pub fn assert_exact(&self) {
         for (reader, key) in self.readings() {
             let total = self.total(reader, key).unwrap_or_else(|| panic!("{reader} has no total of {key:?}"));
-            assert_eq!(total.others, self.truth(reader, key), "{reader} {key:?} {total:?}");
+            assert_eq!(total.others, self.true_sum(reader, key), "{reader} {key:?} {total:?}");
             assert_eq!(total.contributors, self.contributors(key), "{reader} {key:?} {total:?}");
             assert_eq!(total.missing_cells, 0, "{reader} {key:?} {total:?}");
             assert!(total.age <= TOTAL_TTL);
         }
     }
 
-    /// Each has amounts of `each` of `volumes` volumes, of `1..most` thousandths.
-    pub fn draw_amounts(&mut self, each: usize, volumes: u64, most: u64) {
+    /// Sets random amounts of `1..max` thousandths at each node, for `each` of `volumes` volumes.
+    pub fn set_random_amounts(&mut self, each: usize, volumes: u64, max: u64) {
         for index in 0..self.nodes.len() {
             let mut amounts = BTreeMap::new();
             while amounts.len() < each {
                 let volume = self.rng.random_range(0..volumes);
-                amounts.insert(Key::Demand(volume), self.rng.random_range(1..most));
+                amounts.insert(Key::Demand(volume), self.rng.random_range(1..max));
             }
             self.set_amounts(index, &amounts.into_iter().collect::<Vec<_>>());
         }
--- a/crates/gossip/tests/aggregation/ownership.rs
+++ b/crates/gossip/tests/aggregation/ownership.rs
@@ -1,4 +1,4 @@
-//! What counts from whom, and for how long.
+//! Tests of which messages count, from which senders, and for how long.
 
 use crate::network::{address, member, page_of, MILLISECOND, SECOND};
 use shaletack_gossip::aggregation::{
@@ -13,12 +13,12 @@
     Message::Partial(page_of(KEY, sequence, amount))
 }
 
-/// A page that does not hold all keys of its shard.
+/// One of two pages of partial sums.
 fn partial_page(page: u8, sequence: u32, amount: u64) -> Message {
     Message::Partial(Page { page, page_count: 2, ..page_of(KEY, sequence, amount) })
 }
 
-/// What node 1 of that incarnation is answered.
+/// Delivers a message from an incarnation of node 1, and returns the answers.
 fn receive(
     aggregation: &mut Aggregation,
     now: Duration,
@@ -28,7 +28,7 @@
     aggregation.receive(now, address(1), incarnation, message)
 }
 
-/// The totals that a member is answered.
+/// The totals in the answers to a node, if they are the only answer.
 fn totals_to(answers: &[Envelope], node: usize) -> Option<&TotalsPage> {
     match answers {
         [Envelope { to, message: Message::Totals(totals) }] if *to == address(node) => Some(totals),
@@ -36,7 +36,7 @@
     }
 }
 
-/// The sum, and the contributors in it, that a member is answered when it contributes 10.
+/// Lets a node contribute 10, and returns the sum and the number of contributors in the answer.
 fn answer(aggregation: &mut Aggregation, now: Duration, node: usize, sequence: u32) -> Option<(u64, u32)> {
     let contribution = Message::Contribution(page_of(KEY, sequence, 10));
     let answers = aggregation.receive(now, address(node), 1, contribution);
@@ -44,15 +44,16 @@
     Some((unpack_amount(total.amount), total.contributors))
 }
 
-/// Somebody sends another cell's partial sums who is not that cell's owner: a liar, or a process whose view differs. Only
-/// the owner's count.
+/// A process that does not own the shard in its cell sends partial sums, because it is faulty or its view of
+/// the members differs. Only the partial sums of the owner may count.
 #[test]
 fn partial_sums_count_only_from_the_owner() {
     let members = (1..6).map(|node| member(node, 1, 3)).collect();
     let mut aggregation = Aggregation::new(member(0, 1, 0), 1);
     aggregation.set_members(SECOND, members);
     aggregation.set_amounts(SECOND, vec![(KEY, 10)]);
-    // Of the five in the other zone exactly one is its owner; a stranger and another incarnation are nobody.
+    // Exactly one of the five members of the other zone is the owner. Node 6 is no member, nor is incarnation
+    // 2 of any node.
     let mut counted = Vec::new();
     for node in 1..7 {
         for incarnation in [2, 1] {
@@ -63,7 +64,7 @@
             let total = aggregation.total(now + 2 * SECOND, KEY);
             if let Some(total) = total.filter(|total| total.others == 100) {
                 counted.push((node, incarnation));
-                // The partial came two seconds ago, whenever it was asked for.
+                // The age counts from the receipt of the partial, two seconds ago.
                 let age = total.age;
                 assert!(age >= 2 * SECOND && age <= 2 * SECOND + 20 * MILLISECOND, "{age:?}");
             }
@@ -71,14 +72,15 @@
     }
     let [(owner, incarnation)] = counted[..] else { panic!("{counted:?}") };
     assert_eq!(incarnation, 1);
-    // A member of another zone can't contribute here.
+    // A member of another cell cannot contribute here.
     let contribution = Message::Contribution(page_of(KEY, 9, 100));
     assert!(aggregation.receive(200 * SECOND, address(owner), 1, contribution).is_empty());
 }
 
-/// Pages come late and twice, and a process restarts and counts from the start again.
+/// Pages arrive late or twice, and a process restarts its sequence numbers. No page may be counted twice
+/// or replace a later one.
 #[test]
-fn late_and_doubled_pages_change_nothing() {
+fn late_and_duplicated_pages_change_nothing() {
     let contribution = |sequence, amount| Message::Contribution(page_of(KEY, sequence, amount));
     let shard = shard_of(short_key(KEY)) as u8;
     let mut aggregation = Aggregation::new(member(0, 1, 0), 1);
@@ -90,36 +92,37 @@
     assert_eq!(receive(&mut aggregation, 2 * SECOND, 1, contribution(5, 100)), vec![]);
     assert_eq!(receive(&mut aggregation, 2 * SECOND, 1, contribution(4, 900)), vec![]);
     assert_eq!(total(&receive(&mut aggregation, 3 * SECOND, 1, contribution(6, 200))), Some((6, 200)));
-    // Keys that are not known are asked for, and what came before stays until it expires.
+    // Unknown keys are requested, and the earlier page stays until it expires.
     let unchanged = Page { layout: Layout::Unchanged(1), ..page_of(KEY, 7, 300) };
     let unknown = Message::LayoutUnknown { kind: PageKind::Contribution, shard, page: 0 };
     let asked = vec![Envelope { to: address(1), message: unknown }];
     assert_eq!(receive(&mut aggregation, 4 * SECOND, 1, Message::Contribution(unchanged)), asked);
-    // A later incarnation begins anew, also with lower numbers; the earlier one is nobody then.
+    // A later incarnation starts with lower sequence numbers, and the earlier incarnation is ignored.
     aggregation.set_members(4 * SECOND, vec![member(1, 2, 0)]);
     assert_eq!(total(&receive(&mut aggregation, 5 * SECOND, 2, contribution(1, 50))), Some((1, 50)));
     assert_eq!(receive(&mut aggregation, 6 * SECOND, 1, contribution(9, 900)), vec![]);
     assert_eq!(total(&receive(&mut aggregation, 7 * SECOND, 2, contribution(2, 50))), Some((2, 50)));
 }
 
-/// A member restarts or dies. What its earlier incarnation sent is in no answer from the moment that membership says so.
+/// A member restarts or fails. From the moment that membership reports this, no answer may include what the
+/// earlier incarnation sent.
 #[test]
-fn a_contribution_is_dropped_at_once_when_membership_has_that_incarnation_no_more() {
-    for (later, other) in [(vec![member(1, 2, 0)], "another incarnation"), (vec![], "nobody")] {
+fn a_contribution_is_dropped_at_once_when_its_incarnation_is_no_longer_a_member() {
+    for (later, other) in [(vec![member(1, 2, 0)], "another incarnation"), (vec![], "no incarnation")] {
         let mut aggregation = Aggregation::new(member(0, 1, 0), 1);
         aggregation.set_members(SECOND, vec![member(1, 1, 0), member(2, 1, 0)]);
         aggregation.receive(SECOND, address(1), 1, Message::Contribution(page_of(KEY, 1, 100)));
         assert_eq!(answer(&mut aggregation, SECOND, 2, 1), Some((110, 2)));
         let now = SECOND + 300 * MILLISECOND;
         aggregation.set_members(now, [vec![member(2, 1, 0)], later].concat());
-        assert_eq!(answer(&mut aggregation, now, 2, 2), Some((10, 1)), "{other} is there");
+        assert_eq!(answer(&mut aggregation, now, 2, 2), Some((10, 1)), "{other} is a member");
     }
 }
 
-/// The owner of a cell dies and another one takes over, with fewer pages. What the first one said must not be added to what
-/// the second one says.
+/// An owner in another cell fails, and a new owner takes over with fewer pages. The pages of the previous
+/// owner must not be added to those of the new one.
 #[test]
-fn a_new_owners_partial_replaces_all_that_the_owner_before_it_sent() {
+fn a_new_owners_partial_replaces_all_that_the_previous_owner_sent() {
     let mut owners = 0;
     for (before, after) in [(1, 2), (2, 1)] {
         let mut aggregation = Aggregation::new(member(0, 1, 0), 1);
@@ -127,7 +130,7 @@
         let members = vec![own_cell.clone(), member(before, 1, 3), new_owner.clone()];
         aggregation.set_members(SECOND, members);
         aggregation.receive(SECOND, address(before), 1, partial_page(1, 50, 100));
-        // One of the two is the owner of the key there.
+        // Only one of the two nodes is the owner of the key in the other cell.
         if answer(&mut aggregation, SECOND, 9, 1) == Some((10, 1)) {
             continue;
         }
@@ -139,8 +142,8 @@
     assert_eq!(owners, 1);
 }
 
-/// An answer is half a second on the way, and its oldest partial was three seconds old when it was asked for: it counts for
-/// another half second only.
+/// An answer takes half a second to arrive, and its oldest partial was three seconds old when the
+/// contribution was sent. The total may be used for another half second only.
 #[test]
 fn a_total_expires_four_seconds_after_its_oldest_partial_came() {
     let keys: Vec<(Key, u64)> = (0..64).map(|volume| (Key::Demand(volume), 10)).collect();
@@ -148,22 +151,24 @@
     let now = 100 * SECOND;
     aggregation.set_members(now, vec![member(1, 1, 0)]);
     aggregation.set_amounts(now, keys.clone());
-    let asked_at = now + 200 * MILLISECOND;
-    let out = aggregation.tick(asked_at);
+    let contributed_at = now + 200 * MILLISECOND;
+    let out = aggregation.tick(contributed_at);
     let contributed = out.iter().find_map(|envelope| match &envelope.message {
         Message::Contribution(page) => Some(page),
         _ => None,
     });
     let Page { shard, page, sequence, amounts, .. } =
-        contributed.expect("a shard whose owner is the other").clone();
+        contributed.expect("a shard that the other node owns").clone();
     let totals = vec![PackedTotal { amount: pack_amount(500), contributors: 2 }; amounts.len()];
     let totals = TotalsPage { shard, page, sequence, age_ticks: 150, missing_cells: 0, totals };
-    let answered_at = asked_at + 500 * MILLISECOND;
+    let answered_at = contributed_at + 500 * MILLISECOND;
     aggregation.receive(answered_at, address(1), 1, Message::Totals(totals));
     let mut keys = keys.iter().map(|(key, _)| *key);
-    let key = keys.find(|key| shard_of(short_key(*key)) == usize::from(shard)).expect("one of them");
+    let key = keys
+        .find(|key| shard_of(short_key(*key)) == usize::from(shard))
+        .expect("a key of the contributed shard");
     let total = Total { others: 490, contributors: 2, age: 3500 * MILLISECOND, missing_cells: 0 };
     assert_eq!(aggregation.total(answered_at, key), Some(total));
-    assert!(aggregation.total(asked_at + SECOND, key).is_some());
-    assert_eq!(aggregation.total(asked_at + SECOND + MILLISECOND, key), None);
+    assert!(aggregation.total(contributed_at + SECOND, key).is_some());
+    assert_eq!(aggregation.total(contributed_at + SECOND + MILLISECOND, key), None);
 }
--- a/crates/gossip/tests/aggregation/validation.rs
+++ b/crates/gossip/tests/aggregation/validation.rs
@@ -1,4 +1,4 @@
-//! Whatever a member sends, nothing breaks, and the limits hold.
+//! Tests that arbitrary messages do no lasting harm, and that the limits hold.
 
 use crate::network::{address, member, Network, MILLISECOND, SECOND};
 use proptest::prelude::{any, prop_assert, prop_oneof, proptest, Just, ProptestConfig, Strategy};
@@ -56,18 +56,18 @@
 }
 
 fn message() -> impl Strategy<Value = Message> {
-    let unknown = (any::<bool>(), any::<u8>(), any::<u8>()).prop_map(|(is_partial, shard, page)| {
+    let layout_unknown = (any::<bool>(), any::<u8>(), any::<u8>()).prop_map(|(is_partial, shard, page)| {
         Message::LayoutUnknown { kind: PageKind::from(is_partial), shard, page }
     });
     prop_oneof![
         3 => page().prop_map(Message::Contribution),
         3 => page().prop_map(Message::Partial),
         1 => totals(),
-        1 => unknown,
+        1 => layout_unknown,
     ]
 }
 
-/// A message from node 0, some time after the one before.
+/// A message from node 0, and the time since the previous one.
 #[derive(Clone, Debug)]
 struct Sent {
     gap_ms: u64,
@@ -82,9 +82,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
-    /// One member sends what it likes. No total passes the bound, and soon after it stops all is as it was.
+    /// One member sends arbitrary messages. No total may exceed the maximum amount, and soon after the member
+    /// stops, the totals have to be exact again.
     #[test]
-    fn whatever_a_member_sends_nothing_breaks(
+    fn arbitrary_messages_of_a_member_do_no_lasting_harm(
         messages in proptest::collection::vec(sent(), 1..80),
         seed in any::<u64>(),
     ) {
@@ -108,7 +109,7 @@
     }
 }
 
-/// A full page of random keys of a random shard.
+/// A full page of random keys in a random shard.
 fn random_page(network: &mut Network, sequence: u32) -> Page {
     let shard = network.rng.random_range(0..SHARDS as u8);
     let mut rows: Vec<KeyRow> = (0..MAX_PAGE_KEYS)
@@ -134,12 +135,12 @@
     answers.iter().map(|answer| encoded_len(&answer.message) + DATAGRAM_OVERHEAD_BYTES).sum()
 }
 
-/// A member runs wild and sends 2,000 pages a second. What its victim answers stays within the limits, and so does what the
-/// victim sends and receives otherwise.
+/// A faulty member sends 2,000 pages per second. The answers of the receiver have to stay within the limits,
+/// and so does its other traffic.
 #[test]
 fn a_flood_of_pages_is_answered_within_the_limits() {
-    const FLOODER: usize = 0;
-    const VICTIM: usize = 3;
+    const SENDER: usize = 0;
+    const RECEIVER: usize = 3;
     let mut network = Network::new(18, 6, 43);
     network.set_all_amounts(&[(KEY, 10)]);
     network.run(5 * SECOND);
@@ -152,23 +153,23 @@
             let page = random_page(&mut network, sequence);
             let message =
                 if sequence.is_multiple_of(2) { Message::Contribution(page) } else { Message::Partial(page) };
-            let incarnation = network.nodes[FLOODER].incarnation;
-            let victim = &mut network.nodes[VICTIM].aggregation;
-            answered += bytes_of(&victim.receive(network.now, address(FLOODER), incarnation, message));
-            network.reschedule(VICTIM);
+            let incarnation = network.nodes[SENDER].incarnation;
+            let receiver = &mut network.nodes[RECEIVER].aggregation;
+            answered += bytes_of(&receiver.receive(network.now, address(SENDER), incarnation, message));
+            network.reschedule(RECEIVER);
         }
     }
     println!("a flood of 20,000 pages: {answered} bytes of answers in 10 s");
     assert!(answered > 0 && answered as f64 <= 11.0 * ANSWER_BYTES_PER_SECOND, "{answered}");
-    let bytes_per_second = network.nodes[VICTIM].bytes as f64 / 16.0;
-    let most = 2.0 * (OWNER_BYTES_PER_SECOND + ANSWER_BYTES_PER_SECOND);
-    assert!(bytes_per_second <= most, "{bytes_per_second}");
+    let bytes_per_second = network.nodes[RECEIVER].bytes as f64 / 16.0;
+    let limit = 2.0 * (OWNER_BYTES_PER_SECOND + ANSWER_BYTES_PER_SECOND);
+    assert!(bytes_per_second <= limit, "{bytes_per_second}");
     network.run(10 * SECOND);
     network.assert_exact();
 }
 
 #[test]
-fn answers_stay_within_their_limit_whoever_asks() {
+fn answers_stay_within_their_limit_however_many_members_contribute() {
     let members = (1..40).map(|node| member(node, 1, 0)).collect();
     let mut aggregation = Aggregation::new(member(0, 1, 0), 1);
     aggregation.set_members(SECOND, members);
@@ -191,6 +192,6 @@
             }
         }
     }
-    let (answered, most) = (answered as f64, 11.0 * ANSWER_BYTES_PER_SECOND);
-    assert!(answered <= most && answered >= most / 2.0, "{answered}");
+    let (answered, limit) = (answered as f64, 11.0 * ANSWER_BYTES_PER_SECOND);
+    assert!(answered <= limit && answered >= limit / 2.0, "{answered}");
 }
--- a/crates/gossip/tests/gossip/limits.rs
+++ b/crates/gossip/tests/gossip/limits.rs
@@ -1,12 +1,13 @@
-//! Floods cost no more than the limits allow.
+//! Tests that floods cost no more than the limits allow.
 
 use crate::network::{datagram, draining, first_hand, process, push_of, Network, MILLISECOND, SECOND};
 use shaletack_gossip::limits::{GOSSIP_BURST_BYTES, GOSSIP_BYTES_PER_SECOND, MAX_DATAGRAMS_PER_SECOND};
 use shaletack_gossip::Input;
 use shaletack_observations::{Claim, EndpointHealth};
 
-/// Something shakes the fleet, and ten initiators report failures of hundreds of endpoints each second. Each stays within
-/// its byte limit, and an endpoint that drains meanwhile does not wait behind the failures.
+/// Ten initiators report failures of hundreds of endpoints per second, as after a large outage. Each
+/// initiator has to stay within its byte limit, and an endpoint that drains meanwhile must not wait behind
+/// the failures.
 #[test]
 fn a_flood_of_observations_stays_within_the_byte_limits_and_draining_endpoints_go_first() {
     let mut network = Network::settled(40, 2, 15);
@@ -29,20 +30,21 @@
         network.run(100 * MILLISECOND);
     }
     let observed_at = network.now;
-    let what = draining("s-1");
-    network.observe(20, what.clone());
-    let reached = network.run_until(4 * SECOND, |network| network.all_know(&what));
-    assert!(reached, "the draining endpoint waits behind the flood");
+    let claim = draining("s-1");
+    network.observe(20, claim.clone());
+    let reached = network.run_until(4 * SECOND, |network| network.all_know(&claim));
+    assert!(reached, "the draining endpoint waited behind the flood");
     assert!(network.now - observed_at < 3 * SECOND, "{:?}", network.now - observed_at);
     let seconds = (network.now - started).as_secs_f64();
     for node in &network.nodes {
         let sent = node.sent_bytes();
-        let most = GOSSIP_BYTES_PER_SECOND * (seconds + 0.1) + GOSSIP_BURST_BYTES;
-        assert!((sent as f64) <= most, "{sent} bytes in {seconds} s");
+        let limit = GOSSIP_BYTES_PER_SECOND * (seconds + 0.1) + GOSSIP_BURST_BYTES;
+        assert!((sent as f64) <= limit, "{sent} bytes in {seconds} s");
     }
 }
 
-/// A peer runs wild and sends thousands of datagrams a second. They are read at the limit, and the rest is dropped unread.
+/// A faulty peer sends thousands of datagrams per second. They have to be decoded only up to the limit, and
+/// the others dropped.
 #[test]
 fn a_flood_of_datagrams_is_read_at_the_limit() {
     let mut network = Network::settled(3, 1, 16);
--- a/crates/gossip/tests/gossip/main.rs
+++ b/crates/gossip/tests/gossip/main.rs
@@ -1,4 +1,5 @@
-//! Gossip among many initiators in virtual time, over a network that loses, duplicates, delays and partitions.
+//! Tests of gossip among many initiators in virtual time, on a network that loses, duplicates and delays
+//! datagrams and is partitioned.
 
 mod anti_entropy;
 mod config_rollout;
--- a/crates/gossip/tests/gossip/membership.rs
+++ b/crates/gossip/tests/gossip/membership.rs
@@ -1,15 +1,15 @@
-//! Who is sent datagrams, and how a fleet of two releases gets along.
+//! Tests of which members are sent datagrams, and of a fleet that runs two releases.
 
 use crate::network::{address, draining, first_hand, process, Network, MILLISECOND, SECOND};
 use rand::RngExt;
 use shaletack_gossip::{Effect, Input};
-use shaletack_observations::Subject;
-use shaletack_observations::{Claim, Observation, ObservationStore, Observer, Report};
+use shaletack_observations::{Claim, Observation, ObservationStore, Observer, Report, Subject};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// During an upgrade a fleet holds initiators of the previous release, to which a datagram is noise and a line in the log
-/// each. So nothing is sent to one, and what an exchange with it brings is passed on.
+/// During an upgrade a fleet contains initiators of the previous release, which log each gossip datagram as
+/// invalid. No datagram may be sent to such an initiator, and what an exchange with it brings has to be
+/// pushed on.
 #[test]
 fn a_member_of_the_previous_release_gets_no_datagram_and_its_reports_are_passed_on() {
     let mut network = Network::settled(20, 1, 13);
@@ -35,7 +35,7 @@
         assert!(!effects.iter().any(to_older));
     }
     let learned = &network.nodes[2].learned;
-    assert!(learned.is_empty(), "the core took the exchange itself: {learned:?}");
+    assert!(learned.is_empty(), "the caller has already merged the exchange: {learned:?}");
     network.step(2, Input::SupportConfirmed(older));
     assert_eq!(network.nodes[2].gossip.unconfirmed_members().count(), 0);
 }
@@ -53,8 +53,8 @@
 }
 
 const EACH_RELEASE: usize = 15;
-/// The most hops that the previous release takes.
-const PREVIOUS_HOPS: u8 = 3;
+/// The most hops of a report that the previous release accepts.
+const PREVIOUS_RELEASE_MAX_HOPS: u8 = 3;
 const ROUND_TRIP: Duration = Duration::from_millis(4);
 
 fn older_address(older: usize) -> SocketAddr {
@@ -65,7 +65,7 @@
     Observer { name: format!("older{older}"), incarnation: 5 }
 }
 
-/// What a process that exchanges over TCP knows, and what of it it has seen itself.
+/// A process that exchanges reports over TCP: what it knows, and its own observations.
 #[derive(Clone, Default)]
 struct Exchanger {
     known: ObservationStore,
@@ -73,13 +73,13 @@
 }
 
 impl Exchanger {
-    fn sees(&mut self, what: &Claim, by: Observer, seen: Duration) {
+    fn observe(&mut self, claim: &Claim, observer: Observer, observed_at: Duration) {
         self.own.push(Observation {
-            claim: what.clone(),
-            observer: by,
+            claim: claim.clone(),
+            observer,
             endpoint_incarnation: 0,
             hops: 0,
-            observed_at: seen,
+            observed_at,
         });
     }
 
@@ -87,18 +87,18 @@
         self.known.reports_for_exchange(now, process, self.own.clone())
     }
 
-    fn takes(&mut self, now: Duration, process: &Observer, from: &Observer, reports: Vec<Report>) {
-        let in_range = reports.iter().all(|report| report.hops <= PREVIOUS_HOPS);
-        assert!(in_range, "the previous release takes no more hops");
-        let refused = self.known.merge_reports(now, ROUND_TRIP, process, from, reports).rejected;
-        assert_eq!(refused.invalid, 0);
+    fn merge_reports(&mut self, now: Duration, process: &Observer, from: &Observer, reports: Vec<Report>) {
+        let in_range = reports.iter().all(|report| report.hops <= PREVIOUS_RELEASE_MAX_HOPS);
+        assert!(in_range, "the previous release accepts no more hops");
+        let rejected = self.known.merge_reports(now, ROUND_TRIP, process, from, reports).rejected;
+        assert_eq!(rejected.invalid, 0);
     }
 }
 
-/// A fleet of both releases.
+/// A fleet that runs both releases.
 struct MixedFleet {
     network: Network,
-    /// The cores of the newer ones, which tell in exchanges.
+    /// The cores of the initiators of the current release, which take part in exchanges.
     cores: Vec<Exchanger>,
     older: Vec<Exchanger>,
 }
@@ -116,8 +116,8 @@
         MixedFleet { network, cores: exchangers.clone(), older: exchangers }
     }
 
-    /// The cores take what gossip has learned.
-    fn learn(&mut self) {
+    /// The cores merge what gossip has learned.
+    fn merge_learned(&mut self) {
         let now = self.network.now;
         for (node, core) in self.network.nodes.iter_mut().zip(&mut self.cores) {
             let clock = node.clock(now);
@@ -127,7 +127,7 @@
         }
     }
 
-    /// A newer and an older one exchange all they know.
+    /// An initiator of the current release and one of the previous release exchange all that they know.
     fn exchange(&mut self, newer: usize, older: usize) {
         let now = self.network.now;
         let node = &self.network.nodes[newer];
@@ -135,61 +135,63 @@
         let older_process = older_process(older);
         let to_older = self.cores[newer].reports(clock, &newer_process);
         let to_newer = self.older[older].reports(now, &older_process);
-        self.older[older].takes(now, &older_process, &newer_process, to_older);
-        self.cores[newer].takes(clock, &newer_process, &older_process, to_newer.clone());
+        self.older[older].merge_reports(now, &older_process, &newer_process, to_older);
+        self.cores[newer].merge_reports(clock, &newer_process, &older_process, to_newer.clone());
         let exchanged = Input::Exchanged { from: older_process, round_trip: ROUND_TRIP, reports: to_newer };
         self.network.step(newer, exchanged);
     }
 
-    /// An older one asks the next member in the order of addresses: newer ones first, then the older ones.
-    fn older_asks(&mut self, older: usize, second: usize) {
-        let asked = (older + second) % (2 * EACH_RELEASE);
-        if asked < EACH_RELEASE {
-            self.exchange(asked, older);
-        } else if asked - EACH_RELEASE != older {
+    /// An initiator of the previous release exchanges with the next member in the order of addresses, in
+    /// which the members of the current release come first.
+    fn previous_release_exchanges(&mut self, older: usize, second: usize) {
+        let peer = (older + second) % (2 * EACH_RELEASE);
+        if peer < EACH_RELEASE {
+            self.exchange(peer, older);
+        } else if peer - EACH_RELEASE != older {
             let now = self.network.now;
-            let from = older_process(asked - EACH_RELEASE);
-            let reports = self.older[asked - EACH_RELEASE].reports(now, &from);
-            self.older[older].takes(now, &older_process(older), &from, reports);
+            let from = older_process(peer - EACH_RELEASE);
+            let reports = self.older[peer - EACH_RELEASE].reports(now, &from);
+            self.older[older].merge_reports(now, &older_process(older), &from, reports);
         }
     }
 
-    /// A newer one asks one of those that it can't send datagrams to.
-    fn newer_asks(&mut self, newer: usize) {
+    /// An initiator of the current release exchanges with a random member that it cannot send datagrams to.
+    fn current_release_exchanges(&mut self, newer: usize) {
         let unconfirmed = self.network.nodes[newer].gossip.unconfirmed_members().count();
-        assert_eq!(unconfirmed, EACH_RELEASE, "none of them is taken for one that gossips");
-        let drawn = self.network.rng.random_range(0..EACH_RELEASE);
-        self.exchange(newer, drawn);
+        assert_eq!(unconfirmed, EACH_RELEASE, "no member of the previous release is confirmed");
+        let older = self.network.rng.random_range(0..EACH_RELEASE);
+        self.exchange(newer, older);
     }
 }
 
-/// Half of a fleet is of the previous release, which asks one member a second over TCP and takes reports of three hops at
-/// most. What either half sees comes to all, later than by datagrams, and nobody misreads anybody.
+/// Half of a fleet runs the previous release, which exchanges with one member per second over TCP and accepts
+/// reports of at most three hops. The observations of either half have to reach all initiators, later than by
+/// datagrams, and no report may be rejected.
 #[test]
 fn a_fleet_half_of_the_previous_release_still_spreads_observations() {
     let mut fleet = MixedFleet::new();
-    let (by_newer, by_older) = (draining("s-new"), draining("s-old"));
+    let (observed_by_newer, observed_by_older) = (draining("s-new"), draining("s-old"));
     let started = fleet.network.now;
-    fleet.network.observe(3, by_newer.clone());
+    fleet.network.observe(3, observed_by_newer.clone());
     let node = &fleet.network.nodes[3];
-    fleet.cores[3].sees(&by_newer, node.process.clone(), node.clock(started));
-    fleet.older[4].sees(&by_older, older_process(4), started);
+    fleet.cores[3].observe(&observed_by_newer, node.process.clone(), node.clock(started));
+    fleet.older[4].observe(&observed_by_older, older_process(4), started);
     let mut all_at = None;
     for second in 0..60 {
         fleet.network.run(SECOND);
-        fleet.learn();
+        fleet.merge_learned();
         for index in 0..EACH_RELEASE {
-            fleet.older_asks(index, second);
-            fleet.newer_asks(index);
+            fleet.previous_release_exchanges(index, second);
+            fleet.current_release_exchanges(index);
         }
-        let topic = Subject::Readiness("s-new".into());
-        let older_know = fleet.older.iter().all(|older| older.known.get(&topic).is_some());
-        let newer_know = (0..EACH_RELEASE).all(|node| fleet.network.knows(node, &by_older));
+        let subject = Subject::Readiness("s-new".into());
+        let older_know = fleet.older.iter().all(|older| older.known.get(&subject).is_some());
+        let newer_know = (0..EACH_RELEASE).all(|node| fleet.network.knows(node, &observed_by_older));
         if older_know && newer_know {
             all_at = Some(fleet.network.now - started);
             break;
         }
     }
-    let took = all_at.expect("what either half sees is with all");
+    let took = all_at.expect("the observations of either half did not reach all");
     assert!(took < 30 * SECOND, "{took:?}");
 }
--- a/crates/gossip/tests/gossip/network.rs
+++ b/crates/gossip/tests/gossip/network.rs
@@ -1,4 +1,4 @@
-//! Initiators in virtual time, and the network between them.
+//! Initiators in virtual time, and a simulated network between them.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -31,22 +31,22 @@
     Claim::Readiness { endpoint: endpoint.into(), readiness: ReportedReadiness::Ready }
 }
 
-/// What a process has seen itself just now.
-pub fn first_hand(by: &Observer, what: Claim) -> Report {
-    Report { claim: what, observer: by.clone(), endpoint_incarnation: 0, hops: 0, age: Duration::ZERO }
+/// A report of what a process observes now.
+pub fn first_hand(observer: &Observer, claim: Claim) -> Report {
+    Report { claim, observer: observer.clone(), endpoint_incarnation: 0, hops: 0, age: Duration::ZERO }
 }
 
-/// A datagram of that node in its first incarnation.
+/// A datagram from the first incarnation of a node.
 pub fn datagram(from: usize, body: Body) -> Input {
     Input::Datagram { from: address(from), bytes: encode(&Message { from: process(from, 1), body }) }
 }
 
-/// A pushed observation.
+/// A push of one observation.
 pub fn push_of(report: Report) -> Body {
     Body::Push(vec![Item::Observation(report)])
 }
 
-/// The messages that one process sends, and to whom.
+/// The receivers and bodies of the messages that a process sends.
 pub fn sent_bodies(effects: &[Effect]) -> Vec<(SocketAddr, Body)> {
     let sent = effects.iter().filter_map(|effect| match effect {
         Effect::Send { to, bytes } => Some((*to, decode(bytes).expect("an own datagram").body)),
@@ -57,7 +57,7 @@
 
 pub struct SentDatagram {
     pub at: Duration,
-    /// Headers included.
+    /// The size, with IP and UDP headers.
     pub bytes: usize,
 }
 
@@ -66,7 +66,7 @@
     pub process: Observer,
     locality: Locality,
     wake_at: Duration,
-    /// Its clock goes faster by this part.
+    /// The fraction by which the node's clock runs fast.
     clock_skew: f64,
     pub learned: Vec<(Duration, Report)>,
     pub sent: Vec<SentDatagram>,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Its own clock.
+    /// The time on the node's own clock.
     pub fn clock(&self, now: Duration) -> Duration {
         local_clock(now, self.clock_skew)
     }
@@ -114,9 +114,9 @@
     bytes: Vec<u8>,
 }
 
-/// What nodes send, in bytes a second.
+/// The bytes per second that nodes send.
 pub struct Traffic {
-    pub greatest: f64,
+    pub max: f64,
     pub mean: f64,
 }
 
@@ -128,13 +128,14 @@
     pub rng: StdRng,
     pub loss: f64,
     pub duplication: f64,
-    /// Nodes for which this differs do not reach each other.
+    /// The side of a partition that a node is on. Nodes on different sides cannot reach each other.
     pub partition: Option<fn(usize) -> bool>,
     pub paused: BTreeSet<usize>,
 }
 
 impl Network {
-    /// So many initiators, all known to each other, spread over regions of three zones.
+    /// Creates `count` initiators, spread over regions of three zones each, which are all members and
+    /// confirmed.
     fn connected(count: usize, regions: usize, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let nodes = (0..count).map(|node| {
@@ -163,12 +164,16 @@
         network
     }
 
-    /// The same, with all membership records known to all.
+    /// Creates a connected network, and runs it until every initiator has all membership records.
     pub fn settled(count: usize, regions: usize, seed: u64) -> Self {
         let mut network = Self::connected(count, regions, seed);
         network.run(12 * SECOND);
         let settled = |node: &&Node| node.gossip.membership_records().count() == count - 1;
-        assert_eq!(network.nodes.iter().filter(settled).count(), count, "all records are with all");
+        assert_eq!(
+            network.nodes.iter().filter(settled).count(),
+            count,
+            "every node has all membership records"
+        );
         network.clear_sent();
         network
     }
@@ -184,11 +189,11 @@
     pub fn step(&mut self, node: usize, input: Input) {
         let clock = self.nodes[node].clock(self.now);
         for effect in self.nodes[node].gossip.step(clock, input) {
-            self.carry_out(node, effect);
+            self.apply_effect(node, effect);
         }
     }
 
-    fn carry_out(&mut self, index: usize, effect: Effect) {
+    fn apply_effect(&mut self, index: usize, effect: Effect) {
         let now = self.now;
         let node = &mut self.nodes[index];
         match effect {
@@ -210,10 +215,10 @@
         let sent = SentDatagram { at: self.now, bytes: bytes.len() + IP_UDP_HEADER_BYTES };
         self.nodes[from].sent.push(sent);
         let to = usize::from(to.port() - FIRST_PORT);
-        let is_cut = self.partition.is_some_and(|side| side(from) != side(to));
+        let is_partitioned = self.partition.is_some_and(|side| side(from) != side(to));
         let copies = 1 + usize::from(self.rng.random_bool(self.duplication));
         for _ in 0..copies {
-            if is_cut || self.rng.random_bool(self.loss) || to >= self.nodes.len() {
+            if is_partitioned || self.rng.random_bool(self.loss) || to >= self.nodes.len() {
                 continue;
             }
             self.sent_count += 1;
@@ -227,7 +232,7 @@
         self.run_until(time, |_| false);
     }
 
-    /// Runs for a time at most, until something is so; whether it is.
+    /// Runs until a condition holds, for at most `time`. Returns whether the condition holds.
     pub fn run_until(&mut self, time: Duration, done: impl Fn(&Network) -> bool) -> bool {
         let end = self.now + time;
         loop {
@@ -268,34 +273,34 @@
         }
     }
 
-    /// A node sees something itself.
-    pub fn observe(&mut self, node: usize, what: Claim) {
-        let report = first_hand(&self.nodes[node].process, what);
+    /// Lets a node make an observation.
+    pub fn observe(&mut self, node: usize, claim: Claim) {
+        let report = first_hand(&self.nodes[node].process, claim);
         self.step(node, Input::LocalObservations(vec![report]));
     }
 
-    pub fn knows(&self, node: usize, what: &Claim) -> bool {
-        let fact = Observation {
-            claim: what.clone(),
+    pub fn knows(&self, node: usize, claim: &Claim) -> bool {
+        let observation = Observation {
+            claim: claim.clone(),
             observer: process(0, 0),
             endpoint_incarnation: 0,
             hops: 0,
             observed_at: self.now,
         };
-        let known = self.nodes[node].gossip.observations().get(&fact.subject());
-        known.is_some_and(|known| known.claim == *what)
+        let known = self.nodes[node].gossip.observations().get(&observation.subject());
+        known.is_some_and(|known| known.claim == *claim)
     }
 
-    pub fn all_know(&self, what: &Claim) -> bool {
-        (0..self.nodes.len()).all(|node| self.knows(node, what))
+    pub fn all_know(&self, claim: &Claim) -> bool {
+        (0..self.nodes.len()).all(|node| self.knows(node, claim))
     }
 
-    /// What nodes have sent since [`Network::clear_sent`], over that time.
+    /// The traffic since [`Network::clear_sent`], averaged over `time`.
     pub fn traffic(&self, time: Duration) -> Traffic {
         let rate = |node: &Node| node.sent_bytes() as f64 / time.as_secs_f64();
         let rates: Vec<f64> = self.nodes.iter().map(rate).collect();
         let mean = rates.iter().sum::<f64>() / rates.len() as f64;
-        Traffic { greatest: rates.into_iter().fold(0.0, f64::max), mean }
+        Traffic { max: rates.into_iter().fold(0.0, f64::max), mean }
     }
 
     pub fn clear_sent(&mut self) {
--- a/crates/gossip/tests/gossip/validation.rs
+++ b/crates/gossip/tests/gossip/validation.rs
@@ -1,4 +1,4 @@
-//! Whatever a peer sends, only what is sound is taken, and nothing breaks.
+//! Tests that invalid input from peers is rejected and does no harm.
 
 use crate::network::{address, datagram, draining, first_hand, process, push_of, Network, SECOND};
 use proptest::prelude::{any, prop, prop_assert, proptest, ProptestConfig};
@@ -6,27 +6,27 @@
 use shaletack_gossip::{Effect, Gossip, Input, Locality};
 use shaletack_observations::{Claim, Report, MAX_HOPS, OBSERVATION_LIFETIME};
 
-/// A faulty or malicious peer reports in another's name, passes on what may not be, or names what is out of range. All of
-/// it is counted and dropped.
+/// A faulty or malicious peer sends first-hand items in another's name, forwards contributions, or sends
+/// values out of range. All of these items have to be dropped and counted.
 #[test]
 fn items_out_of_range_or_in_anothers_name_are_rejected() {
     let mut network = Network::settled(3, 1, 14);
-    let (liar, other) = (process(1, 1), process(2, 1));
-    let sound = first_hand(&liar, draining("s-1"));
+    let (sender, other) = (process(1, 1), process(2, 1));
+    let valid = first_hand(&sender, draining("s-1"));
     let items = vec![
         Item::Observation(first_hand(&other, draining("s-1"))),
-        Item::Observation(Report { hops: 1, ..sound.clone() }),
-        Item::Observation(Report { hops: MAX_HOPS + 1, observer: other.clone(), ..sound.clone() }),
-        Item::Observation(Report { age: OBSERVATION_LIFETIME + SECOND, ..sound.clone() }),
+        Item::Observation(Report { hops: 1, ..valid.clone() }),
+        Item::Observation(Report { hops: MAX_HOPS + 1, observer: other.clone(), ..valid.clone() }),
+        Item::Observation(Report { age: OBSERVATION_LIFETIME + SECOND, ..valid.clone() }),
         Item::Observation(first_hand(
-            &liar,
+            &sender,
             Claim::SlowStartUnits { endpoint: "s-1".into(), milli_units: 9 },
         )),
-        Item::Observation(first_hand(&liar, Claim::Demand { volume: 1, milli_units_per_second: 9 })),
-        Item::Observation(first_hand(&liar, draining(""))),
+        Item::Observation(first_hand(&sender, Claim::Demand { volume: 1, milli_units_per_second: 9 })),
+        Item::Observation(first_hand(&sender, draining(""))),
         Item::Refresh(Refresh { observer: other.clone(), hops: 0, age: SECOND, record_ids: vec![1] }),
         Item::Refresh(Refresh {
-            observer: liar.clone(),
+            observer: sender.clone(),
             hops: 0,
             age: OBSERVATION_LIFETIME + SECOND,
             record_ids: vec![1],
@@ -41,7 +41,7 @@
     network.step(0, datagram(1, Body::Push(items)));
     assert_eq!(network.nodes[0].rejected, [Effect::InvalidItems { from: "n1".into(), count }]);
     assert!(network.nodes[0].gossip.observations().is_empty() && network.nodes[0].learned.is_empty());
-    // What comes back of its own is nothing new either.
+    // An own observation that a peer forwards back is not new either.
     let own = first_hand(&network.nodes[0].process.clone(), draining("s-9"));
     network.step(0, datagram(1, push_of(Report { hops: 1, ..own })));
     assert!(network.nodes[0].gossip.observations().is_empty());
@@ -61,7 +61,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(512) })]
 
-    /// Noise, a datagram with one byte altered, one that was cut and one with a byte more.
+    /// Random bytes, a datagram with one byte altered, a truncated one, and one with an additional byte.
     #[test]
     fn bytes_that_were_not_sent_as_a_datagram_are_rejected(
         noise in prop::collection::vec(any::<u8>(), 0..300),
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Whatever a whole datagram says, it is taken or rejected within bounds.
+    /// A well-formed datagram with arbitrary content is accepted or rejected, and the number of answers is
+    /// bounded.
     #[test]
     fn no_message_breaks_the_receiver(
         ids in prop::collection::vec(any::<u32>(), 0..600),
--- a/crates/gossip/tests/wire_fixtures.rs
+++ b/crates/gossip/tests/wire_fixtures.rs
@@ -1,5 +1,7 @@
-//! Initiators of two releases gossip with each other during each upgrade. The files in `fixtures` are datagrams and keys
-//! as the release of 2 December 2026 encodes them: each has to mean the same now, and to be encoded to the same bytes.
+//! Tests of wire compatibility: initiators of two releases gossip with each other during every upgrade.
+//!
+//! The files in `fixtures` are datagrams and keys as encoded by the release of 2 December 2026. Each has to
+//! decode to the same value, and that value has to be encoded to the same bytes.
 
 use shaletack_gossip::aggregation::{self, Key, KeyRow, Layout, PackedTotal, Page, PageKind, TotalsPage};
 use shaletack_gossip::codec::{decode, encode, Body, Item, MembershipRecord, Message, Refresh};
@@ -14,16 +16,16 @@
 }
 
 fn read(name: &str) -> Vec<u8> {
-    std::fs::read(fixture(name)).unwrap_or_else(|why| panic!("{name}: {why}"))
+    std::fs::read(fixture(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
 fn process(name: &str) -> Observer {
     Observer { name: name.into(), incarnation: 0x0123_4567_89ab_cdef }
 }
 
-fn report(what: Claim, hops: u8) -> Item {
-    let (by, start, age) = (process("initiator-1"), 1_764_700_000_123, Duration::new(7, 250_000_000));
-    Item::Observation(Report { claim: what, observer: by, endpoint_incarnation: start, hops, age })
+fn report(claim: Claim, hops: u8) -> Item {
+    let (observer, start, age) = (process("initiator-1"), 1_764_700_000_123, Duration::new(7, 250_000_000));
+    Item::Observation(Report { claim, observer, endpoint_incarnation: start, hops, age })
 }
 
 fn record(address: &str) -> Item {
@@ -41,7 +43,7 @@
     Item::Refresh(Refresh { observer: process("initiator-3"), hops: 2, age, record_ids })
 }
 
-/// One item of each kind, and of each claim.
+/// One item of each kind, with an observation for each claim.
 fn items() -> Vec<Item> {
     vec![
         report(Claim::Readiness { endpoint: "endpoint-1".into(), readiness: ReportedReadiness::Ready }, 0),
@@ -86,7 +88,7 @@
     Body::Differences { token, ranges, record_ids }
 }
 
-/// Each kind of message in each variant, under the name of its file.
+/// Each kind of message in each variant, with the name of its fixture file.
 fn messages() -> Vec<(&'static str, Message)> {
     let named = |body| Message { from: process("initiator-9"), body };
     let nameless = |body| Message { from: process(""), body };
@@ -125,17 +127,17 @@
 }
 
 #[test]
-fn datagrams_of_the_previous_release_mean_the_same_and_are_encoded_to_the_same_bytes() {
+fn datagrams_of_the_previous_release_decode_and_encode_unchanged() {
     for (name, message) in messages() {
         let bytes = read(name);
-        let decoded = decode(&bytes).unwrap_or_else(|why| panic!("{name}: {why}"));
+        let decoded = decode(&bytes).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(decoded, message, "{name}");
         assert_eq!(encode(&decoded), bytes, "{name}");
     }
 }
 
 #[test]
-fn keys_and_localities_of_the_previous_release_mean_the_same_and_are_encoded_to_the_same_bytes() {
+fn keys_and_localities_of_the_previous_release_decode_and_encode_unchanged() {
     for (name, key) in keys() {
         let bytes = read(name);
         assert_eq!(postcard::from_bytes::<Key>(&bytes).unwrap(), key, "{name}");
