--- a/crates/gossip/tests/gossip/membership.rs
+++ b/crates/gossip/tests/gossip/membership.rs
@@ -52,7 +52,7 @@
     assert_eq!(recorded(&network), [address(1), address(2), address(4)]);
 }
 
-const EACH_RELEASE: usize = 15;
+const INITIATORS_PER_RELEASE: usize = 15;
 /// The most hops of a report that the previous release accepts.
 const PREVIOUS_RELEASE_MAX_HOPS: u8 = 3;
 const ROUND_TRIP: Duration = Duration::from_millis(4);
@@ -105,14 +105,14 @@
 
 impl MixedFleet {
     fn new() -> Self {
-        let mut network = Network::settled(EACH_RELEASE, 1, 20);
-        for node in 0..EACH_RELEASE {
-            for older in 0..EACH_RELEASE {
+        let mut network = Network::settled(INITIATORS_PER_RELEASE, 1, 20);
+        for node in 0..INITIATORS_PER_RELEASE {
+            for older in 0..INITIATORS_PER_RELEASE {
                 let address = older_address(older);
                 network.step(node, Input::MemberUp { address, incarnation: 5 });
             }
         }
-        let exchangers = vec![Exchanger::default(); EACH_RELEASE];
+        let exchangers = vec![Exchanger::default(); INITIATORS_PER_RELEASE];
         MixedFleet { network, cores: exchangers.clone(), older: exchangers }
     }
 
@@ -144,13 +144,13 @@
     /// An initiator of the previous release exchanges with the next member in the order of addresses, in
     /// which the members of the current release come first.
     fn previous_release_exchanges(&mut self, older: usize, second: usize) {
-        let peer = (older + second) % (2 * EACH_RELEASE);
-        if peer < EACH_RELEASE {
+        let peer = (older + second) % (2 * INITIATORS_PER_RELEASE);
+        if peer < INITIATORS_PER_RELEASE {
             self.exchange(peer, older);
-        } else if peer - EACH_RELEASE != older {
+        } else if peer - INITIATORS_PER_RELEASE != older {
             let now = self.network.now;
-            let from = older_process(peer - EACH_RELEASE);
-            let reports = self.older[peer - EACH_RELEASE].reports(now, &from);
+            let from = older_process(peer - INITIATORS_PER_RELEASE);
+            let reports = self.older[peer - INITIATORS_PER_RELEASE].reports(now, &from);
             self.older[older].merge_reports(now, &older_process(older), &from, reports);
         }
     }
@@ -158,8 +158,8 @@
     /// An initiator of the current release exchanges with a random member that it cannot send datagrams to.
     fn current_release_exchanges(&mut self, newer: usize) {
         let unconfirmed = self.network.nodes[newer].gossip.unconfirmed_members().count();
-        assert_eq!(unconfirmed, EACH_RELEASE, "no member of the previous release is confirmed");
-        let older = self.network.rng.random_range(0..EACH_RELEASE);
+        assert_eq!(unconfirmed, INITIATORS_PER_RELEASE, "no member of the previous release is confirmed");
+        let older = self.network.rng.random_range(0..INITIATORS_PER_RELEASE);
         self.exchange(newer, older);
     }
 }
@@ -180,13 +180,14 @@
     for second in 0..60 {
         fleet.network.run(SECOND);
         fleet.merge_learned();
-        for index in 0..EACH_RELEASE {
+        for index in 0..INITIATORS_PER_RELEASE {
             fleet.previous_release_exchanges(index, second);
             fleet.current_release_exchanges(index);
         }
         let subject = Subject::Readiness("s-new".into());
         let older_know = fleet.older.iter().all(|older| older.known.get(&subject).is_some());
-        let newer_know = (0..EACH_RELEASE).all(|node| fleet.network.knows(node, &observed_by_older));
+        let newer_know =
+            (0..INITIATORS_PER_RELEASE).all(|node| fleet.network.knows(node, &observed_by_older));
         if older_know && newer_know {
             all_at = Some(fleet.network.now - started);
             break;
