--- a/crates/core/src/scheduler/admission.rs
+++ b/crates/core/src/scheduler/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: which requests are given up when there are too many, and what their clients are told.
+//! Admission control: sheds unsent requests while too many are open, and computes the retry delay that
+//! rejected clients are given.
 
 use super::random::SeededRandom;
 use super::requests::PendingRequest;
@@ -10,42 +11,46 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// The part of recent requests that ended late or unserved.
+/// The fraction of recent requests that ended past their latency objective or without an attempt.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OverloadRatio {
-    ended_badly: DecayingRatio,
+    late_or_unsent: DecayingRatio,
 }
 
 impl OverloadRatio {
+    /// Counts a request that is closed at `now`.
     pub(super) fn record_end(&mut self, now: Duration, pending: &PendingRequest) {
-        let is_bad = now > pending.objective_at || pending.attempts.is_empty();
-        self.ended_badly.add(now, is_bad, SMOOTHING_TIME);
+        let late_or_unsent = now > pending.objective_at || pending.attempts.is_empty();
+        self.late_or_unsent.add(now, late_or_unsent, SMOOTHING_TIME);
     }
 
-    /// From 0 to 1; 1 means that half of them or more did.
+    /// Returns the severity of the overload from 0 to 1; 1 means that at least half of the recent requests
+    /// ended late or unsent.
     pub(super) fn severity(&self, now: Duration) -> f64 {
-        (2.0 * self.ended_badly.get(now, SMOOTHING_TIME)).min(1.0)
+        (2.0 * self.late_or_unsent.get(now, SMOOTHING_TIME)).min(1.0)
     }
 }
 
-/// What a unit of a class costs for what it earns, against the class with the greatest priority weight.
+/// Returns the factor on the virtual-time cost of a class's units: the greatest priority weight of all
+/// classes divided by that of this class. Units of a class that earns less cost more.
 pub(super) fn priority_factor(settings: &Settings, class: u16) -> f64 {
     let own = Some(settings.class(class).priority_weight).filter(|own| *own > 0.0);
     own.map_or(1.0, |own| settings.max_priority_weight().max(1e-6) / own)
 }
 
-/// The order in which unsent requests are given up while there are too many: the greatest first.
+/// The order in which unsent requests are shed: the request with the greatest rank goes first.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ShedRank {
-    /// Its latency objective has passed.
+    /// The latency objective has passed.
     is_late: bool,
-    /// Its volume's reserve does not cover it.
+    /// The volume's reserve does not cover the request.
     beyond_reserve: bool,
-    /// What its volume would have been sent for its weight.
+    /// The virtual time of the volume once the request has been sent.
     virtual_time: f64,
 }
 
 impl ShedRank {
+    /// Ranks an unsent request; `factor` is the [`priority_factor`] of its class.
     pub(super) fn new(pending: &PendingRequest, volume: Option<&Volume>, factor: f64, now: Duration) -> Self {
         let units = pending.request.units;
         ShedRank {
@@ -61,27 +66,30 @@
     }
 }
 
-/// How long a rejected client should stay away: about as long as its request waited for nothing and one round trip
-/// (`wait`), spread so that clients rejected together do not return together.
+/// Returns how long the client of a rejected request should wait before it retries: between half and one and
+/// a half times `wait`, which is the time that the request waited plus one round trip. The delay is
+/// randomized so that clients rejected together do not return together. It is never zero, which would mean
+/// that no delay is advised; a `max_retry_after` of zero sets no maximum.
 pub(super) fn retry_after(wait: Duration, max_retry_after: Duration, random: &mut SeededRandom) -> Duration {
     let max = if max_retry_after.is_zero() { FOREVER } else { max_retry_after };
-    (wait / 2 + random.span_below(wait)).clamp(NANOSECOND, max)
+    (wait / 2 + random.duration_below(wait)).clamp(NANOSECOND, max)
 }
 
 impl Scheduler {
-    /// Clients have so many connections: more open requests would keep out others that earn more.
+    /// Sheds unsent requests while more than `max_open_requests` are open. Clients have no connections for
+    /// more, so each excess request would keep out another one that may earn more.
     pub(super) fn shed_load(&mut self) {
         let max = self.settings.max_open_requests;
         let mut open = self.requests.values().filter(|pending| !pending.is_answered()).count();
         while max > 0 && open > max {
-            let Some(id) = self.least_wanted() else { return };
-            self.answer_unserved(id);
+            let Some(id) = self.next_to_shed() else { return };
+            self.reject_or_fail(id);
             open -= 1;
         }
     }
 
-    /// The queued request that was never sent and is the first to be given up.
-    fn least_wanted(&self) -> Option<RequestId> {
+    /// Returns the queued request that was never sent and has the greatest [`ShedRank`].
+    fn next_to_shed(&self) -> Option<RequestId> {
         let is_unsent = |pending: &PendingRequest| pending.is_queued() && pending.attempts.is_empty();
         let unsent = self.requests.iter().filter(|(_, pending)| is_unsent(pending));
         let ranked = unsent.map(|(id, pending)| {
--- a/crates/core/src/scheduler/arrivals.rs
+++ b/crates/core/src/scheduler/arrivals.rs
@@ -1,4 +1,4 @@
-//! What clients do: requests come in, bodies and answers are streamed, clients leave.
+//! Client events: new requests, streamed request bodies and responses, and clients that leave.
 
 use super::admission::priority_factor;
 use super::deadlines::{answer_by, DeadlineGroup};
@@ -11,6 +11,7 @@
 use std::time::Duration;
 
 impl Scheduler {
+    /// Takes a new request. Ignores one whose id is already known.
     pub(super) fn on_request(&mut self, request: &Request) {
         if self.requests.contains_key(&request.id) {
             return;
@@ -30,11 +31,12 @@
         }
     }
 
-    /// A client that waits less long than others of its class has spent the rest on earlier tries: its latency objective
-    /// counts from the first.
+    /// Creates the state of a new request. A client with less time remaining than the longest seen in its
+    /// class is taken to have spent the difference on earlier attempts: the latency objective counts from the
+    /// first of those.
     fn pending_request(&mut self, request: Request) -> PendingRequest {
         let deadline = self.now.saturating_add(request.time_remaining);
-        let longest = self.longest_waits.entry(request.class).or_default();
+        let longest = self.longest_time_remaining.entry(request.class).or_default();
         *longest = request.time_remaining.max(*longest);
         let spent = *longest - request.time_remaining;
         let objective = self.settings.class(request.class).latency_objective.saturating_sub(spent);
@@ -42,7 +44,7 @@
         PendingRequest { request, arrived_at: self.now, objective_at, deadline, ..PendingRequest::default() }
     }
 
-    /// A request may be sent from now on.
+    /// Queues a waiting request for dispatch.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get_mut(&id).filter(|pending| pending.phase == Phase::Waiting)
         else {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// A request goes out, or is given up.
+    /// Takes a request off its queue, because it is sent or closed.
     pub(super) fn dequeue(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get_mut(&id).filter(|pending| pending.is_queued()) else { return };
         pending.phase = Phase::Waiting;
@@ -67,32 +69,35 @@
         }
     }
 
-    /// Notes by when a request has to be answered; at once where no endpoint may repeat it.
+    /// Sets the time by which a request needs its final answer. This is now where nothing of the request is
+    /// in flight and no endpoint that serves its shard may repeat it.
     pub(super) fn schedule_answer(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else { return };
         let class = self.settings.class(pending.request.class);
         let factor = priority_factor(&self.settings, pending.request.class);
         let at = answer_by(pending, &class, factor, self.settings.connect_timeout);
         let in_flight = pending.is_in_flight();
-        let at = if !in_flight && self.is_stuck(pending) { self.now } else { at };
+        let at = if !in_flight && self.is_unroutable(pending) { self.now } else { at };
         self.deadlines.insert(id, DeadlineGroup { in_flight, shard: pending.request.shard }, at);
     }
 
-    /// There are endpoints that serve its shard, and it may go to none of them.
-    fn is_stuck(&self, pending: &PendingRequest) -> bool {
+    /// Returns whether endpoints serve the shard of a request, but the request may be sent to none of them.
+    /// Where no endpoint serves the shard at all, the request waits for one.
+    fn is_unroutable(&self, pending: &PendingRequest) -> bool {
         let serving = self.endpoints.serving(pending.request.shard);
-        !serving.is_empty() && !serving.iter().any(|id| self.may_go_to(pending, *id))
+        !serving.is_empty() && !serving.iter().any(|id| self.may_send_to(pending, *id))
     }
 
-    /// A request that may have run goes only where its repeat does no harm.
-    pub(super) fn may_go_to(&self, pending: &PendingRequest, next: EndpointId) -> bool {
+    /// Returns whether a request may be sent to an endpoint. One that may have run goes only where a repeat
+    /// is safe.
+    pub(super) fn may_send_to(&self, pending: &PendingRequest, next: EndpointId) -> bool {
         let Some(first_run) = pending.first_possible_run() else { return true };
         let (first, next) = (self.endpoints.get(first_run.endpoint), self.endpoints.get(next));
         let (Some(first), Some(next)) = (first, next) else { return false };
         repeat_is_safe_at(&self.settings.class(pending.request.class), first, next)
     }
 
-    /// The answer is being streamed: it belongs to the client, and has no deadline.
+    /// Removes the deadline of a request whose response is being streamed to its client.
     pub(super) fn on_response_streaming(&mut self, id: RequestId) {
         if let Some(pending) = self.requests.get_mut(&id) {
             pending.streaming = true;
@@ -100,18 +105,20 @@
         }
     }
 
-    /// A request whose answer has begun, or whose body is not complete yet, is no work for its endpoint.
+    /// Frees the slots that a request holds at the endpoint of its last attempt: an endpoint does no work for
+    /// a request whose response has begun or whose body is incomplete.
     pub(super) fn free_slot(&mut self, id: RequestId) {
         let Some(last) = self.requests.get(&id).and_then(|pending| pending.attempts.last()) else { return };
         let Some(endpoint) = self.endpoints.get_mut(last.endpoint) else { return };
         endpoint.attempts_of(id).for_each(|attempt| attempt.needs_no_slot = true);
     }
 
-    /// A body on its way takes as long as its client does; from its last byte on, time counts as if it came now.
-    pub(super) fn on_request_body(&mut self, id: RequestId, moves: bool) {
+    /// Suspends the deadline and the latency objective of a request while its body is being sent, because the
+    /// client sets the pace. After the last byte both restart, as if the request had just arrived.
+    pub(super) fn on_request_body(&mut self, id: RequestId, is_streaming: bool) {
         self.free_slot(id);
         let Some(pending) = self.requests.get_mut(&id) else { return };
-        let (objective, remaining) = if moves {
+        let (objective, remaining) = if is_streaming {
             (FOREVER, FOREVER)
         } else {
             let class = self.settings.class(pending.request.class);
@@ -119,13 +126,14 @@
         };
         pending.objective_at = self.now.saturating_add(objective);
         pending.deadline = self.now.saturating_add(remaining);
-        if !moves {
+        if !is_streaming {
             self.restart_attempt(id, self.now);
         }
         self.schedule_answer(id);
     }
 
-    /// The last attempt's body is complete: its endpoint begins to work on it.
+    /// Restarts the clock of the last attempt once its body is complete: only now does the endpoint work on
+    /// it.
     fn restart_attempt(&mut self, id: RequestId, now: Duration) {
         let Some(last) = self.requests.get_mut(&id).and_then(|pending| pending.attempts.last_mut()) else {
             return;
@@ -138,7 +146,8 @@
         }
     }
 
-    /// What is in flight for a client that left is work for nobody.
+    /// Closes a request whose client has left. Cancels its attempts where that is allowed, unless the
+    /// response is being streamed.
     pub(super) fn on_client_left(&mut self, id: RequestId) {
         let may_cancel = self.settings.cancellation_allowed;
         if let Some(pending) = self.requests.get(&id).filter(|pending| may_cancel && !pending.streaming) {
--- a/crates/core/src/scheduler/deadlines.rs
+++ b/crates/core/src/scheduler/deadlines.rs
@@ -1,4 +1,5 @@
-//! Deadlines: by when each request gets its final answer. Work for a client that has left is work for nobody.
+//! Deadlines: the time by which each request gets its final answer. An answer after its client has left is
+//! wasted work.
 
 use super::requests::PendingRequest;
 use super::Scheduler;
@@ -7,20 +8,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A request that was never sent waits at least this part of its time,
-const MIN_UNSENT_WAIT: f64 = 0.1;
-/// and less than half of it: a client that is told later has lost the time for another try.
-const MAX_UNSENT_WAIT: f64 = 0.49;
+/// A request that was never sent waits at least this fraction of its client's time.
+const MIN_UNSENT_WAIT_RATIO: f64 = 0.1;
+/// A request that was never sent waits less than half of its client's time: a client that is told later has
+/// no time left for another attempt.
+const MAX_UNSENT_WAIT_RATIO: f64 = 0.49;
 
-/// Requests whose deadlines are looked at together.
+/// Requests that expire by the same margin before their deadlines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DeadlineGroup {
+    /// An attempt of the request is in flight.
     pub(super) in_flight: bool,
-    /// The shard that holds the data; `None`: a new object.
+    /// The shard that holds the data; `None` for a new object.
     pub(super) shard: Option<u16>,
 }
 
-/// The latest moment of each request's answer, each request once.
+/// The time by which each request must be answered. Each request is held once.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DeadlineQueue {
     groups: BTreeMap<DeadlineGroup, BTreeSet<(Duration, RequestId)>>,
@@ -28,6 +31,7 @@
 }
 
 impl DeadlineQueue {
+    /// Sets the time for a request, in place of an earlier one.
     pub(super) fn insert(&mut self, id: RequestId, group: DeadlineGroup, at: Duration) {
         self.remove(id);
         self.groups.entry(group).or_default().insert((at, id));
@@ -43,17 +47,20 @@
         }
     }
 
+    /// Returns the entry of a group that is due first.
     pub(super) fn first(&self, group: DeadlineGroup) -> Option<(Duration, RequestId)> {
         self.groups.get(&group)?.first().copied()
     }
 
+    /// Returns the groups that have entries.
     pub(super) fn groups(&self) -> Vec<DeadlineGroup> {
         self.groups.keys().copied().collect()
     }
 }
 
-/// The latest moment of a request's answer while an endpoint can still serve it: before its client leaves; where a
-/// repeat is needed, before the first attempt leaves the deduplication window; and early where it was never sent.
+/// Returns the time by which a request that an endpoint can still serve must be answered. This is the
+/// client's deadline, with two exceptions: where a repeat has to be deduplicated, the answer is due before
+/// the first attempt leaves the deduplication window, and a request that was never sent is answered early.
 pub(super) fn answer_by(
     pending: &PendingRequest,
     class: &RequestClass,
@@ -62,7 +69,7 @@
 ) -> Duration {
     let needs_deduplication = class.idempotency == Idempotency::Keyed && !pending.is_in_flight();
     let first_run = pending.first_possible_run().filter(|_| needs_deduplication);
-    // A connection may take this long until the repeat is written.
+    // Establishing a connection may take this long before the repeat is written.
     let window = class.dedup_window.saturating_sub(connect_timeout);
     let latest =
         first_run.map_or(pending.deadline, |run| pending.deadline.min(run.sent_at.saturating_add(window)));
@@ -73,16 +80,19 @@
     }
 }
 
-/// How long a request may wait unsent. Past its latency objective it earns little and keeps others from theirs: it
-/// waits the part of its time that the objective is of the class's deadline, and less where it earns less.
+/// Returns how long a request may wait for its first attempt. Past its latency objective a request earns
+/// little and delays others past theirs. The wait is therefore the client's time multiplied by the ratio of
+/// the class's objective to its deadline, and shorter for a class that earns less.
 fn unsent_wait(pending: &PendingRequest, class: &RequestClass, priority_factor: f64) -> Duration {
-    let part = nanos(class.latency_objective) / nanos(class.deadline).max(1.0) / priority_factor;
-    let patience = nanos(pending.deadline - pending.arrived_at);
-    from_nanos(patience * part.clamp(MIN_UNSENT_WAIT, MAX_UNSENT_WAIT))
+    let ratio = nanos(class.latency_objective) / nanos(class.deadline).max(1.0) / priority_factor;
+    let client_time = nanos(pending.deadline - pending.arrived_at);
+    from_nanos(client_time * ratio.clamp(MIN_UNSENT_WAIT_RATIO, MAX_UNSENT_WAIT_RATIO))
 }
 
 impl Scheduler {
-    /// Answers what could no longer be answered before its client leaves, or not without doing it twice.
+    /// Gives the final answer to requests that can no longer be served before their clients leave, or not
+    /// without the risk that they run twice. A request without an attempt in flight still needs half a round
+    /// trip to be served.
     pub(super) fn answer_expired(&mut self) {
         for group in self.deadlines.groups() {
             let margin = if group.in_flight {
@@ -96,7 +106,7 @@
                     self.timer.wake_by(answer_by - margin);
                     break;
                 }
-                self.answer_unserved(id);
+                self.reject_or_fail(id);
             }
         }
     }
--- a/crates/core/src/scheduler/endpoints.rs
+++ b/crates/core/src/scheduler/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints: which there are, which shards they serve, and what is in flight to each.
+//! Endpoint table: the known endpoints, the shards that they serve and the attempts in flight to each.
 
 use super::health::EndpointHealth;
 use super::queueing::QueueKey;
@@ -11,20 +11,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Part of its units that a request costs an endpoint which has just taken the same key.
+/// Cost of a request, as a fraction of its units, at an endpoint that was last sent the same key.
 const REPEATED_KEY_COST: f64 = 0.5;
 
-/// An attempt whose outcome is still to come.
+/// An attempt whose outcome is not known yet.
 #[derive(Clone, Debug)]
 pub(super) struct InFlightAttempt {
     pub(super) request: RequestId,
     pub(super) number: u8,
     pub(super) sent_at: Duration,
-    /// How many that were sent after it were answered before it.
+    /// How many attempts that were sent later have been answered before this one.
     pub(super) overtaken_by: u32,
-    /// It is taken for lost on the way.
+    /// The attempt or its answer is presumed lost in transit.
     pub(super) presumed_lost: bool,
-    /// The endpoint doesn't work on it: its answer has begun, or its body is not complete yet.
+    /// The endpoint does not work on the attempt: the response has begun, or the body is incomplete.
     pub(super) needs_no_slot: bool,
 }
 
@@ -34,20 +34,20 @@
         InFlightAttempt { request, number, sent_at, overtaken_by: 0, presumed_lost, needs_no_slot }
     }
 
-    /// It counts against the endpoint's window.
+    /// Returns whether the attempt counts against the endpoint's window.
     pub(super) fn holds_slot(&self) -> bool {
         !self.presumed_lost && !self.needs_no_slot
     }
 }
 
-/// One endpoint as this initiator knows it.
+/// What this initiator knows about one endpoint.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct Endpoint {
     pub(super) zone: u16,
     pub(super) shard: u16,
-    /// It takes new work.
+    /// The endpoint accepts new requests.
     pub(super) ready: bool,
-    /// The endpoint list has it no more.
+    /// The endpoint list no longer names the endpoint.
     #[serde(rename = "gone")]
     pub(super) removed: bool,
     #[serde(flatten)]
@@ -56,41 +56,44 @@
     pub(super) health: EndpointHealth,
     #[serde(skip)]
     pub(super) in_flight: Vec<InFlightAttempt>,
-    /// When it was last sent something.
+    /// When a request was last sent to the endpoint.
     #[serde(rename = "sent_at")]
     pub(super) last_sent_at: Duration,
+    /// The key of the request sent last; 0 for none.
     pub(super) last_key: u64,
+    /// The queue of the request sent last.
     #[serde(rename = "last_lane")]
     pub(super) last_queue: QueueKey,
 }
 
 impl Endpoint {
-    /// One that was not known before.
-    fn first_listed() -> Self {
+    /// Creates an endpoint that was not known before.
+    fn newly_listed() -> Self {
         Endpoint { health: EndpointHealth::new(), ..Endpoint::default() }
     }
 
-    /// A request has the key that it was sent last.
+    /// Returns whether a request has the key that the endpoint was sent last.
     pub(super) fn has_last_key(&self, request: &Request) -> bool {
         request.key != 0 && request.key == self.last_key
     }
 
-    /// What a request costs it, in units.
+    /// Returns what a request costs the endpoint, in units.
     pub(super) fn cost(&self, request: &Request) -> f64 {
         request.units * if self.has_last_key(request) { REPEATED_KEY_COST } else { 1.0 }
     }
 
-    /// How many attempts count against its window.
+    /// Returns how many attempts count against the window.
     pub(super) fn slots_used(&self) -> f64 {
         self.in_flight.iter().filter(|attempt| attempt.holds_slot()).count() as f64
     }
 
-    /// The attempts of one request that are in flight here.
+    /// Returns the attempts of one request that are in flight to this endpoint.
     pub(super) fn attempts_of(&mut self, id: RequestId) -> impl Iterator<Item = &mut InFlightAttempt> {
         self.in_flight.iter_mut().filter(move |attempt| attempt.request == id)
     }
 
-    /// Takes a line of the endpoint list; `savings` is what is saved for it if it has just started.
+    /// Applies a line of the endpoint list. If the line reports a new start, slow start begins with `savings`
+    /// as the units that this initiator has saved for the endpoint.
     fn update(&mut self, update: &EndpointUpdate, savings: TokenBucket) {
         self.zone = update.zone;
         self.shard = update.shard;
@@ -98,16 +101,17 @@
         self.removed = update.readiness == Readiness::Removed;
         let started_again = self.start.listed_at.is_none_or(|listed| update.started_at > listed);
         if !update.started_at.is_zero() && started_again {
-            self.start.listed(update.started_at, savings);
+            self.start.record_listed_start(update.started_at, savings);
             self.health.restarted();
         }
     }
 }
 
-/// All endpoints of the list, and those removed of late.
+/// All listed endpoints, and those removed recently.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Endpoints {
     by_id: BTreeMap<EndpointId, Endpoint>,
+    /// The ready endpoints of each shard, as of the last [`Endpoints::prune_and_index`].
     ready_by_shard: BTreeMap<u16, Vec<EndpointId>>,
     ready_count: usize,
 }
@@ -125,17 +129,17 @@
         self.by_id.iter().map(|(id, endpoint)| (*id, endpoint))
     }
 
-    /// How many there are, with those removed of late.
+    /// Returns the number of endpoints, including those removed recently.
     pub(super) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// How many take new work.
+    /// Returns the number of endpoints that accept new requests.
     pub(super) fn ready_count(&self) -> usize {
         self.ready_count
     }
 
-    /// The ready endpoints that may serve a shard; a new object (`None`) may go to any.
+    /// Returns the ready endpoints that serve a shard. A new object (`None`) may go to any ready endpoint.
     pub(super) fn serving(&self, shard: Option<u16>) -> Vec<EndpointId> {
         match shard {
             Some(shard) => self.ready_by_shard.get(&shard).cloned().unwrap_or_default(),
@@ -143,16 +147,17 @@
         }
     }
 
-    /// The shortest round trip, as believed now, to a ready endpoint of a shard, in nanoseconds; 0 where none is known.
+    /// Returns the shortest estimated round trip to a ready endpoint of a shard, in nanoseconds; 0 where none
+    /// is known.
     pub(super) fn shortest_round_trip_nanos(&self, shard: Option<u16>, now: Duration) -> f64 {
         let endpoints = self.serving(shard).into_iter().filter_map(|id| self.get(id));
         endpoints
-            .map(|endpoint| endpoint.health.believed_round_trip_nanos(now))
+            .map(|endpoint| endpoint.health.estimated_round_trip_nanos(now))
             .reduce(f64::min)
             .unwrap_or(0.0)
     }
 
-    /// Those that a complete list does not name are removed.
+    /// Marks the endpoints that a complete list does not name as removed.
     pub(super) fn remove_unlisted(&mut self, lines: &[EndpointUpdate]) {
         let listed: BTreeSet<EndpointId> = lines.iter().map(|line| line.endpoint).collect();
         for (_, endpoint) in self.by_id.iter_mut().filter(|(id, _)| !listed.contains(id)) {
@@ -161,15 +166,16 @@
         }
     }
 
-    /// Takes a line of the endpoint list; `savings` is what is saved for an endpoint that has just started.
+    /// Applies a line of the endpoint list; see [`Endpoint::update`].
     pub(super) fn update(&mut self, update: &EndpointUpdate, savings: TokenBucket) {
-        self.by_id.entry(update.endpoint).or_insert_with(Endpoint::first_listed).update(update, savings);
+        self.by_id.entry(update.endpoint).or_insert_with(Endpoint::newly_listed).update(update, savings);
     }
 
-    /// Forgets removed endpoints with nothing in flight that were sent nothing for `quiet_for`, and indexes the rest.
-    pub(super) fn index(&mut self, now: Duration, quiet_for: Duration) {
+    /// Drops removed endpoints that have nothing in flight and were sent nothing for `idle_timeout`, and
+    /// indexes the ready ones by shard.
+    pub(super) fn prune_and_index(&mut self, now: Duration, idle_timeout: Duration) {
         self.by_id.retain(|_, endpoint| {
-            !endpoint.removed || !endpoint.in_flight.is_empty() || endpoint.last_sent_at + quiet_for > now
+            !endpoint.removed || !endpoint.in_flight.is_empty() || endpoint.last_sent_at + idle_timeout > now
         });
         self.ready_by_shard.clear();
         for (id, endpoint) in self.by_id.iter().filter(|(_, endpoint)| endpoint.ready) {
@@ -178,33 +184,35 @@
         self.ready_count = self.ready_by_shard.values().map(Vec::len).sum();
     }
 
-    /// Endpoints by their expected wait, the least first: new objects go to the first that may take them. What was
-    /// observed long ago counts as the mean. Ties fall by the seed: initiators that know nothing must not all choose
-    /// the same endpoint.
+    /// Sorts endpoints by expected wait, the shortest first; new objects go to the first one that may take
+    /// them. The round trip of an endpoint decays to the mean of all as the observation ages. The seed breaks
+    /// ties, so that initiators without observations do not all choose the same endpoint.
     pub(super) fn by_expected_wait(
         &self,
-        wanted: BTreeSet<EndpointId>,
+        endpoints: BTreeSet<EndpointId>,
         now: Duration,
         random: &SeededRandom,
     ) -> Vec<EndpointId> {
-        if wanted.len() < 2 {
-            return wanted.into_iter().collect(); // The mean over thousands of endpoints is not free.
+        if endpoints.len() < 2 {
+            // Saves the computation of the mean, which may run over thousands of endpoints.
+            return endpoints.into_iter().collect();
         }
         let mean = self.mean_round_trip_nanos();
         let wait = |endpoint: &Endpoint| {
             let health = &endpoint.health;
-            let freshness = (-seconds(now - health.answered_at) / seconds(SMOOTHING_TIME)).exp();
+            let freshness = (-seconds(now - health.round_trip_updated_at) / seconds(SMOOTHING_TIME)).exp();
             let round_trip = mean + (health.round_trip_nanos - mean) * freshness;
             (round_trip * (endpoint.slots_used() + 1.0)) as u64
         };
-        let known = wanted.iter().filter_map(|id| Some((*id, self.get(*id)?)));
+        let known = endpoints.iter().filter_map(|id| Some((*id, self.get(*id)?)));
         let mut order: Vec<(u64, u64, EndpointId)> =
             known.map(|(id, endpoint)| (wait(endpoint), random.hash(u64::from(id)), id)).collect();
         order.sort_unstable();
         order.into_iter().map(|(_, _, id)| id).collect()
     }
 
-    /// The mean round trip of ready endpoints that have answered.
+    /// Returns the mean round trip of the ready endpoints with an observed one, in nanoseconds; 0 where there
+    /// is none.
     fn mean_round_trip_nanos(&self) -> f64 {
         let ready = self.by_id.values().filter(|endpoint| endpoint.ready);
         let known: Vec<f64> =
--- a/crates/core/src/scheduler/health.rs
+++ b/crates/core/src/scheduler/health.rs
@@ -1,5 +1,6 @@
-//! Outlier detection: what answers, time-outs and broken connections say of an endpoint, how many requests it may have in
-//! flight from here, and how long it is held back.
+//! Outlier detection: derives the health of an endpoint from answers, time-outs and broken connections. The
+//! health sets the endpoint's window, which is the number of attempts that may be in flight to it from this
+//! initiator, and how long the endpoint is held back.
 
 use super::endpoints::Endpoint;
 use super::times::{FOREVER, SECOND, SMOOTHING_TIME};
@@ -8,29 +9,32 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The most attempts in flight from one initiator; more only move the queue to the endpoint.
+/// The most attempts in flight to an endpoint from one initiator; more would only move the queue to the
+/// endpoint.
 const MAX_WINDOW: f64 = 2.0;
-/// The window halves once round trips take this part of the shortest latency objective.
-const SLOW_ANSWER: f64 = 0.2;
-/// An answer moves the smoothed round trip by at least this part of the difference.
+/// The window halves once the round trip exceeds this fraction of the shortest latency objective.
+const SLOW_ROUND_TRIP_RATIO: f64 = 0.2;
+/// Minimum gain of the smoothed round trip (EWMA) for a new observation.
 const MIN_ROUND_TRIP_GAIN: f64 = 0.2;
-/// First pause after an endpoint could not be reached.
-const FIRST_HOLD: Duration = Duration::from_millis(100);
-/// Longest pause after an endpoint could not be reached.
-const MAX_HOLD: Duration = Duration::from_secs(2);
-/// Shortest pause after an endpoint rejected an attempt.
-const MIN_HOLD_AFTER_REJECTION_NANOS: f64 = 1e7;
-/// Failures in a row are counted up to this.
-const MAX_COUNTED: u32 = 8;
-
-/// What the judgement of attempts goes by, beside the endpoint itself.
+/// First backoff after an endpoint could not be reached.
+const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest backoff after an endpoint could not be reached.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// Shortest time that an endpoint is held back after it rejected an attempt.
+const MIN_REJECTION_HOLD_NANOS: f64 = 1e7;
+/// Time-outs in a row are counted up to this; the count is an exponent in the pacing of sends.
+const MAX_TIMEOUTS_IN_A_ROW: u32 = 8;
+/// An answer that comes this soon after connections broke shows that the process did not restart.
+const PROMPT_ANSWER: Duration = SECOND;
+
+/// Parameters for the evaluation of an ended attempt, beside the state of its endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HealthRules {
     pub(super) now: Duration,
     /// The shortest latency objective of all classes.
     pub(super) latency_objective_nanos: f64,
     pub(super) slow_start_duration: Duration,
-    /// A connection that is not up by then has been given up.
+    /// A connection that is not established within this time has been given up.
     pub(super) connect_timeout: Duration,
 }
 
@@ -46,65 +50,68 @@
     }
 }
 
-/// How one endpoint does, as seen from here.
+/// The health of one endpoint, as observed by this initiator.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct EndpointHealth {
-    /// When its connections broke and nothing else was seen of it since.
+    /// When the endpoint's connections broke, until an answer, a failed connection or a listed restart shows
+    /// what happened to its process.
     #[serde(rename = "broke_at")]
     pub(super) connections_lost_at: Option<Duration>,
-    /// Attempts taken for lost, with none that overtook them, since its last answer.
+    /// Attempts presumed lost since the last answer, except those that others overtook.
     #[serde(rename = "quiet")]
     pub(super) lost_in_a_row: u32,
-    /// Time-outs since its last answer.
+    /// Time-outs longer than the latency objective since the last answer.
     #[serde(rename = "unheard")]
     pub(super) timeouts_in_a_row: u32,
-    /// How many attempts it may have in flight from this initiator.
+    /// How many attempts may be in flight to the endpoint from this initiator.
     pub(super) window: f64,
+    /// When the window was last halved.
     #[serde(rename = "shrunk_at")]
     window_halved_at: Duration,
-    /// Smoothed round trip; 0: none seen.
+    /// Smoothed round trip (EWMA); 0 before the first observation.
     #[serde(rename = "lag")]
     pub(super) round_trip_nanos: f64,
-    /// Its service time without waiting, as it last reported; 0: not reported.
+    /// The service time without queueing that the endpoint last reported; 0 where it reported none.
     #[serde(rename = "service")]
     pub(super) service_nanos: f64,
-    /// Failed connections since its last answer.
+    /// Connection failures since the last answer.
     #[serde(rename = "fails")]
     connection_failures: u32,
-    /// Nothing is sent until then.
+    /// No request is sent to the endpoint before this time.
     #[serde(rename = "hold_until")]
     pub(super) held_back_until: Duration,
-    /// When it last answered, or was last seen to be late.
+    /// When the endpoint last answered, or its round trip was last raised because an answer was late.
     #[serde(rename = "seen_at")]
-    pub(super) answered_at: Duration,
+    pub(super) round_trip_updated_at: Duration,
 }
 
 impl EndpointHealth {
+    /// Creates the health of a newly listed endpoint, with a full window.
     pub(super) fn new() -> Self {
         EndpointHealth { window: MAX_WINDOW, ..EndpointHealth::default() }
     }
 
-    /// The endpoint list says that it started again.
+    /// Forgets connection failures and the hold-back after the endpoint list reported a restart.
     pub(super) fn restarted(&mut self) {
         self.connections_lost_at = None;
         self.connection_failures = 0;
         self.held_back_until = Duration::ZERO;
     }
 
-    /// The round trip as believed now: an observed one falls back to the service time as it gets old.
-    pub(super) fn believed_round_trip_nanos(&self, now: Duration) -> f64 {
-        let age = seconds(now.saturating_sub(self.answered_at));
+    /// Returns the estimated round trip: the observed one decays to the service time as the observation ages.
+    pub(super) fn estimated_round_trip_nanos(&self, now: Duration) -> f64 {
+        let age = seconds(now.saturating_sub(self.round_trip_updated_at));
         let freshness = (-age / seconds(SMOOTHING_TIME)).exp();
         self.service_nanos + (self.round_trip_nanos - self.service_nanos).max(0.0) * freshness
     }
 
-    /// A round trip of this length was seen.
+    /// Replaces the smoothed round trip by an observed one.
     pub(super) fn set_round_trip(&mut self, now: Duration, nanos: f64) {
         self.round_trip_nanos = nanos;
-        self.answered_at = now;
+        self.round_trip_updated_at = now;
     }
 
-    /// Halves the window, once a round trip at most.
+    /// Halves the window, at most once per round trip.
     fn halve_window(&mut self, now: Duration) {
         if now >= self.window_halved_at + from_nanos(self.round_trip_nanos) {
             self.window = (self.window / 2.0).max(1.0);
@@ -112,59 +119,65 @@
         }
     }
 
+    /// Adds a round trip to the average. An observation weighs more the older the average is.
     fn smooth_round_trip(&mut self, now: Duration, round_trip_nanos: f64) {
-        let age = seconds(now - self.answered_at);
+        let age = seconds(now - self.round_trip_updated_at);
         let gain = (1.0 - (-age / seconds(SMOOTHING_TIME)).exp()).max(MIN_ROUND_TRIP_GAIN);
         self.round_trip_nanos += if self.round_trip_nanos > 0.0 {
             gain * (round_trip_nanos - self.round_trip_nanos)
         } else {
             round_trip_nanos
         };
-        self.answered_at = now;
+        self.round_trip_updated_at = now;
     }
 
-    /// The window grows by one a window's worth of answers while it is used, and halves when answers are slow.
+    /// Adjusts the window after an answer: halves it while answers are slow; otherwise, while the window is
+    /// in use, grows it by one for each window of answers.
     fn adapt_window(&mut self, slots_used: f64, rules: &HealthRules) {
-        if self.round_trip_nanos > SLOW_ANSWER * rules.latency_objective_nanos {
+        if self.round_trip_nanos > SLOW_ROUND_TRIP_RATIO * rules.latency_objective_nanos {
             self.halve_window(rules.now);
         } else if slots_used + 2.0 > self.window {
             self.window = (self.window + 1.0 / self.window).min(MAX_WINDOW);
         }
     }
 
+    /// Records a time-out. One within the latency objective does not count towards the time-outs in a row.
     fn timed_out(&mut self, elapsed: Duration, rules: &HealthRules) {
         let is_long = nanos(elapsed) > rules.latency_objective_nanos;
-        self.timeouts_in_a_row = (self.timeouts_in_a_row + u32::from(is_long)).min(MAX_COUNTED);
+        self.timeouts_in_a_row = (self.timeouts_in_a_row + u32::from(is_long)).min(MAX_TIMEOUTS_IN_A_ROW);
         self.halve_window(rules.now);
     }
 
+    /// Holds the endpoint back for its service time, but at least 10 ms, after it rejected an attempt.
     fn rejected(&mut self, now: Duration) {
         self.halve_window(now);
-        self.held_back_until = now + from_nanos(self.service_nanos.max(MIN_HOLD_AFTER_REJECTION_NANOS));
+        self.held_back_until = now + from_nanos(self.service_nanos.max(MIN_REJECTION_HOLD_NANOS));
     }
 
-    /// A connection broke, or could not be made.
+    /// Records that a connection broke or could not be established. The endpoint is held back with
+    /// exponential backoff, except after the first failure if that is a broken connection.
     fn connection_failed(&mut self, now: Duration, outcome: AttemptOutcome) {
         self.halve_window(now);
-        let pause = backoff(FIRST_HOLD, MAX_HOLD, self.connection_failures);
+        let delay = backoff(FIRST_BACKOFF, MAX_BACKOFF, self.connection_failures);
         let broke = outcome == AttemptOutcome::ConnectionLost;
         let is_first = self.connection_failures == 0;
-        self.held_back_until = if broke && is_first { Duration::ZERO } else { now + pause };
+        self.held_back_until = if broke && is_first { Duration::ZERO } else { now + delay };
         let only_broke = broke && (is_first || self.connections_lost_at.is_some());
         self.connections_lost_at = only_broke.then_some(now);
         self.connection_failures += 1;
     }
 
-    /// An answer that shows that the process did not restart when its connections broke: it was sent before the break, or
-    /// came at once.
+    /// Returns whether an answer shows that the process did not restart when its connections broke: its
+    /// attempt was sent before they broke, or the answer came too soon after that for a restart.
     fn outlived_lost_connections(&self, now: Duration, elapsed: Duration) -> bool {
-        let is_proof = |lost_at: Duration| now - elapsed.min(now) < lost_at || now < lost_at + SECOND;
+        let is_proof = |lost_at: Duration| now - elapsed.min(now) < lost_at || now < lost_at + PROMPT_ANSWER;
         self.connections_lost_at.is_some_and(is_proof)
     }
 }
 
 impl Endpoint {
-    /// Takes how an attempt ended. `savings` is what is saved for the endpoint if it turns out to have restarted.
+    /// Records the outcome of an attempt. `savings` are the units saved for the endpoint's slow start, for
+    /// the case that its process may have restarted.
     pub(super) fn record_outcome(
         &mut self,
         attempt: &EndedAttempt,
@@ -190,20 +203,22 @@
         }
     }
 
+    /// Records a served attempt, which resets the counts of connection failures and time-outs.
     fn record_answer(&mut self, attempt: &EndedAttempt, rules: &HealthRules) {
         let now = rules.now;
         self.health.smooth_round_trip(now, nanos(attempt.elapsed));
         self.health.connection_failures = 0;
         self.health.timeouts_in_a_row = 0;
         if self.health.outlived_lost_connections(now, attempt.elapsed) {
-            self.start.not_restarted();
+            self.start.revert_to_listed_start();
         }
         self.health.connections_lost_at = None;
         let slots_used = self.slots_used();
         self.health.adapt_window(slots_used, rules);
     }
 
-    /// The process may have restarted, and the endpoint list does not say so yet: slow start begins anew.
+    /// Records a connection failure. The process may have restarted before the endpoint list reports it, so
+    /// slow start begins again.
     fn record_connection_failure(
         &mut self,
         attempt: &EndedAttempt,
@@ -212,12 +227,13 @@
     ) {
         let connect_failed = attempt.outcome == AttemptOutcome::ConnectFailed;
         let is_first = self.health.connection_failures == 0;
-        // One connection that does not come up in time may be lost on the way; a process that starts refuses.
+        // A single connection that times out may have been lost in transit. A process that is starting
+        // refuses connections instead.
         if connect_failed && is_first && attempt.elapsed >= rules.connect_timeout {
             self.health.connection_failures = 1;
             return;
         }
         self.health.connection_failed(rules.now, attempt.outcome);
-        self.start.presumed(rules.now, savings, rules.slow_start_duration);
+        self.start.presume_restart(rules.now, savings, rules.slow_start_duration);
     }
 }
--- a/crates/core/src/scheduler/key_order.rs
+++ b/crates/core/src/scheduler/key_order.rs
@@ -1,64 +1,68 @@
-//! Order by key: in ordered classes, requests with one key run one at a time, in the order taken.
+//! Key order: in ordered classes, requests with the same key run one at a time, in order of arrival.
 
 use crate::interface::RequestId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// The requests of one key, in the order taken.
+/// The requests of one key, in order of arrival.
 #[derive(Clone, Debug, Default)]
-struct KeyFifo {
+struct KeyQueue {
     requests: VecDeque<RequestId>,
-    /// An attempt may still run: the next request waits until then.
+    /// The next request waits until this time, because an earlier attempt may still run.
     paused_until: Duration,
 }
 
-/// The order of all keys.
+/// The requests of all keys, and the keys that are paused.
 #[derive(Clone, Debug, Default)]
 pub(super) struct KeyOrder {
-    fifos: BTreeMap<u64, KeyFifo>,
+    queues: BTreeMap<u64, KeyQueue>,
+    /// When each pause ends, with its key.
     paused: BTreeSet<(Duration, u64)>,
 }
 
 impl KeyOrder {
-    /// Adds a request behind the others of its key; true if it may run at once.
+    /// Appends a request to its key's queue. Returns whether the request may run at once.
     pub(super) fn push(&mut self, key: u64, id: RequestId, now: Duration) -> bool {
-        let fifo = self.fifos.entry(key).or_default();
-        fifo.requests.push_back(id);
-        fifo.requests.len() == 1 && fifo.paused_until <= now
+        let queue = self.queues.entry(key).or_default();
+        queue.requests.push_back(id);
+        queue.requests.len() == 1 && queue.paused_until <= now
     }
 
-    /// An attempt of this key may still run: what comes after waits until then.
+    /// Holds back the requests of a key until a time, because an attempt with this key may still run.
     pub(super) fn pause(&mut self, key: u64, until: Duration) {
-        if let Some(fifo) = self.fifos.get_mut(&key) {
-            fifo.paused_until = until;
+        if let Some(queue) = self.queues.get_mut(&key) {
+            queue.paused_until = until;
         }
     }
 
+    /// Removes a request that is finished.
     pub(super) fn remove(&mut self, key: u64, id: RequestId) {
-        if let Some(fifo) = self.fifos.get_mut(&key) {
-            fifo.requests.retain(|&request| request != id);
+        if let Some(queue) = self.queues.get_mut(&key) {
+            queue.requests.retain(|&request| request != id);
         }
     }
 
-    /// The request that has the turn; `None` while the key is paused or where none is left.
+    /// Returns the request of a key that may run now, or `None` while the key is paused or has no requests
+    /// left. A pause found here is scheduled for [`KeyOrder::next_resumption`].
     pub(super) fn next(&mut self, key: u64, now: Duration) -> Option<RequestId> {
-        let fifo = self.fifos.get(&key)?;
-        if fifo.paused_until > now {
-            self.paused.insert((fifo.paused_until, key));
+        let queue = self.queues.get(&key)?;
+        if queue.paused_until > now {
+            self.paused.insert((queue.paused_until, key));
             return None;
         }
-        let first = fifo.requests.front().copied();
+        let first = queue.requests.front().copied();
         if first.is_none() {
-            self.fifos.remove(&key);
+            self.queues.remove(&key);
         }
         first
     }
 
-    /// When the next pause ends, and of which key.
+    /// Returns when the next pause ends, and its key.
     pub(super) fn next_resumption(&self) -> Option<(Duration, u64)> {
         self.paused.first().copied()
     }
 
+    /// Removes a pause that has ended.
     pub(super) fn resumed(&mut self, at: Duration, key: u64) {
         self.paused.remove(&(at, key));
     }
--- a/crates/core/src/scheduler/lost_attempts.rs
+++ b/crates/core/src/scheduler/lost_attempts.rs
@@ -1,5 +1,6 @@
-//! Attempts and answers may vanish on the way, and would hold a slot until the deadline. An endpoint serves in turn of
-//! arrival: an attempt that later ones have overtaken, or that is very late, is presumed lost and holds no slot.
+//! Loss detection: attempts and answers may be lost in transit, and would hold a slot until the deadline. An
+//! endpoint serves requests in order of arrival, so an attempt that later ones have overtaken, or that is
+//! very late, is presumed lost and holds no slot.
 
 use super::endpoints::Endpoint;
 use super::times::{FOREVER, SMOOTHING_TIME};
@@ -9,49 +10,55 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// An attempt is overtaken once so many that were sent later were answered before it.
-const OVERTAKEN_BY: u32 = 3;
-/// An overtaken attempt is presumed lost when it is so many round trips old,
+/// An attempt counts as overtaken once this many that were sent later have been answered before it.
+const OVERTAKEN_THRESHOLD: u32 = 3;
+/// Age, in round trips, at which an overtaken attempt is presumed lost.
 const OVERTAKEN_ROUND_TRIPS: f64 = 2.0;
-/// and any other when it is so many round trips old, doubled with each that was lost since the last answer.
+/// Age, in round trips, at which any other attempt is presumed lost. It doubles with each attempt that was
+/// presumed lost since the last answer.
 const SILENT_ROUND_TRIPS: f64 = 6.0;
-/// Losses in a row are counted up to this.
+/// Losses in a row are counted up to this, which bounds the doubling.
 const MAX_LOST_IN_A_ROW: u32 = 8;
-/// Up to so many losses a second, silence is taken for a slow endpoint.
+/// Up to this rate of losses, a missing answer is attributed to a slow endpoint.
 const RARE_LOSSES_PER_SECOND: f64 = 0.05;
-/// The shortest round trip that lateness is measured by.
+/// Minimum round trip by which the age of an attempt is measured.
 const MIN_ROUND_TRIP_NANOS: f64 = 1e6;
 
-/// How often attempts get lost on the way.
+/// The rate at which attempts are lost in transit.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LossRate {
     lost: DecayingRate,
 }
 
 impl LossRate {
+    /// Counts an attempt that was lost in transit.
     pub(super) fn record_loss(&mut self, now: Duration) {
         self.lost.add(now, 1.0, SMOOTHING_TIME);
     }
 
+    /// Returns whether losses are so rare that a missing answer points to a slow endpoint.
     pub(super) fn is_low(&self, now: Duration) -> bool {
         self.lost.get(now, SMOOTHING_TIME) <= RARE_LOSSES_PER_SECOND
     }
 }
 
 impl Endpoint {
-    /// Takes an ended attempt off the endpoint; true where it was lost on the way.
+    /// Removes an ended attempt from those in flight. Returns whether it was lost in transit.
     pub(super) fn remove_attempt(&mut self, attempt: &EndedAttempt) -> bool {
-        let is_it = |number: u8, request| number == attempt.number && request == attempt.request;
-        let position = self.in_flight.iter().position(|sent| is_it(sent.number, sent.request));
+        let is_same = |number: u8, request| number == attempt.number && request == attempt.request;
+        let position = self.in_flight.iter().position(|sent| is_same(sent.number, sent.request));
         let Some(sent) = position.map(|position| self.in_flight.remove(position)) else { return false };
-        // An overloaded endpoint is late too; only what later ones overtook can have been lost.
+        // An overloaded endpoint answers late as well: only an attempt that others overtook can have been
+        // lost.
         sent.presumed_lost && attempt.outcome == AttemptOutcome::TimedOut && sent.overtaken_by > 0
     }
 
-    /// An attempt sent at that time was answered: those sent before it were overtaken.
+    /// Records the answer to an attempt sent at `sent_at`: it overtook the attempts in flight that were sent
+    /// earlier.
     pub(super) fn record_overtaken(&mut self, elapsed: Duration, sent_at: Duration) {
         self.health.lost_in_a_row = 0;
-        // The endpoint answered past one presumed lost: it is not overloaded, the round trip is this one's.
+        // An answer that overtook an attempt presumed lost shows that the endpoint is not overloaded: its
+        // round trip replaces the estimate.
         if self.in_flight.iter().any(|sent| sent.presumed_lost && sent.sent_at < sent_at) {
             self.health.round_trip_nanos = nanos(elapsed);
         }
@@ -60,13 +67,13 @@
         }
     }
 
-    /// Looks for attempts that are to be presumed lost; returns when the next one may be.
+    /// Presumes attempts lost that are old enough. Returns when the next one may be.
     pub(super) fn presume_lost(&mut self, now: Duration, losses_are_rare: bool) -> Duration {
         let health = &mut self.health;
         let round_trip = health.round_trip_nanos.max(health.service_nanos).max(MIN_ROUND_TRIP_NANOS);
         let mut next = FOREVER;
         for sent in self.in_flight.iter_mut().filter(|sent| sent.holds_slot()) {
-            let is_overtaken = sent.overtaken_by >= OVERTAKEN_BY;
+            let is_overtaken = sent.overtaken_by >= OVERTAKEN_THRESHOLD;
             let round_trips = if is_overtaken {
                 OVERTAKEN_ROUND_TRIPS
             } else {
@@ -82,10 +89,10 @@
                 continue;
             }
             health.lost_in_a_row = (health.lost_in_a_row + 1).min(MAX_LOST_IN_A_ROW);
-            // No answer is news as well: the round trip is at least this long by now.
-            let late = nanos(now - sent.sent_at);
-            if losses_are_rare && late > health.round_trip_nanos {
-                health.set_round_trip(now, late);
+            // The missing answer is an observation as well: the round trip is at least this long.
+            let age = nanos(now - sent.sent_at);
+            if losses_are_rare && age > health.round_trip_nanos {
+                health.set_round_trip(now, age);
             }
         }
         next
@@ -93,7 +100,8 @@
 }
 
 impl Scheduler {
-    /// Of thousands of endpoints few have something in flight: they are found by the requests.
+    /// Presumes attempts lost at the endpoints with attempts in flight. Those are few of possibly thousands,
+    /// so they are found through the requests.
     pub(super) fn presume_lost_attempts(&mut self) {
         let losses_are_rare = self.losses.is_low(self.now);
         let attempts = self.requests.values().flat_map(|pending| pending.attempts.iter());
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -1,8 +1,10 @@
-//! The scheduler of one initiator: in which order, when and where requests are sent, and which are given up.
+//! The scheduler of one initiator: decides in which order, when and where requests are sent, and which are
+//! given up.
 //!
-//! A batch of events is absorbed one by one. Then requests whose time is up are answered, the endpoint list is asked for
-//! where it must be, and one dispatch pass offers each endpoint's free slots to the queued requests. Each rule stands in a
-//! module of its own beside the state it needs; [`Scheduler`] puts them together. It reads no clock and does no I/O.
+//! [`Scheduler::step`] applies the events of a batch one by one. It then answers requests whose time is up,
+//! subscribes to the endpoint list where that is due, and fills the free slots of endpoints with queued
+//! requests in one dispatch pass. Each rule has a module of its own with the state that it needs, and
+//! [`Scheduler`] combines them. The scheduler reads no clock and does no I/O.
 
 mod admission;
 mod arrivals;
@@ -50,20 +52,20 @@
 use unit_grants::UnitPools;
 use volumes::Volumes;
 
-/// The decisions of one initiator.
+/// Schedules the requests of one initiator.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     settings: Settings,
     random: SeededRandom,
     now: Duration,
     started_at: Duration,
-    /// This process's part of every budget, where another process of this initiator has the rest.
+    /// This process's share of every budget, from 0 to 1; another process of this initiator has the rest.
     budget_share: f64,
     timer: Timer,
     endpoint_list: EndpointListSubscription,
     requests: BTreeMap<RequestId, PendingRequest>,
-    /// The longest time that a client of each class waited.
-    longest_waits: BTreeMap<u16, Duration>,
+    /// The longest time remaining with which a request of each class arrived.
+    longest_time_remaining: BTreeMap<u16, Duration>,
     deadlines: DeadlineQueue,
     queues: ClassQueues,
     key_order: KeyOrder,
@@ -75,12 +77,13 @@
     retry_budget: RetryBudget,
     overload: OverloadRatio,
     gossip: GossipReports,
-    /// What is to be done about the present batch.
+    /// The actions of the current batch.
     actions: Vec<Action>,
 }
 
 impl Scheduler {
-    /// A scheduler that has just started and knows nothing of an earlier run.
+    /// Creates a scheduler without state from an earlier run. The same `seed` and events give the same
+    /// actions.
     pub fn new(settings: Settings, seed: u64, now: Duration) -> Self {
         let mut random = SeededRandom::new(seed);
         Scheduler {
@@ -93,7 +96,7 @@
             budget_share: 1.0,
             timer: Timer::new(),
             requests: BTreeMap::new(),
-            longest_waits: BTreeMap::new(),
+            longest_time_remaining: BTreeMap::new(),
             deadlines: DeadlineQueue::default(),
             queues: ClassQueues::default(),
             key_order: KeyOrder::default(),
@@ -108,12 +111,13 @@
         }
     }
 
-    /// Takes what happened up to `now` and adds what is to be done about it to `actions`.
+    /// Applies the events that happened up to `now` and appends the resulting actions. A time before that of
+    /// the last step counts as the latter.
     pub fn step(&mut self, now: Duration, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.timer.begin_batch();
         for event in events {
-            self.absorb(event);
+            self.apply_event(event);
         }
         self.answer_expired();
         self.subscribe_to_list();
@@ -126,7 +130,8 @@
         actions.append(&mut self.actions);
     }
 
-    fn absorb(&mut self, event: &Event) {
+    /// Applies one event to the state.
+    fn apply_event(&mut self, event: &Event) {
         match event {
             Event::EndpointList { kind, lines } => self.on_endpoint_list(*kind, lines),
             Event::Request(request) => self.on_request(request),
@@ -144,12 +149,14 @@
         }
     }
 
-    /// What the buckets hold shrinks with this process's part; what another process gives up comes in with time.
+    /// Sets this process's share of the budgets. A smaller share scales down the tokens that the buckets
+    /// hold. A larger share adds none: the units that another process gives up come in as the buckets refill.
     fn on_budget_share(&mut self, share: f64) {
         self.volumes.scale_tokens((share / self.budget_share).min(1.0));
         self.budget_share = share;
     }
 
+    /// Applies a list, a change of it or a failed call.
     fn on_endpoint_list(&mut self, kind: EndpointListKind, lines: &[EndpointUpdate]) {
         if kind == EndpointListKind::Failed {
             return self.endpoint_list.failed(&mut self.random, self.now);
@@ -165,11 +172,12 @@
             let savings = initial_savings(line.endpoint, line.started_at, start_id, &context, hash);
             self.endpoints.update(line, savings);
         }
-        self.endpoints.index(self.now, self.settings.rules.slow_start_duration);
+        self.endpoints.prune_and_index(self.now, self.settings.rules.slow_start_duration);
         self.reschedule_retries();
     }
 
-    /// Where a retry may go has changed: some may go nowhere any more.
+    /// Updates when queued retries must be answered, because a new list may leave them no endpoint that may
+    /// repeat them.
     fn reschedule_retries(&mut self) {
         let is_retry = |pending: &PendingRequest| pending.is_queued() && !pending.attempts.is_empty();
         let retries = self.requests.iter().filter(|(_, pending)| is_retry(pending));
@@ -182,7 +190,7 @@
         SlowStartContext::new(&self.settings, self.now, self.started_at, self.budget_share, ready_endpoints)
     }
 
-    /// Where the endpoint list comes only when asked for: subscribes, and again after each failure.
+    /// Subscribes to the endpoint list when a call is due, where the list is sent only on request.
     fn subscribe_to_list(&mut self) {
         let Some(at) = self.endpoint_list.subscribe_at() else { return };
         if at > self.now {
@@ -192,6 +200,7 @@
         self.endpoint_list.subscribed();
     }
 
+    /// Lets the requests of keys run again whose pauses have ended.
     fn resume_paused_keys(&mut self) {
         while let Some((at, key)) = self.key_order.next_resumption() {
             if at > self.now {
@@ -202,12 +211,14 @@
         }
     }
 
+    /// Raises lagging virtual times and drops the state of idle volumes.
     fn raise_virtual_times(&mut self) {
         if let Some(idle_since) = self.volumes.raise_virtual_times(self.now) {
             self.unit_pools.forget_idle(idle_since);
         }
     }
 
+    /// Asks for a timer where none that is set is early enough.
     fn set_timer(&mut self) {
         if let Some(at) = self.timer.set(self.now) {
             self.actions.push(Action::SetTimer(at));
--- a/crates/core/src/scheduler/outcomes.rs
+++ b/crates/core/src/scheduler/outcomes.rs
@@ -1,4 +1,5 @@
-//! How attempts and requests end: what an ended attempt tells, what follows a failure, and the final answer.
+//! Ends of attempts and requests: what an outcome shows about the endpoint, retries after failures, and final
+//! answers.
 
 use super::admission::retry_after;
 use super::health::HealthRules;
@@ -10,6 +11,7 @@
 use crate::measure::{from_nanos, nanos};
 
 impl Scheduler {
+    /// Applies the end of an attempt. Ignores one that is not in flight.
     pub(super) fn on_attempt_ended(&mut self, ended: &EndedAttempt) {
         let Some(pending) = self.requests.get_mut(&ended.request) else { return };
         let attempt = pending.attempts.get_mut(ended.number as usize).filter(|attempt| attempt.in_flight);
@@ -23,7 +25,7 @@
         let request = pending.request.clone();
         self.pause_key(&request, ended.outcome);
         self.remove_attempt(sent.endpoint, ended);
-        self.judge_endpoint(sent.endpoint, ended, request.units);
+        self.record_endpoint_outcome(sent.endpoint, ended, request.units);
         if ended.outcome == AttemptOutcome::Served {
             if let Some(endpoint) = self.endpoints.get_mut(sent.endpoint) {
                 endpoint.record_overtaken(ended.elapsed, sent.sent_at);
@@ -37,10 +39,10 @@
         } else {
             self.retry_or_answer(ended.request);
         }
-        self.forget_if_over(ended.request);
+        self.remove_if_finished(ended.request);
     }
 
-    /// In ordered classes, an attempt that may still run holds back the requests behind it.
+    /// In ordered classes, holds back the next requests of the key after an attempt that may still run.
     fn pause_key(&mut self, request: &Request, outcome: AttemptOutcome) {
         let may_still_run = matches!(
             outcome,
@@ -52,6 +54,7 @@
         }
     }
 
+    /// Removes an attempt from its endpoint and counts it if it was lost in transit.
     fn remove_attempt(&mut self, id: EndpointId, ended: &EndedAttempt) {
         let endpoint = self.endpoints.get_mut(id);
         if endpoint.is_some_and(|endpoint| endpoint.remove_attempt(ended)) {
@@ -59,16 +62,17 @@
         }
     }
 
-    /// Takes what an ended attempt of so many units says of its endpoint.
-    fn judge_endpoint(&mut self, id: EndpointId, ended: &EndedAttempt, units: f64) {
+    /// Updates slow start and health of an endpoint from an ended attempt of a request of this many units.
+    fn record_endpoint_outcome(&mut self, id: EndpointId, ended: &EndedAttempt, units: f64) {
         let now = self.now;
         let context = self.slow_start_context();
-        let parts_are_small = self.slow_start.parts_are_small(&context);
+        let even_part_is_small = self.slow_start.even_part_is_small(&context);
         let rules = HealthRules::new(&self.settings, now);
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         if ended.outcome == AttemptOutcome::Served {
-            // What it has done in time it can do again within the overload window, whoever's turn it is.
-            if parts_are_small && nanos(ended.elapsed) <= rules.latency_objective_nanos {
+            // What the endpoint has served in time it can serve again within the overload window, even if
+            // this initiator's even part of its capacity is spent.
+            if even_part_is_small && nanos(ended.elapsed) <= rules.latency_objective_nanos {
                 endpoint.start.allow_follow_up(now, context.overload_window);
             }
             if endpoint.start.is_warm(now, context.duration) {
@@ -80,7 +84,8 @@
         endpoint.record_outcome(ended, &rules, savings);
     }
 
-    /// An attempt ended and the answer may still be owed: once more where that is allowed, else the final answer.
+    /// Continues a request after an attempt ended without completing it: queues a retry where that is
+    /// allowed, else gives the final answer.
     fn retry_or_answer(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else { return };
         if pending.is_answered() || pending.is_in_flight() {
@@ -89,15 +94,15 @@
         let class = self.settings.class(pending.request.class);
         let is_late = pending.deadline <= self.now;
         if is_late || pending.streaming || !may_attempt_again(pending, &class, &self.settings) {
-            self.answer_unserved(id);
+            self.reject_or_fail(id);
         } else {
             self.schedule_answer(id);
             self.enqueue(id);
         }
     }
 
-    /// The final answer of a request that is given up: rejected where its client may safely come again, else failed.
-    pub(super) fn answer_unserved(&mut self, id: RequestId) {
+    /// Gives up a request: rejects it where its client may safely send it again, else fails it.
+    pub(super) fn reject_or_fail(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id).filter(|pending| !pending.is_answered()) else { return };
         let class = self.settings.class(pending.request.class);
         let rejected = may_reject(pending, &class);
@@ -112,21 +117,21 @@
         self.close(id);
     }
 
-    /// No answer is owed any more; attempts may still be in flight.
+    /// Closes a request to which no answer is owed any more. Its attempts may still be in flight.
     pub(super) fn close(&mut self, id: RequestId) {
         self.dequeue(id);
         if let Some(pending) = self.requests.get_mut(&id) {
             pending.phase = Phase::Answered;
             self.overload.record_end(self.now, pending);
             self.deadlines.remove(id);
-            self.forget_if_over(id);
+            self.remove_if_finished(id);
         }
     }
 
-    /// Drops a request that is answered and has nothing in flight; the next of its key may go.
-    fn forget_if_over(&mut self, id: RequestId) {
-        let is_over = |id| self.requests.get(id).is_some_and(|p| p.is_answered() && !p.is_in_flight());
-        if !is_over(&id) {
+    /// Drops a request that is answered and has nothing in flight, and lets the next request of its key run.
+    fn remove_if_finished(&mut self, id: RequestId) {
+        let is_finished = |id| self.requests.get(id).is_some_and(|p| p.is_answered() && !p.is_in_flight());
+        if !is_finished(&id) {
             return;
         }
         let Some(pending) = self.requests.remove(&id) else { return };
@@ -141,7 +146,7 @@
         }
     }
 
-    /// The request that has its key's turn may go, if it was not sent before.
+    /// Queues the request of a key that may run now, unless it has been sent before.
     pub(super) fn advance_key(&mut self, key: u64) {
         let Some(first) = self.key_order.next(key, self.now) else { return };
         if self.requests.get(&first).is_some_and(|pending| pending.attempts.is_empty()) {
@@ -150,7 +155,8 @@
     }
 }
 
-/// After such an outcome nothing of the attempt can come to its endpoint later.
+/// Returns whether an attempt with this outcome reached its endpoint or ended with a broken connection, so
+/// that nothing of it can arrive later.
 fn reached_endpoint(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
--- a/crates/core/src/scheduler/queueing.rs
+++ b/crates/core/src/scheduler/queueing.rs
@@ -1,11 +1,11 @@
-//! Queues of requests that may be sent: one for each volume and class, by shard, ordered by latency objective.
+//! Queues of requests that may be sent: one for each shard, volume and class, ordered by latency objective.
 
 use crate::interface::{RequestId, VolumeId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Names the queue of one volume's requests of one class.
+/// Identifies the queue of a volume's requests of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(VolumeId, u16)", into = "(VolumeId, u16)")]
 pub(super) struct QueueKey {
@@ -25,7 +25,7 @@
     }
 }
 
-/// A queued request, ordered by the moment its latency objective passes.
+/// A queued request, ordered by the time at which its latency objective passes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueEntry {
     pub(super) objective_at: Duration,
@@ -39,13 +39,13 @@
 }
 
 impl ClassQueue {
-    /// Requests whose latency objective passes at that time or later, the earliest first.
+    /// Returns the requests whose latency objective passes at a time or later, the earliest first.
     pub(super) fn from(&self, objective_at: Duration) -> impl Iterator<Item = RequestId> + '_ {
         self.entries.range(QueueEntry { objective_at, request: 0 }..).map(|entry| entry.request)
     }
 }
 
-/// All queues, by shard (`None`: new objects) and key. Empty ones are dropped.
+/// All queues, by shard (`None` for new objects) and key. Empty queues are dropped.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ClassQueues {
     shards: BTreeMap<Option<u16>, BTreeMap<QueueKey, ClassQueue>>,
@@ -70,11 +70,12 @@
         }
     }
 
+    /// Returns the queues of a shard, if any request is queued for it.
     pub(super) fn of_shard(&self, shard: Option<u16>) -> Option<&BTreeMap<QueueKey, ClassQueue>> {
         self.shards.get(&shard)
     }
 
-    /// The shards for which something is queued.
+    /// Returns the shards for which requests are queued.
     pub(super) fn shards(&self) -> impl Iterator<Item = Option<u16>> + '_ {
         self.shards.keys().copied()
     }
--- a/crates/core/src/scheduler/random.rs
+++ b/crates/core/src/scheduler/random.rs
@@ -1,12 +1,13 @@
-//! Random numbers from the scheduler's seed alone, so that a run can be repeated.
+//! Pseudorandom numbers that depend on the scheduler's seed alone, so that a run can be reproduced.
 
 use crate::measure::splitmix64;
 use std::time::Duration;
 
-/// A sequence of random numbers that its seed fixes.
+/// A pseudorandom sequence that is determined by its seed.
 #[derive(Clone, Debug)]
 pub(super) struct SeededRandom {
     seed: u64,
+    /// How many numbers have been drawn.
     drawn: u64,
 }
 
@@ -15,19 +16,19 @@
         SeededRandom { seed, drawn: 0 }
     }
 
-    /// A number that is always the same for this seed and this number.
+    /// Returns a hash of a number that depends on nothing else but the seed.
     pub(super) fn hash(&self, number: u64) -> u64 {
         splitmix64(self.seed ^ number)
     }
 
-    /// The next number below `bound`.
+    /// Draws a number below `bound`.
     pub(super) fn below(&mut self, bound: u64) -> u64 {
         self.drawn = self.drawn.wrapping_add(1);
         splitmix64(self.seed.wrapping_add(self.drawn)) % bound.max(1)
     }
 
-    /// The next span below `bound`.
-    pub(super) fn span_below(&mut self, bound: Duration) -> Duration {
+    /// Draws a duration below `bound`.
+    pub(super) fn duration_below(&mut self, bound: Duration) -> Duration {
         Duration::from_nanos(self.below(bound.as_nanos() as u64))
     }
 }
--- a/crates/core/src/scheduler/requests.rs
+++ b/crates/core/src/scheduler/requests.rs
@@ -1,47 +1,48 @@
-//! Requests that this initiator has taken and not finished with, and their attempts.
+//! Requests that this initiator has accepted and not finished yet, and their attempts.
 
 use super::queueing::QueueKey;
 use crate::interface::{EndpointId, Request};
 use std::time::Duration;
 
-/// One sending of a request.
+/// One attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub(super) endpoint: EndpointId,
-    /// When it was sent, or when the last byte of a streamed body went.
+    /// When the attempt was sent, or when the last byte of its streamed body was.
     pub(super) sent_at: Duration,
-    /// Its outcome is still to come.
+    /// The outcome is not known yet.
     pub(super) in_flight: bool,
 }
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It is in flight, or waits for its turn among the requests of its key.
+    /// The request is in flight, or waits for earlier requests of its key.
     #[default]
     Waiting,
-    /// It may be sent.
+    /// The request may be sent.
     Queued,
     /// No answer is owed any more; attempts may still be in flight.
     Answered,
 }
 
-/// A request and what became of it so far.
+/// A request and its progress so far.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingRequest {
     pub(super) request: Request,
     pub(super) arrived_at: Duration,
-    /// When its latency objective passes.
+    /// When the latency objective passes.
     pub(super) objective_at: Duration,
-    /// When its client gives up.
+    /// When the client gives up.
     pub(super) deadline: Duration,
     pub(super) attempts: Vec<Attempt>,
     pub(super) phase: Phase,
-    /// Its units have been taken from the volume's limit.
+    /// The units have been drawn from the volume's limit.
     pub(super) units_drawn: bool,
-    /// An attempt has come to its endpoint, or its connection broke: nothing of it can come later.
+    /// An attempt reached its endpoint, or ended with a broken connection, so that nothing of it can arrive
+    /// later.
     pub(super) reached_endpoint: bool,
-    /// Its answer is being streamed: its deadline counts no more.
+    /// The response is being streamed, and the deadline no longer applies.
     pub(super) streaming: bool,
     /// The first ended attempt that may have run.
     pub(super) may_have_run: Option<Attempt>,
@@ -60,12 +61,12 @@
         self.phase == Phase::Queued
     }
 
-    /// An attempt's outcome is still to come.
+    /// Returns whether the outcome of an attempt is not known yet.
     pub(super) fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// The first attempt that may have run or may still run.
+    /// Returns the first attempt that may have run or may still run.
     pub(super) fn first_possible_run(&self) -> Option<Attempt> {
         self.may_have_run.or(self.attempts.iter().find(|attempt| attempt.in_flight).copied())
     }
--- a/crates/core/src/scheduler/retry_policy.rs
+++ b/crates/core/src/scheduler/retry_policy.rs
@@ -1,4 +1,4 @@
-//! Retry policy: which requests may be attempted again, where, and how many attempts beyond the first are allowed.
+//! Retry policy: which requests may be retried, at which endpoints, and how many retries the budget allows.
 
 use super::endpoints::Endpoint;
 use super::requests::PendingRequest;
@@ -7,17 +7,20 @@
 use crate::measure::SlidingWindow;
 use std::time::Duration;
 
-/// What the retry budget says to one more attempt.
+/// Whether the retry budget allows one more retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryBudgetDecision {
+    /// The budget allows a retry.
     Allowed,
-    /// It is spent; more may be there at that time, where that is known.
+    /// The budget is spent.
     Spent {
+        /// When it may allow a retry again, where that is known.
         until: Option<Duration>,
     },
 }
 
-/// Counts requests and retries: the rules allow so many retries within a window, and so many for each request in it.
+/// Counts requests and retries within a sliding window. The rules allow a minimum number of retries in the
+/// window, and a further number for each request in it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RetryBudget {
     requests: SlidingWindow,
@@ -25,19 +28,21 @@
 }
 
 impl RetryBudget {
+    /// Counts a new request.
     pub(super) fn record_request(&mut self, now: Duration, rules: &SharedRules) {
         if rules.retry_budget().is_some() {
             self.requests.add(now, 1.0);
         }
     }
 
+    /// Counts an attempt beyond the first.
     pub(super) fn record_retry(&mut self, now: Duration, rules: &SharedRules) {
         if rules.retry_budget().is_some() {
             self.retries.add(now, 1.0);
         }
     }
 
-    /// Whether one more retry may be sent now.
+    /// Decides whether one more retry may be sent now.
     pub(super) fn decide(&mut self, now: Duration, rules: &SharedRules) -> RetryBudgetDecision {
         let Some(RetryBudgetRules { minimum, ratio }) = rules.retry_budget() else {
             return RetryBudgetDecision::Allowed;
@@ -52,14 +57,16 @@
     }
 }
 
-/// A request may have another attempt: its number is not used up, and a repeat does no harm or nothing of it ran.
+/// Returns whether a request may be attempted again: it has attempts left, and either a repeat does no harm
+/// or no earlier attempt can have run.
 pub(super) fn may_attempt_again(pending: &PendingRequest, class: &RequestClass, settings: &Settings) -> bool {
     let never_ran = pending.first_possible_run().is_none();
     let repeatable = never_ran || class.idempotency != Idempotency::NotIdempotent;
     settings.attempts_left(class, pending.attempts.len()) && repeatable
 }
 
-/// A request that may have run at `first` may go to `next`: a repeat does no harm there, or is dropped.
+/// Returns whether a request that may have run at `first` may be repeated at `next`, where the repeat either
+/// does no harm or is deduplicated.
 pub(super) fn repeat_is_safe_at(class: &RequestClass, first: &Endpoint, next: &Endpoint) -> bool {
     match (class.idempotency, class.dedup_scope) {
         (Idempotency::Idempotent, _) | (Idempotency::Keyed, DedupScope::All) => true,
@@ -69,7 +76,8 @@
     }
 }
 
-/// A client may be told that it can safely come again: a repeat does no harm wherever it goes, or nothing ran.
+/// Returns whether a client may be told that it can safely send a request again: a repeat does no harm at any
+/// endpoint, or no attempt can have run.
 pub(super) fn may_reject(pending: &PendingRequest, class: &RequestClass) -> bool {
     let deduplicated_everywhere =
         class.idempotency == Idempotency::Keyed && class.dedup_scope == DedupScope::All;
--- a/crates/core/src/scheduler/slow_start.rs
+++ b/crates/core/src/scheduler/slow_start.rs
@@ -1,7 +1,8 @@
-//! Slow start: an endpoint that has just started falls over when all initiators together send it too much. With no
-//! agreement between them, what it can take is dealt out in even parts. Where an even part does not hold the largest
-//! request, the endpoint's own answers say who goes on: each allows one request more. Where it hardly holds a request at
-//! all, initiators save their parts up until it does.
+//! Slow start: an endpoint that has just started fails when all initiators together send it too much.
+//! Initiators don't coordinate, so each gets an even part of the endpoint's capacity. Where an even part does
+//! not hold the largest request, the answers of the endpoint pace the sends: each answer in time allows its
+//! initiator one more request (a follow-up). Where an even part hardly holds any request, initiators save up
+//! their parts until they hold one.
 
 use super::endpoints::Endpoint;
 use super::times::{FOREVER, NANOSECOND, REPORT_LIFETIME, SECOND};
@@ -11,71 +12,82 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A restarted initiator starts with at most this part of its savings: its last run may have spent some.
-const RESTARTED_SAVINGS: f64 = 0.85;
-/// The rules' overload factor is taken for at least this where the safe part below it is reckoned.
+/// Largest fraction of its savings with which a restarted initiator starts, because its previous run may have
+/// spent some.
+const MAX_RESTARTED_SAVINGS: f64 = 0.85;
+/// Minimum of the rules' overload factor in the computation of the safe fraction of a capacity.
 const MIN_OVERLOAD_FACTOR: f64 = 1.5;
-/// Step by which the estimate of warm endpoints' speed follows their median answer.
+/// Factor by which the estimated speed of warm endpoints changes per answer, so that it follows the median.
 const SPEED_STEP: f64 = 1.1;
 
-/// One endpoint's start, and what it was sent since.
+/// The last start of an endpoint, and what the endpoint was sent since.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct EndpointStart {
-    /// When it started, as listed or as guessed from failures; `None`: long ago.
+    /// When the endpoint started, as listed or as presumed from connection failures; `None` means long ago.
     #[serde(rename = "born")]
     pub(super) started_at: Option<Duration>,
-    /// When it started, as listed.
+    /// When the endpoint started, as listed.
     #[serde(rename = "listed")]
     pub(super) listed_at: Option<Duration>,
-    /// Units sent of late, except those that its answers allowed.
+    /// Units sent recently, except those of follow-ups.
     #[serde(rename = "sent")]
     pub(super) units_sent: SlidingWindow,
-    /// Units saved up from this initiator's even part.
+    /// Units saved up from this initiator's even parts.
     #[serde(rename = "saved", default)]
     pub(super) savings: TokenBucket,
-    /// Requests that its answers allow beyond the even part,
+    /// Requests beyond the even part that the endpoint's answers allow.
     #[serde(rename = "relays")]
     pub(super) follow_ups: u32,
-    /// until then.
+    /// When the follow-ups expire.
     #[serde(rename = "relay_until")]
     pub(super) follow_ups_until: Duration,
 }
 
 impl EndpointStart {
-    /// The endpoint list says that it started.
-    pub(super) fn listed(&mut self, started_at: Duration, savings: TokenBucket) {
+    /// Begins slow start after the endpoint list reported a start.
+    pub(super) fn record_listed_start(&mut self, started_at: Duration, savings: TokenBucket) {
         self.started_at = Some(started_at);
         self.listed_at = self.started_at;
         self.follow_ups = 0;
         self.savings = savings;
     }
 
-    /// Its connections say that it may have started just now; the list does not say so yet.
-    pub(super) fn presumed(&mut self, now: Duration, savings: TokenBucket, slow_start_duration: Duration) {
+    /// Begins slow start after connection failures that suggest a restart which the endpoint list does not
+    /// report yet.
+    pub(super) fn presume_restart(
+        &mut self,
+        now: Duration,
+        savings: TokenBucket,
+        slow_start_duration: Duration,
+    ) {
         self.started_at = Some(now);
         self.follow_ups = 0;
         self.savings = savings;
-        // What a process that may be dead took does not burden its successor.
+        // Units sent to a process that may be dead don't count against its successor, unless the listed start
+        // is so recent that the process may still be in slow start.
         if self.listed_at.is_none_or(|listed| now >= listed + slow_start_duration) {
             self.units_sent.clear();
         }
     }
 
-    /// Its connections broke under a process that lives on.
-    pub(super) fn not_restarted(&mut self) {
+    /// Returns to the listed start: the process turned out not to have restarted when its connections broke.
+    pub(super) fn revert_to_listed_start(&mut self) {
         self.started_at = self.listed_at;
     }
 
+    /// Returns whether a follow-up may be sent.
     pub(super) fn has_follow_up(&self, now: Duration) -> bool {
         self.follow_ups > 0 && self.follow_ups_until >= now
     }
 
-    /// It did something in time; it can do as much again within the overload window.
+    /// Allows one follow-up after an answer in time: the endpoint can serve as much again within the overload
+    /// window.
     pub(super) fn allow_follow_up(&mut self, now: Duration, overload_window: Duration) {
         self.follow_ups = if self.follow_ups_until >= now { self.follow_ups + 1 } else { 1 };
         self.follow_ups_until = now + overload_window;
     }
 
+    /// Counts units that are sent: as a follow-up if one is allowed, else against this initiator's even part.
     pub(super) fn record_sent(&mut self, now: Duration, units: f64, overload_window: Duration) {
         if self.has_follow_up(now) {
             self.follow_ups -= 1;
@@ -86,22 +98,23 @@
         self.units_sent.prune_and_sum(now.saturating_sub(overload_window));
     }
 
-    /// Units sent within the last `window`, except those that its answers allowed.
+    /// Returns the units sent within the last `window`, except those of follow-ups.
     pub(super) fn units_sent_within(&self, window: Duration, now: Duration) -> f64 {
         self.units_sent.sum_since((now + NANOSECOND).saturating_sub(window))
     }
 
+    /// Returns whether slow start is over.
     pub(super) fn is_warm(&self, now: Duration, slow_start_duration: Duration) -> bool {
         self.started_at.is_none_or(|started| now >= started + slow_start_duration)
     }
 }
 
-/// Units that may be sent now.
+/// Units that an endpoint may be sent now.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AvailableCapacity {
-    /// Infinite where nothing limits it.
+    /// Infinite where slow start doesn't limit them.
     pub(super) units: f64,
-    /// When there may be more, where that is known.
+    /// When more may be available, where that is known.
     pub(super) more_at: Option<Duration>,
 }
 
@@ -110,32 +123,37 @@
     pub(super) const NONE: AvailableCapacity = AvailableCapacity { units: 0.0, more_at: None };
 }
 
-/// What the rules of slow start go by, beside the endpoint itself.
+/// Parameters of slow start, beside the state of the endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SlowStartContext {
     pub(super) now: Duration,
-    /// When this initiator started.
+    /// When the scheduler of this initiator started.
     pub(super) scheduler_started_at: Duration,
-    /// This process's part of this initiator's budgets.
+    /// This process's share of the initiator's budgets.
     pub(super) budget_share: f64,
-    /// How many endpoints take new work.
+    /// The number of endpoints that accept new requests.
     pub(super) ready_endpoints: usize,
+    /// The number of initiators, this one included.
     pub(super) initiators: u32,
+    /// This initiator's number among them, from 0.
     pub(super) rank: u32,
-    /// Part of its usual work that an endpoint can do just after its start.
+    /// Fraction of its usual work that an endpoint can do just after its start.
     pub(super) start_capacity: f64,
+    /// How long after its start an endpoint can do all of its usual work.
     pub(super) duration: Duration,
-    /// An endpoint in slow start fails when sent so many times what it can do,
+    /// An endpoint in slow start fails when it is sent more than this many times what it can do within
+    /// `overload_window`.
     pub(super) overload_factor: f64,
-    /// over this span.
+    /// The span over which work sent to an endpoint in slow start is counted.
     pub(super) overload_window: Duration,
-    /// Units within the overload window that an endpoint takes in any case.
-    pub(super) certain_units: f64,
+    /// Units within the overload window, from all initiators, that an endpoint can take at any age.
+    pub(super) guaranteed_units: f64,
     pub(super) mean_request_units: f64,
     pub(super) max_request_units: f64,
 }
 
 impl SlowStartContext {
+    /// Takes the parameters from the settings.
     pub(super) fn new(
         settings: &Settings,
         now: Duration,
@@ -154,19 +172,20 @@
             duration: settings.rules.slow_start_duration,
             overload_factor: settings.rules.overload_factor,
             overload_window: settings.rules.overload_window,
-            certain_units: settings.slow_start_units,
+            guaranteed_units: settings.slow_start_units,
             mean_request_units: settings.mean_request_units,
             max_request_units: settings.max_request_units,
         }
     }
 }
 
-/// What this initiator has seen that bears on endpoints in slow start.
+/// Observations of this initiator from which it estimates what an endpoint in slow start can take.
 #[derive(Clone, Debug)]
 pub(super) struct SlowStart {
-    /// When each shard was last asked for.
+    /// When a request for each shard last arrived.
     shards_requested: BTreeMap<u16, Duration>,
-    /// Units a second of the median answer of warm endpoints; at first less than any does.
+    /// Units per second of the median answer of warm endpoints. The initial value is less than that of any
+    /// endpoint.
     warm_units_per_second: f64,
 }
 
@@ -175,34 +194,38 @@
         SlowStart { shards_requested: BTreeMap::new(), warm_units_per_second: settings.mean_request_units }
     }
 
+    /// Records that a request for a shard arrived.
     pub(super) fn record_request(&mut self, shard: Option<u16>, now: Duration) {
         if let Some(shard) = shard {
             self.shards_requested.insert(shard, now);
         }
     }
 
-    /// A warm endpoint served so many units in `elapsed`: the estimate of the median goes one step its way.
+    /// Records that a warm endpoint served units in `elapsed`: moves the estimated median one step towards
+    /// their rate.
     pub(super) fn record_warm_answer(&mut self, units: f64, elapsed: Duration) {
         let is_faster = units * 1e9 > self.warm_units_per_second * nanos(elapsed);
         self.warm_units_per_second *= if is_faster { SPEED_STEP } else { 1.0 / SPEED_STEP };
     }
 
-    /// Units that an endpoint takes within an overload window just after its start, from all initiators: what is
-    /// stated, or what its part of a warm endpoint's work allows, as far as that was seen.
+    /// Returns the units that an endpoint can take within an overload window just after its start, from all
+    /// initiators: the greater of the guaranteed units and of the safe fraction of what the observed speed of
+    /// warm endpoints allows. Where an even part of that does not hold the largest request, only the safe
+    /// fraction of it counts.
     pub(super) fn starting_capacity(&self, context: &SlowStartContext) -> f64 {
-        let safe_part = 1.0 - 1.0 / context.overload_factor.max(MIN_OVERLOAD_FACTOR);
-        let seen = self.warm_units_per_second
+        let safe_fraction = 1.0 - 1.0 / context.overload_factor.max(MIN_OVERLOAD_FACTOR);
+        let observed = self.warm_units_per_second
             * context.start_capacity
             * context.overload_factor
             * seconds(context.overload_window)
-            * safe_part;
-        let capacity = context.certain_units.max(seen) * context.budget_share;
+            * safe_fraction;
+        let capacity = context.guaranteed_units.max(observed) * context.budget_share;
         let even_part = capacity / self.expected_contenders(context);
-        capacity * if even_part < context.max_request_units { safe_part } else { 1.0 }
+        capacity * if even_part < context.max_request_units { safe_fraction } else { 1.0 }
     }
 
-    /// How many initiators want something of one endpoint at the same time, if each is asked for as many shards as this
-    /// one of late.
+    /// Returns the expected number of initiators that send to one endpoint at the same time, if each of them
+    /// gets requests for as many shards as this one recently did.
     pub(super) fn expected_contenders(&self, context: &SlowStartContext) -> f64 {
         let (now, window) = (context.now, REPORT_LIFETIME);
         let recent = self.shards_requested.values().filter(|at| **at + window >= now);
@@ -212,13 +235,17 @@
         (f64::from(context.initiators) * wanted.min(1.0)).max(1.0)
     }
 
-    /// An even part of what a starting endpoint takes does not hold the largest request.
-    pub(super) fn parts_are_small(&self, context: &SlowStartContext) -> bool {
-        let even_part = self.starting_capacity(context) / self.expected_contenders(context);
-        even_part < context.max_request_units
+    /// Returns whether an even part of a starting endpoint's capacity does not hold the largest request.
+    pub(super) fn even_part_is_small(&self, context: &SlowStartContext) -> bool {
+        self.even_part(context) < context.max_request_units
+    }
+
+    /// Returns this initiator's even part of a starting endpoint's capacity, in units.
+    fn even_part(&self, context: &SlowStartContext) -> f64 {
+        self.starting_capacity(context) / self.expected_contenders(context)
     }
 
-    /// Units that this initiator may send an endpoint now.
+    /// Returns the units that this initiator may send an endpoint now.
     pub(super) fn available_capacity(
         &self,
         start: &mut EndpointStart,
@@ -226,23 +253,23 @@
     ) -> AvailableCapacity {
         let now = context.now;
         let age = start.started_at.map_or(FOREVER, |started| now.saturating_sub(started));
-        let stated = context.start_capacity.min(context.certain_units * context.budget_share) > 0.0;
+        let is_configured = context.start_capacity.min(context.guaranteed_units * context.budget_share) > 0.0;
         let is_warm = age >= context.duration;
-        if start.has_follow_up(now) || is_warm || !stated || context.overload_window.is_zero() {
+        if start.has_follow_up(now) || is_warm || !is_configured || context.overload_window.is_zero() {
             return AvailableCapacity::UNLIMITED;
         }
-        let even_part = self.starting_capacity(context) / self.expected_contenders(context);
+        let even_part = self.even_part(context);
         let part_now = even_part * capacity_growth(context, age);
         if even_part < context.mean_request_units / 2.0 {
-            capacity_saved(start, part_now, context)
+            saved_capacity(start, part_now, context)
         } else {
-            capacity_left(start, part_now, context)
+            remaining_capacity(start, part_now, context)
         }
     }
 
-    /// Units that an endpoint in slow start can still take from all initiators, when others say that they sent it
-    /// `units_by_others` of late.
-    pub(super) fn capacity_beside_others(
+    /// Returns the units that an endpoint in slow start can still take from all initiators, if others sent it
+    /// `units_by_others` recently.
+    pub(super) fn capacity_after_others(
         &self,
         start: &EndpointStart,
         units_by_others: f64,
@@ -255,17 +282,17 @@
     }
 }
 
-/// By how much an endpoint can do more at that age than just after its start.
+/// Returns the capacity of an endpoint at an age as a multiple of its capacity just after its start.
 fn capacity_growth(context: &SlowStartContext, age: Duration) -> f64 {
     let start = context.start_capacity.min(1.0);
     (start + (1.0 - start) * nanos(age) / nanos(context.duration)) / start
 }
 
-/// What is left of an even part of so many units, within the overload window.
-fn capacity_left(start: &mut EndpointStart, part: f64, context: &SlowStartContext) -> AvailableCapacity {
+/// Returns what is left within the overload window of an even part of this many units.
+fn remaining_capacity(start: &mut EndpointStart, part: f64, context: &SlowStartContext) -> AvailableCapacity {
     let (now, window) = (context.now, context.overload_window);
     let spent = start.units_sent.prune_and_sum((now + NANOSECOND).saturating_sub(window));
-    // An initiator that started after the endpoint may have used its part in its last run.
+    // The previous run of an initiator that started after the endpoint may have used the part already.
     let may_have_spent = now < context.scheduler_started_at + window
         && context.scheduler_started_at >= start.started_at.unwrap_or_default();
     let more_at = start.units_sent.oldest().map_or(now + SECOND / 10, |at| at + window);
@@ -273,9 +300,10 @@
     AvailableCapacity { units, more_at: Some(more_at) }
 }
 
-/// Where an even part hardly holds a request, an initiator saves it up until it does. The savings may be overdrawn by one
-/// request of any size: all initiators together still send no more than their parts hold over any span.
-fn capacity_saved(start: &mut EndpointStart, part: f64, context: &SlowStartContext) -> AvailableCapacity {
+/// Returns the capacity where an even part hardly holds a request: the initiator saves up its parts until
+/// they hold one of mean size. The savings may be overdrawn by one request of any size: all initiators
+/// together still send no more than their parts hold over any span.
+fn saved_capacity(start: &mut EndpointStart, part: f64, context: &SlowStartContext) -> AvailableCapacity {
     let (now, mean) = (context.now, context.mean_request_units);
     let rate = (part / seconds(context.overload_window)).max(1e-9);
     let missing = mean - start.savings.refill(now, rate, mean);
@@ -287,8 +315,9 @@
     AvailableCapacity { units: 0.0, more_at: Some(now + wait) }
 }
 
-/// What an initiator has saved when an endpoint starts, as if it had saved for long. Initiators that run by then have
-/// amounts spread evenly over them, so that their first sends follow each other; ones that start later draw theirs.
+/// Returns the savings of an initiator when an endpoint starts, as if it had been saving for a long time.
+/// Initiators that are running by then have amounts that are spread evenly by rank, so that their first sends
+/// follow each other. Initiators that start later draw a random amount.
 pub(super) fn initial_savings(
     endpoint: EndpointId,
     started_at: Duration,
@@ -302,13 +331,13 @@
     let part = if context.scheduler_started_at <= started_at {
         (rank + fraction(splitmix64(start))).fract()
     } else {
-        RESTARTED_SAVINGS * fraction(hash(start))
+        MAX_RESTARTED_SAVINGS * fraction(hash(start))
     };
     TokenBucket::holding(context.mean_request_units * part, context.now)
 }
 
 impl Endpoint {
-    /// Counts units that it is sent.
+    /// Records that units are sent to the endpoint.
     pub(super) fn record_sent(&mut self, now: Duration, units: f64, overload_window: Duration) {
         self.start.record_sent(now, units, overload_window);
         self.last_sent_at = now;
--- a/crates/core/src/scheduler/snapshot.rs
+++ b/crates/core/src/scheduler/snapshot.rs
@@ -1,4 +1,4 @@
-//! What one process of an initiator hands over to the next; nothing is decided here.
+//! Hand-over state of the scheduler: what one process of an initiator passes to the next.
 
 use super::endpoints::Endpoint;
 use super::volumes::Volume;
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What a scheduler has learnt and spent, for the process that takes its place.
+/// What a scheduler has observed and spent, for the process that succeeds its own.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SchedulerSnapshot {
     #[serde(rename = "started")]
@@ -19,15 +19,17 @@
 }
 
 impl Scheduler {
-    /// What it has learnt and spent, for a process that takes this part of its budgets.
-    pub fn snapshot(&self, budget_part: f64) -> SchedulerSnapshot {
+    /// Returns what the scheduler has observed and spent, for a process that takes over this share of its
+    /// budgets.
+    pub fn snapshot(&self, budget_share: f64) -> SchedulerSnapshot {
         let mut volumes: Vec<_> = self.volumes.iter().map(|(id, volume)| (id, volume.clone())).collect();
-        volumes.iter_mut().for_each(|(_, volume)| volume.limit.scale_tokens(budget_part));
+        volumes.iter_mut().for_each(|(_, volume)| volume.limit.scale_tokens(budget_share));
         let endpoints = self.endpoints.iter().map(|(id, endpoint)| (id, self.without_savings(endpoint)));
         SchedulerSnapshot { started_at: self.started_at, volumes, endpoints: endpoints.collect() }
     }
 
-    /// Savings for an endpoint in slow start stay with this process; an overdraft binds both.
+    /// Returns a copy of an endpoint without the savings for its slow start, which stay with this process. An
+    /// overdraft is kept, because it counts for both processes.
     fn without_savings(&self, endpoint: &Endpoint) -> Endpoint {
         let mut endpoint = endpoint.clone();
         let overdraft = endpoint.start.savings.tokens.min(0.0);
@@ -35,8 +37,9 @@
         endpoint
     }
 
-    /// Goes on where another process of this initiator was. The endpoint list has come already: who serves what stays
-    /// as it says.
+    /// Continues from the state of another process of this initiator. The endpoint list has arrived already,
+    /// so the readiness, shard and zone of an endpoint stay as listed. Endpoints that are not listed are
+    /// ignored.
     pub fn restore(&mut self, snapshot: SchedulerSnapshot) {
         self.started_at = snapshot.started_at;
         self.volumes.extend(snapshot.volumes);
--- a/crates/core/src/scheduler/timer.rs
+++ b/crates/core/src/scheduler/timer.rs
@@ -1,12 +1,14 @@
-//! The one timer of a scheduler: rules name the moments at which they have to look again, the earliest is set.
+//! The timer of a scheduler: rules ask to be run again at certain times, and a single timer is set for the
+//! earliest.
 
 use super::times::{FOREVER, NANOSECOND};
 use std::time::Duration;
 
-/// How early a timer may fire and still be the one that was set; the initiator's clock may be coarser.
-const EARLIEST_FIRING: Duration = Duration::from_millis(1);
+/// How early a timer may fire and still count as the one that was set, because the initiator's clock may be
+/// coarser.
+const FIRING_TOLERANCE: Duration = Duration::from_millis(1);
 
-/// The next moment to look again, and the timer set so far.
+/// The next time at which a rule has to run, and the timer that is set.
 #[derive(Clone, Debug)]
 pub(super) struct Timer {
     next: Duration,
@@ -18,24 +20,25 @@
         Timer { next: FOREVER, set_for: None }
     }
 
-    /// A batch begins: its rules name their moments anew.
+    /// Begins a batch, in which the rules ask for their times again.
     pub(super) fn begin_batch(&mut self) {
         self.next = FOREVER;
     }
 
-    /// A rule has to look again at that time at the latest.
+    /// Asks for a batch at a time or earlier.
     pub(super) fn wake_by(&mut self, at: Duration) {
         self.next = self.next.min(at);
     }
 
-    /// A timer fired.
+    /// Clears the timer if the one that fired is the one that was set.
     pub(super) fn fired(&mut self, now: Duration, min_batch_interval: Duration) {
-        if self.set_for.is_some_and(|at| at <= now + min_batch_interval.max(EARLIEST_FIRING)) {
+        if self.set_for.is_some_and(|at| at <= now + min_batch_interval.max(FIRING_TOLERANCE)) {
             self.set_for = None;
         }
     }
 
-    /// The time to set a timer for, where none that is set is early enough.
+    /// Returns the time to set a timer for, or `None` where none is needed or the one that is set is early
+    /// enough.
     pub(super) fn set(&mut self, now: Duration) -> Option<Duration> {
         if self.next == FOREVER || self.set_for.is_some_and(|at| self.next >= at && at >= now) {
             return None;
--- a/crates/core/src/scheduler/unit_grants.rs
+++ b/crates/core/src/scheduler/unit_grants.rs
@@ -1,5 +1,6 @@
-//! Unit grants: a part of each limit waits at one initiator, the volume's home, for those that lack units. Even parts
-//! alone leave those of idle initiators unused. What a lost message or a dead home takes with it is not spent.
+//! Unit grants: a part of each limit is pooled at one initiator, the volume's home, which grants units to
+//! initiators that lack them. Even shares alone would leave those of idle initiators unused. Units that are
+//! lost with a message or with the home remain unspent.
 
 use super::limits::{GrantRequest, POOLED_RATIO};
 use super::Scheduler;
@@ -9,17 +10,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Fewer units than this are not granted.
+/// Minimum number of units of a grant.
 const MIN_GRANT: f64 = 1.0;
 
-/// Units for others, of the volumes whose home this initiator is.
+/// The pools of the volumes whose home is this initiator.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UnitPools {
     by_volume: BTreeMap<VolumeId, TokenBucket>,
 }
 
 impl UnitPools {
-    /// Takes up to `wanted` units of a limited volume; `None` where it has too few.
+    /// Takes up to the wanted units from a volume's pool, or returns `None` where the pool has too few for a
+    /// grant.
     fn take(&mut self, now: Duration, started_at: Duration, wanted: &WantedUnits) -> Option<f64> {
         let pool = self.by_volume.entry(wanted.volume).or_insert(TokenBucket::holding(0.0, started_at));
         let available = pool.refill(now, POOLED_RATIO * wanted.limit, POOLED_RATIO * wanted.burst);
@@ -31,37 +33,38 @@
         Some(units)
     }
 
-    /// Forgets pools that nobody asked since then.
+    /// Drops pools that have not been asked since a time.
     pub(super) fn forget_idle(&mut self, since: Duration) {
         self.by_volume.retain(|_, pool| pool.refilled_at > since);
     }
 }
 
-/// What is asked of a pool.
+/// A request to a pool.
 struct WantedUnits {
     volume: VolumeId,
     units: f64,
-    /// The plan's limit, in units a second, and its burst in units.
+    /// The plan's limit, in units per second.
     limit: f64,
+    /// The plan's burst, in units.
     burst: f64,
 }
 
-/// The rank of the initiator that is a volume's home.
+/// Returns the rank of the initiator that is a volume's home.
 fn home_of(volume: VolumeId, settings: &Settings) -> u16 {
     (splitmix64(volume) % u64::from(settings.initiators.max(1))) as u16
 }
 
 impl Scheduler {
-    /// Asks a volume's home for units, unless it was asked a moment ago.
+    /// Asks a volume's home for units, unless it was asked recently or the volume has no pool.
     pub(super) fn request_units(&mut self, id: VolumeId) {
         let number = self.random.below(1 << 32) as u32;
         let now = self.now;
         let Some(volume) = self.volumes.get_mut(id).filter(|volume| volume.limit.pooled_ratio > 0.0) else {
             return;
         };
-        let again = volume.limit.next_grant_request(&volume.plan);
-        if again > now {
-            return self.timer.wake_by(again);
+        let next_request_at = volume.limit.next_grant_request(&volume.plan);
+        if next_request_at > now {
+            return self.timer.wake_by(next_request_at);
         }
         volume.limit.grant_requested(GrantRequest { number, asked_at: now });
         let units = volume.queued as f64 * self.settings.mean_request_units;
@@ -70,7 +73,7 @@
         self.send_units_message(home_of(id, &self.settings), self.settings.rank as u16, request);
     }
 
-    /// Sends a message, or takes it at once where it is to this initiator itself.
+    /// Sends a message to an initiator, or handles it at once where it is addressed to this one.
     fn send_units_message(&mut self, to: u16, from: u16, message: UnitsMessage) {
         if to == self.settings.rank as u16 {
             self.on_peer_message(from, &message.bytes());
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Takes another initiator's question for units, or its grant.
+    /// Handles another initiator's request for units, or its grant. Ignores a message that can't be parsed.
     pub(super) fn on_peer_message(&mut self, from: u16, bytes: &[u8]) {
         match UnitsMessage::parse(bytes) {
             Some(UnitsMessage::Request { volume, plan, units, number }) => {
--- a/crates/core/src/scheduler/usage.rs
+++ b/crates/core/src/scheduler/usage.rs
@@ -1,4 +1,4 @@
-//! What a volume uses through all initiators, as far as this one knows, and its share of that.
+//! Use of a volume through all initiators, as far as this one knows, and this initiator's share of it.
 
 use super::times::{REPORT_LIFETIME, SMOOTHING_TIME};
 use crate::interface::{AttemptOutcome, EndedAttempt};
@@ -6,18 +6,18 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Rates of one volume, in units a second.
+/// Rates of one volume, in units per second.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct VolumeUsage {
-    /// Asked for at this initiator.
+    /// Requested at this initiator.
     pub(super) demand: DecayingRate,
     /// Served through this initiator.
     pub(super) served: DecayingRate,
-    /// Sent from this initiator, with what was not served.
+    /// Sent from this initiator, whether served or not.
     pub(super) sent: DecayingRate,
-    /// What other initiators are asked for.
+    /// Requested at or served through other initiators, as reported.
     pub(super) others: DecayingRate,
-    /// Served through all initiators, as the meter last reported.
+    /// Served through all initiators, as the meter last reported; 0 before the first report.
     #[serde(rename = "total")]
     pub(super) metered_total: f64,
     /// When `others` or `metered_total` was last reported.
@@ -26,7 +26,8 @@
 }
 
 impl VolumeUsage {
-    /// Takes what an ended attempt of so many units says; `plan_rate` is what the meter's figures are parts of.
+    /// Records an ended attempt of a request of this many units, with the reports that came with it. The
+    /// meter reports use as a fraction of `plan_rate`.
     pub(super) fn record(&mut self, now: Duration, attempt: &EndedAttempt, units: f64, plan_rate: f64) {
         if attempt.outcome == AttemptOutcome::Served {
             self.served.add(now, units, SMOOTHING_TIME);
@@ -41,14 +42,14 @@
         }
     }
 
-    /// Other initiators say that they are asked for so much.
+    /// Sets the rate that other initiators reported to be requested from them.
     pub(super) fn adopt_others(&mut self, now: Duration, units_per_second: f64, observed_at: Duration) {
         self.others = DecayingRate { per_second: units_per_second, updated_at: now };
         self.reported_at = Some(observed_at);
     }
 
-    /// This initiator's share of the volume, from 0 to 1: its demand of all demand. An even one where no report is
-    /// fresh.
+    /// Returns this initiator's share of the volume, from 0 to 1: the ratio of its demand to all demand, or
+    /// an even share where no report is fresh.
     pub(super) fn share(&self, now: Duration, initiators: f64) -> f64 {
         let even = 1.0 / initiators;
         let is_fresh = self.reported_at.is_some_and(|at| now <= at + REPORT_LIFETIME);
@@ -59,13 +60,15 @@
         own / (own + others)
     }
 
-    /// What other initiators use, in units a second: the greater of both reports.
+    /// Returns the use by other initiators, in units per second: the greater of what they and what the meter
+    /// reported.
     pub(super) fn others_rate(&self, now: Duration) -> f64 {
         let metered = self.metered_total - self.served.get(now, SMOOTHING_TIME);
         self.others.get(now, SMOOTHING_TIME).max(metered)
     }
 
-    /// The part of what was sent that was served; `max_request_units` keeps it near 1 while little was sent.
+    /// Returns the fraction of sent units that was served. `max_request_units` is added on both sides, which
+    /// keeps the fraction near 1 while little was sent.
     pub(super) fn served_ratio(&self, now: Duration, max_request_units: f64) -> f64 {
         let served = self.served.get(now, SMOOTHING_TIME) + max_request_units;
         served / (self.sent.get(now, SMOOTHING_TIME) + max_request_units)
--- a/crates/core/src/scheduler/volumes.rs
+++ b/crates/core/src/scheduler/volumes.rs
@@ -1,4 +1,5 @@
-//! Volumes: what each has been sent for its weight (fair queueing by virtual time), its reserve, its use and its limit.
+//! Volumes: the virtual time of each, by which weighted fair queueing chooses between them, and the state of
+//! its reserve, its use and its limit.
 
 use super::limits::{LimitShares, VolumeLimit, POOLED_RATIO};
 use super::times::{SECOND, SMOOTHING_TIME};
@@ -9,64 +10,66 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A volume that asked for nothing for so long is forgotten; its buckets are full by then.
+/// A volume without requests for this long is dropped; its buckets are full by then.
 const IDLE_TIMEOUT: Duration = SECOND.saturating_mul(60);
-/// How often lagging virtual times are raised; the same span over which results are counted.
+/// How often lagging virtual times are raised. Equal to the span over which results are counted.
 const RAISE_INTERVAL: Duration = SECOND;
-/// A plan's weight is taken for at least this.
+/// Minimum of a plan's weight, by which units are divided.
 const MIN_WEIGHT: f64 = 1e-6;
 
 /// One volume at this initiator.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct Volume {
     pub(super) plan: Plan,
-    /// How many initiators its requests come through.
+    /// The number of initiators that send requests for the volume.
     #[serde(rename = "hosts")]
     pub(super) initiators: f64,
-    /// Units sent from here over the plan's weight; the volume with the least goes first.
+    /// Cost sent by this initiator, in units divided by the plan's weight. The volume with the smallest value
+    /// is served first.
     #[serde(rename = "tag")]
     pub(super) virtual_time: f64,
-    /// How many of its requests are queued.
+    /// The number of queued requests.
     #[serde(skip)]
     pub(super) queued: usize,
     #[serde(flatten)]
     pub(super) usage: VolumeUsage,
     #[serde(flatten)]
     pub(super) limit: VolumeLimit,
-    /// Units that the plan reserves, as far as they fall to this initiator.
+    /// This initiator's share of the units that the plan reserves.
     pub(super) reserve: TokenBucket,
 }
 
 impl Volume {
-    /// The plan's weight.
+    /// Returns the plan's weight, which is never zero.
     pub(super) fn weight(&self) -> f64 {
         self.plan.weight.max(MIN_WEIGHT)
     }
 
-    /// The virtual time once work of this cost has been sent as well.
+    /// Returns the virtual time once a request of this cost has been sent.
     pub(super) fn virtual_time_after(&self, cost: f64) -> f64 {
         self.virtual_time + cost / self.weight()
     }
 
-    /// A request of this size is covered by the reserve.
+    /// Returns whether the reserve covers a request of this size.
     pub(super) fn reserve_covers(&mut self, now: Duration, units: f64, max_request_units: f64) -> bool {
         let rate = self.plan.reserve * self.usage.share(now, self.initiators);
         rate > 0.0 && self.reserve.refill(now, rate, rate + max_request_units) >= units
     }
 
-    /// Counts what is sent; its cost to the endpoint may be less than its units.
+    /// Records a request that is sent. Its cost to the endpoint may be less than its units.
     pub(super) fn record_sent(&mut self, now: Duration, units: f64, cost: f64) {
         self.virtual_time = self.virtual_time_after(cost);
         self.usage.sent.add(now, units, SMOOTHING_TIME);
         self.reserve.tokens = (self.reserve.tokens - units).max(0.0);
     }
 
-    /// This process's part of the limit, from 0 to 1, as far as it doesn't wait at the volume's home.
+    /// Returns this process's even share of the limit, from 0 to 1, without the part that is pooled at the
+    /// volume's home.
     pub(super) fn own_limit_share(&self, budget_share: f64) -> f64 {
         (1.0 - self.limit.pooled_ratio) / self.initiators * budget_share
     }
 
-    /// How many units the limit lacks for a request of this size; zero or less where it may go.
+    /// Returns how many units the limit lacks for a request of this size; zero or less if it may be sent.
     pub(super) fn missing_units(
         &mut self,
         now: Duration,
@@ -89,14 +92,16 @@
     }
 }
 
-/// The volumes that this initiator has requests of, or had of late.
+/// The volumes for which this initiator has requests, or recently had.
 #[derive(Clone, Debug)]
 pub(super) struct Volumes {
     by_id: BTreeMap<VolumeId, Volume>,
+    /// When virtual times were last raised.
     raised_at: Duration,
 }
 
 impl Volumes {
+    /// Creates the table without volumes.
     pub(super) fn new(now: Duration) -> Self {
         Volumes { by_id: BTreeMap::new(), raised_at: now }
     }
@@ -121,12 +126,12 @@
         self.by_id.extend(volumes);
     }
 
-    /// Keeps only this part of what the limits' buckets hold.
-    pub(super) fn scale_tokens(&mut self, part: f64) {
-        self.by_id.values_mut().for_each(|volume| volume.limit.scale_tokens(part));
+    /// Scales the tokens that the buckets of all limits hold.
+    pub(super) fn scale_tokens(&mut self, factor: f64) {
+        self.by_id.values_mut().for_each(|volume| volume.limit.scale_tokens(factor));
     }
 
-    /// A request of a volume came in: its demand counts, and its plan may be another by now.
+    /// Counts a new request towards the demand of its volume, and applies the plan that the request names.
     pub(super) fn record_request(
         &mut self,
         request: &Request,
@@ -147,15 +152,16 @@
         volume.initiators = volume.initiators.max(initiators).max(1.0);
         let has_home = settings.peer_messages_allowed && volume.initiators > 1.0;
         volume.limit.pooled_ratio = if has_home { POOLED_RATIO } else { 0.0 };
-        // Time without requests earns no advantage over volumes that wait.
+        // A volume that was idle gains no advantage over volumes with queued requests.
         if volume.queued == 0 && least_waiting.is_finite() {
             volume.virtual_time = volume.virtual_time.max(least_waiting);
         }
         volume.usage.demand.add(now, request.units, SMOOTHING_TIME);
     }
 
-    /// Once in a while, halves the gap of each virtual time to the largest, and forgets volumes that are idle. Returns
-    /// since when a volume has to be idle for that, where the time has come.
+    /// Halves the gap of each virtual time to the largest one and drops idle volumes, once per
+    /// [`RAISE_INTERVAL`]. Returns since when a dropped volume has been idle, or `None` where the interval
+    /// has not passed.
     pub(super) fn raise_virtual_times(&mut self, now: Duration) -> Option<Duration> {
         if now < self.raised_at + RAISE_INTERVAL {
             return None;
@@ -165,7 +171,8 @@
         for volume in self.by_id.values_mut() {
             volume.virtual_time += (largest - volume.virtual_time) / 2.0;
         }
-        // Buckets so long unused are full; those of a volume met anew are as well, for they fill since the start.
+        // Buckets that were unused for so long are full. Those of a volume that comes back are full as well,
+        // because new buckets fill from the start of the scheduler.
         let since = now.saturating_sub(IDLE_TIMEOUT);
         let in_use = |volume: &Volume| {
             volume.queued > 0 || volume.usage.demand.updated_at > since || !volume.limit.unused_since(since)
