--- a/crates/core/tests/scheduler_snapshot.rs
+++ b/crates/core/tests/scheduler_snapshot.rs
@@ -1,9 +1,11 @@
-//! What the scheduler of an older release hands over stays readable, and what this one hands over stays readable there.
+//! Compatibility of the scheduler's hand-over state with older releases: this release reads theirs, and
+//! writes its own in the form that they read.
 
 use shaletack_core::scheduler::SchedulerSnapshot;
 use simd_json::OwnedValue;
 
-/// Handed over by the release of 2 December 2026, after answers, time-outs, a broken connection and a rejection.
+/// A snapshot of the release of 2 December 2026, taken after answers, time-outs, a broken connection and a
+/// rejection.
 const SNAPSHOT: &str = include_str!("fixtures/scheduler-snapshot.json");
 
 fn parse(text: &str) -> OwnedValue {
@@ -18,7 +20,7 @@
     assert_eq!(parse(&written), parse(SNAPSHOT));
 }
 
-/// Two fields came with later releases: a snapshot without them is read all the same.
+/// Two fields were added by later releases, so a snapshot without them must still be read.
 #[test]
 fn a_snapshot_without_savings_and_abandoned_units_is_read() {
     let start = SNAPSHOT.find(",\"saved\":").expect("savings");
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties over drawn sequences of events.
+//! Properties of the scheduler over generated sequences of events.
 
 mod common;
 use common::*;
@@ -8,18 +8,36 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One drawn step: which host, what kind, and figures to fill it.
+/// One generated step: the index of the host, the kind of event, and two numbers from which its fields are
+/// chosen.
 type Step = (usize, u8, u32, u8);
 
-fn steps(most: usize) -> impl Strategy<Value = Vec<Step>> {
-    prop::collection::vec((0..3usize, any::<u8>(), any::<u32>(), any::<u8>()), 1..most)
+/// An attempt in flight.
+#[derive(Clone)]
+struct Attempt {
+    request: RequestId,
+    number: u8,
+    endpoint: EndpointId,
 }
 
-fn news(out: &(RequestId, u8, EndpointId), ending: AttemptOutcome, pick: u32) -> Event {
+/// A request that has been sent and has not arrived yet.
+struct RequestInTransit {
+    /// The index of the host that sent it.
+    host: usize,
+    sent_at: Duration,
+    units: f64,
+}
+
+fn steps(max: usize) -> impl Strategy<Value = Vec<Step>> {
+    prop::collection::vec((0..3usize, any::<u8>(), any::<u32>(), any::<u8>()), 1..max)
+}
+
+/// The end of an attempt, with reports that `pick` chooses.
+fn attempt_ended(attempt: &Attempt, ending: AttemptOutcome, pick: u32) -> Event {
     Event::AttemptEnded(EndedAttempt {
-        request: out.0,
-        number: out.1,
-        endpoint: out.2,
+        request: attempt.request,
+        number: attempt.number,
+        endpoint: attempt.endpoint,
         outcome: ending,
         elapsed: (pick % 500) * MS,
         request_complete: ending == AttemptOutcome::Served,
@@ -29,92 +47,95 @@
     })
 }
 
-/// A volume's store, as whoever counts its units sees it.
-struct Store {
+/// The bucket of a volume's limit, as kept by an observer that counts the volume's units.
+struct ObservedBucket {
     plan: Plan,
     units: f64,
     at: Duration,
 }
 
-impl Store {
+impl ObservedBucket {
     fn take(&mut self, now: Duration, units: f64) {
-        let came = self.plan.limit * (now - self.at).as_secs_f64();
-        (self.units, self.at) = ((self.units + came).min(self.plan.burst) - units, now);
-        assert!(self.units >= -self.plan.tolerance, "the store fell to {}", self.units);
+        let refill = self.plan.limit * (now - self.at).as_secs_f64();
+        (self.units, self.at) = ((self.units + refill).min(self.plan.burst) - units, now);
+        assert!(self.units >= -self.plan.tolerance, "the bucket fell to {} units", self.units);
     }
 }
 
-/// Hosts that share one limited volume; whatever the split of demand, news, restarts and failures, the volume's store
-/// is never overdrawn: neither where units count once a request is sent, nor where they count once it has come, which
-/// it may long after it was given up, all of a cut at the same instant.
+/// Checks that hosts which share a limited volume never overdraw its bucket, whatever the split of demand,
+/// reports, restarts and failures. This holds both where units count when a request is sent and where they
+/// count when it arrives. A request may arrive long after it was abandoned, and all requests of a network
+/// partition may arrive at the same time.
 fn limit_is_kept(steps: &[Step]) {
     let set = Settings { keep_alive_timeout: 3 * S, ..settings() };
     let plan = set.plans[0].clone();
     let mut hosts: Vec<Host> = (0..3).map(|_| Host::new(set.clone())).collect();
-    let mut out: Vec<Vec<(RequestId, u8, EndpointId)>> = vec![Vec::new(); 3];
-    let full = || Store { plan: plan.clone(), units: plan.burst, at: T0 };
-    let (mut sent, mut come, mut now, mut id) = (full(), full(), T0, 0);
-    let mut drawn: BTreeMap<RequestId, f64> = BTreeMap::new();
-    let mut on_the_way: BTreeMap<RequestId, (usize, Duration, f64)> = BTreeMap::new();
+    let mut in_flight: Vec<Vec<Attempt>> = vec![Vec::new(); 3];
+    let full = || ObservedBucket { plan: plan.clone(), units: plan.burst, at: T0 };
+    let (mut sent, mut arrived, mut now, mut id) = (full(), full(), T0, 0);
+    let mut unsent_units: BTreeMap<RequestId, f64> = BTreeMap::new();
+    let mut in_transit: BTreeMap<RequestId, RequestInTransit> = BTreeMap::new();
     for &(which, kind, pick, units) in steps {
         now += (pick % 40) * MS;
         let event = match kind {
             0..=3 => {
                 hosts[which] = Host { scheduler: Scheduler::new(set.clone(), 3, now), now, log: vec![] };
-                out[which].clear();
-                // Its connections end with a process.
-                on_the_way.retain(|_, (host, ..)| *host != which);
+                in_flight[which].clear();
+                // The connections of a process end with it.
+                in_transit.retain(|_, request| request.host != which);
                 list(EndpointListKind::Cached, vec![line(1, 0)])
             }
             4..=150 => {
                 id += 1;
                 let units = 1.0 + f64::from(units % 8);
-                drawn.insert(id, units);
+                unsent_units.insert(id, units);
                 Event::Request(Request { id, plan: 0, initiators: 3.0, units, ..request(id) })
             }
             151 => {
-                let alive = std::mem::take(&mut on_the_way)
+                let alive = std::mem::take(&mut in_transit)
                     .into_values()
-                    .filter(|w| now < w.1 + set.keep_alive_timeout);
-                alive.for_each(|(_, _, units)| come.take(now, units));
+                    .filter(|request| now < request.sent_at + set.keep_alive_timeout);
+                alive.for_each(|request| arrived.take(now, request.units));
                 Event::Timer
             }
-            _ if out[which].is_empty() => Event::Timer,
+            _ if in_flight[which].is_empty() => Event::Timer,
             _ => {
-                let at = pick as usize % out[which].len();
+                let index = pick as usize % in_flight[which].len();
                 let ending = match kind {
                     152..=235 => AttemptOutcome::TimedOut,
                     236..=250 => AttemptOutcome::Served,
                     _ => AttemptOutcome::Rejected,
                 };
-                let over = out[which].remove(at);
+                let attempt = in_flight[which].remove(index);
                 if ending != AttemptOutcome::TimedOut {
-                    on_the_way.remove(&over.0).into_iter().for_each(|way| come.take(now, way.2));
+                    let request = in_transit.remove(&attempt.request);
+                    request.into_iter().for_each(|request| arrived.take(now, request.units));
                 }
-                news(&over, ending, pick)
+                attempt_ended(&attempt, ending, pick)
             }
         };
         for action in hosts[which].at(now, &[event]) {
-            if let Action::Send { request, endpoint: node, .. } = action {
-                if let Some(units) = drawn.remove(&request) {
+            if let Action::Send { request, endpoint, .. } = action {
+                if let Some(units) = unsent_units.remove(&request) {
                     sent.take(now, units);
-                    on_the_way.insert(request, (which, now, units));
+                    in_transit.insert(request, RequestInTransit { host: which, sent_at: now, units });
                 }
                 let number = hosts[which].sends().iter().filter(|s| s.1 == request).count() - 1;
-                out[which].push((request, number as u8, node));
+                in_flight[which].push(Attempt { request, number: number as u8, endpoint });
             }
         }
     }
 }
 
-/// Any legal sequence brings one final answer a request and the same actions again.
+/// Checks that any legal sequence of events gives each request one final answer. Returns the actions, which
+/// are the same in every run.
 fn one_answer_each(steps: &[Step]) -> Vec<(Duration, Action)> {
     let mut set = settings();
     set.classes[0].ordered = true;
     set.hedging_allowed = steps.len().is_multiple_of(2);
     set.endpoint_list_polled = true;
     let mut host = Host::new(set);
-    let mut out: Vec<(RequestId, u8, EndpointId)> = Vec::new();
+    let mut in_flight: Vec<Attempt> = Vec::new();
     let mut due: BTreeMap<RequestId, Duration> = BTreeMap::new();
     let mut answers: BTreeMap<RequestId, u32> = BTreeMap::new();
     let mut id = 0;
@@ -132,29 +153,29 @@
             121..=135 => {
                 let readiness =
                     [Readiness::Ready, Readiness::Draining, Readiness::Removed][(pick % 3) as usize];
-                let (node, born) = (1 + pick % 4, if pick % 2 == 0 { Duration::ZERO } else { now });
+                let (endpoint, started_at) = (1 + pick % 4, if pick % 2 == 0 { Duration::ZERO } else { now });
                 list(
                     EndpointListKind::Delta,
-                    vec![EndpointUpdate { readiness, started_at: born, ..line(node, (node % 2) as u16) }],
+                    vec![EndpointUpdate { readiness, started_at, ..line(endpoint, (endpoint % 2) as u16) }],
                 )
             }
             136..=140 => list(EndpointListKind::Full, vec![line(1, 1), line(2, 0)]),
             141..=143 => list(EndpointListKind::Failed, vec![]),
-            144..=240 if !out.is_empty() => {
-                let attempt = out.remove(pick as usize % out.len());
+            144..=240 if !in_flight.is_empty() => {
+                let attempt = in_flight.remove(pick as usize % in_flight.len());
                 use AttemptOutcome::*;
                 let endings =
                     [Served, Served, Error, Rejected, TimedOut, ConnectFailed, ConnectionLost, NotSent];
                 let ending = endings[extra as usize % 8];
-                if let (Event::AttemptEnded(mut a), known) =
-                    (news(&attempt, ending, pick), due.contains_key(&attempt.0))
+                if let (Event::AttemptEnded(mut ended), known) =
+                    (attempt_ended(&attempt, ending, pick), due.contains_key(&attempt.request))
                 {
-                    a.request_complete |= !known;
-                    if known && a.request_complete {
-                        due.remove(&a.request);
-                        *answers.entry(a.request).or_default() += 1;
+                    ended.request_complete |= !known;
+                    if known && ended.request_complete {
+                        due.remove(&ended.request);
+                        *answers.entry(ended.request).or_default() += 1;
                     }
-                    Event::AttemptEnded(a)
+                    Event::AttemptEnded(ended)
                 } else {
                     Event::Timer
                 }
@@ -163,10 +184,10 @@
         };
         for action in host.at(now, &[event]) {
             match action {
-                Action::Send { request, endpoint: node, .. } => {
-                    assert!(due.contains_key(&request), "sent after its end");
+                Action::Send { request, endpoint, .. } => {
+                    assert!(due.contains_key(&request), "sent after its final answer");
                     let number = host.sends().iter().filter(|s| s.1 == request).count() - 1;
-                    out.push((request, number as u8, node));
+                    in_flight.push(Attempt { request, number: number as u8, endpoint });
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
                     assert!(due.remove(&request).is_some(), "answered twice");
@@ -185,21 +206,21 @@
     #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_limit_is_kept_by_all_hosts_together(steps in steps(600)) {
+    fn the_limit_is_kept_by_all_initiators_together(steps in steps(600)) {
         limit_is_kept(&steps);
     }
 
     #[test]
-    fn every_request_gets_one_answer_and_a_second_run_does_the_same(steps in steps(400)) {
+    fn every_request_gets_one_answer_and_a_second_run_takes_the_same_actions(steps in steps(400)) {
         let first = one_answer_each(&steps);
         prop_assert_eq!(first, one_answer_each(&steps));
     }
 
     #[test]
-    fn any_bytes_are_taken_or_refused_calmly(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn any_bytes_are_accepted_or_rejected_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut framed = (bytes.len() as u32 + 4).to_le_bytes().to_vec();
         framed.extend_from_slice(&bytes);
-        let taken = shaletack::simulator::Adapter::new().answer(&framed);
-        prop_assert!(taken.map_or(true, |reply| reply.len() >= 8));
+        let answered = shaletack::simulator::Adapter::new().answer(&framed);
+        prop_assert!(answered.map_or(true, |reply| reply.len() >= 8));
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,16 +1,17 @@
-//! Each rule and each failure found, by driving the module alone.
+//! The rules of the scheduler and regressions in them, tested on the scheduler alone in virtual time.
 
 mod common;
 use common::*;
 use shaletack::interface::*;
 use std::time::Duration;
 
-fn sent_units(host: &Host, each: f64) -> f64 {
-    host.sends().len() as f64 * each
+/// Returns the units of all sends, if each request has this many.
+fn sent_units(host: &Host, units_each: f64) -> f64 {
+    host.sends().len() as f64 * units_each
 }
 
 #[test]
-fn a_held_request_is_answered_once() {
+fn a_request_without_a_serving_endpoint_is_answered_once() {
     let mut host = Host::new(settings());
     host.at(T0, &[Event::Request(Request { shard: Some(5), ..request(1) })]);
     host.ring_until(T0 + 4 * S);
@@ -20,30 +21,30 @@
 }
 
 #[test]
-fn an_unended_time_out_at_the_deadline_is_failed_in_that_batch() {
+fn a_time_out_at_the_deadline_fails_the_request_in_that_batch() {
     let mut host = Host::new(settings());
     host.at(T0, &[Event::Request(Request { class: 1, ..request(1) })]);
-    let acts = host.at(T0 + 3 * S, &[outcome(1, 0, 1, AttemptOutcome::TimedOut)]);
-    assert!(acts.contains(&Action::Fail { request: 1 }), "{acts:?}");
+    let actions = host.at(T0 + 3 * S, &[outcome(1, 0, 1, AttemptOutcome::TimedOut)]);
+    assert!(actions.contains(&Action::Fail { request: 1 }), "{actions:?}");
 }
 
-/// Found on a standard day: the wire's clock is coarser than ours, a timer rang 393 ns early, was taken
-/// for an old one, and none was set again.
+/// Guards against a timer that is lost: the initiator's clock is coarser than the scheduler's, so a timer
+/// fired 393 ns early. It was taken for an outdated one, and none was set again.
 #[test]
-fn a_timer_that_rings_a_little_early_is_set_again() {
+fn a_timer_that_fires_a_little_early_is_set_again() {
     let mut host = Host::new(settings());
-    let acts = host.at(T0, &[Event::Request(Request { shard: Some(5), ..request(1) })]);
-    let Some(Action::SetTimer(at)) = acts.last() else { panic!("no timer: {acts:?}") };
-    let acts = host.at(*at - Duration::from_nanos(393), &[Event::Timer]);
-    assert!(acts.iter().any(|a| matches!(a, Action::SetTimer(_))), "{acts:?}");
+    let actions = host.at(T0, &[Event::Request(Request { shard: Some(5), ..request(1) })]);
+    let Some(Action::SetTimer(at)) = actions.last() else { panic!("no timer: {actions:?}") };
+    let actions = host.at(*at - Duration::from_nanos(393), &[Event::Timer]);
+    assert!(actions.iter().any(|a| matches!(a, Action::SetTimer(_))), "{actions:?}");
 }
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed_not_sent_again() {
     let mut host = Host::new(settings());
     host.at(T0, &[Event::Request(Request { class: 2, ..request(1) })]);
-    let acts = host.at(T0 + 50 * MS, &[outcome(1, 0, 1, AttemptOutcome::Error)]);
-    assert!(acts.contains(&Action::Fail { request: 1 }), "{acts:?}");
+    let actions = host.at(T0 + 50 * MS, &[outcome(1, 0, 1, AttemptOutcome::Error)]);
+    assert!(actions.contains(&Action::Fail { request: 1 }), "{actions:?}");
     host.ring_until(T0 + 4 * S);
     assert_eq!(host.sends().len(), 1);
 }
@@ -58,13 +59,13 @@
 }
 
 #[test]
-fn a_keyed_request_is_not_sent_again_past_the_memory_of_its_first_attempt() {
+fn a_keyed_request_is_not_sent_again_past_its_deduplication_window() {
     let mut set = settings();
     set.classes[1].dedup_window = 40 * MS;
     let mut host = Host::new(set);
     host.at(T0, &[Event::Request(Request { class: 1, ..request(1) })]);
-    let acts = host.at(T0 + 50 * MS, &[outcome(1, 0, 1, AttemptOutcome::Error)]);
-    assert!(acts.contains(&Action::Fail { request: 1 }), "{acts:?}");
+    let actions = host.at(T0 + 50 * MS, &[outcome(1, 0, 1, AttemptOutcome::Error)]);
+    assert!(actions.contains(&Action::Fail { request: 1 }), "{actions:?}");
     assert_eq!(host.sends().len(), 1);
 }
 
@@ -89,39 +90,39 @@
 
 #[test]
 fn nothing_is_sent_to_a_draining_removed_or_unlisted_endpoint() {
-    for news in [
+    for event in [
         list(EndpointListKind::Delta, vec![EndpointUpdate { readiness: Readiness::Draining, ..line(1, 0) }]),
         list(EndpointListKind::Delta, vec![EndpointUpdate { readiness: Readiness::Removed, ..line(1, 0) }]),
         list(EndpointListKind::Full, vec![line(2, 1)]),
     ] {
         let mut host = Host::new(settings());
-        host.at(T0, &[news]);
+        host.at(T0, &[event]);
         host.at(T0 + MS, &[Event::Request(request(1))]);
         host.ring_until(T0 + 400 * MS);
         assert!(host.sends().is_empty());
         host.at(host.now, &[list(EndpointListKind::Delta, vec![line(3, 0)])]);
-        assert_eq!(host.sends().len(), 1, "its successor holds the shard");
+        assert_eq!(host.sends().len(), 1, "the successor serves the shard");
     }
 }
 
 #[test]
-fn the_list_is_asked_for_at_the_start_and_after_each_failure() {
+fn the_endpoint_list_is_requested_at_the_start_and_after_each_failure() {
     let mut host = Host::new(Settings { endpoint_list_polled: true, ..settings() });
     let watches = |h: &Host| h.log.iter().filter(|a| a.1 == Action::WatchEndpointList(true)).count();
     host.ring_until(host.now + S);
     assert_eq!(watches(&host), 1);
-    for tries in 2..6 {
+    for attempts in 2..6 {
         host.at(host.now + MS, &[list(EndpointListKind::Failed, vec![])]);
         host.ring_until(host.now + 10 * S);
-        assert_eq!(watches(&host), tries);
+        assert_eq!(watches(&host), attempts);
     }
 }
 
 #[test]
 fn an_endpoint_in_slow_start_gets_no_more_than_this_initiators_share_of_its_capacity() {
     let mut host = Host::new(settings());
-    let born = EndpointUpdate { started_at: T0 + S, ..line(1, 0) };
-    host.at(T0 + S, &[list(EndpointListKind::Delta, vec![born])]);
+    let started = EndpointUpdate { started_at: T0 + S, ..line(1, 0) };
+    host.at(T0 + S, &[list(EndpointListKind::Delta, vec![started])]);
     let mut sent = 0;
     for id in 0..400 {
         host.at(T0 + S + ms(id * 5), &[Event::Request(request(id))]);
@@ -130,7 +131,7 @@
             sent += 1;
         }
     }
-    // 60 units for three hosts in 2 s, with what 2 s of warming adds.
+    // 60 units in 2 s for three initiators, and the capacity that the endpoint gains in 2 s of slow start.
     assert!(sent_units(&host, 2.0) <= 20.0 * 1.5, "{}", sent_units(&host, 2.0));
     assert!(sent_units(&host, 2.0) >= 18.0);
 }
@@ -165,9 +166,10 @@
     assert!(sent_units(&host, 2.0) <= 32.0, "{}", sent_units(&host, 2.0));
 }
 
-/// Found on an incident: single connections broke under nodes that lived on, and each was ramped anew.
+/// Guards against slow start without a restart: single connections broke under processes that kept running,
+/// and each time the endpoint was put into slow start again.
 #[test]
-fn a_node_that_answers_right_after_a_break_is_not_ramped() {
+fn an_endpoint_that_answers_right_after_lost_connections_stays_warm() {
     let mut host = Host::new(settings());
     let mut seen = 0;
     for id in 0..400 {
@@ -187,7 +189,7 @@
 }
 
 #[test]
-fn ordered_requests_of_a_key_run_in_turn_and_rest_after_a_break() {
+fn ordered_requests_of_a_key_run_in_turn_and_pause_after_a_lost_connection() {
     let mut set = settings();
     set.classes[0].ordered = true;
     set.rules.ordering_pause = 300 * MS;
@@ -197,10 +199,10 @@
     assert_eq!(host.sends().len(), 1);
     host.at(T0 + 10 * MS, &[Event::ClientLeft(1)]);
     host.ring_until(T0 + 50 * MS);
-    assert_eq!(host.sends().len(), 1, "the first still has an attempt out");
+    assert_eq!(host.sends().len(), 1, "the first request still has an attempt in flight");
     host.at(T0 + 60 * MS, &[outcome(1, 0, 1, AttemptOutcome::ConnectionLost)]);
     host.ring_until(T0 + 355 * MS);
-    assert_eq!(host.sends().len(), 1, "the key rests");
+    assert_eq!(host.sends().len(), 1, "the key is paused");
     host.ring_until(T0 + 420 * MS);
     assert_eq!(host.sends()[1].1, 2);
     host.at(T0 + 430 * MS, &[outcome(2, 0, 1, AttemptOutcome::Served)]);
@@ -226,11 +228,11 @@
     }
     assert_eq!(host.sends().len(), 3);
     host.ring_until(T0 + 2 * S);
-    assert!(host.sends().len() > 3, "the budget comes back");
+    assert!(host.sends().len() > 3, "the retry budget recovers");
 }
 
 #[test]
-fn the_try_limit_is_kept_and_the_request_is_answered() {
+fn the_attempt_limit_is_kept_and_the_request_is_answered() {
     let mut host = Host::new(settings());
     host.at(T0, &[Event::Request(request(1))]);
     for n in 0..3 {
@@ -241,17 +243,18 @@
     assert_eq!((host.sends().len(), host.ends(1).len()), (3, 1));
 }
 
-/// Found on an incident: a part of all attempts vanished, and each held a place until its deadline.
+/// Guards against a window that fills with lost attempts: a part of all attempts was lost in transit, and
+/// each held a slot until its deadline.
 #[test]
-fn attempts_lost_on_the_way_do_not_close_the_window() {
+fn attempts_lost_in_transit_do_not_fill_the_window() {
     let mut host = Host::new(settings());
     let mut served = 0;
     for id in 0..300 {
         host.at(T0 + ms(id * 10), &[Event::Request(request(id))]);
-        for (at, id, node) in host.sends()[served..].to_vec() {
+        for (at, id, endpoint) in host.sends()[served..].to_vec() {
             served += 1;
             if at < T0 + S || id % 4 != 0 {
-                host.at(host.now + MS, &[outcome(id, 0, node, AttemptOutcome::Served)]);
+                host.at(host.now + MS, &[outcome(id, 0, endpoint, AttemptOutcome::Served)]);
             }
         }
     }
@@ -259,7 +262,7 @@
 }
 
 #[test]
-fn a_silent_node_is_not_flooded() {
+fn an_unresponsive_endpoint_is_not_flooded() {
     let mut host = Host::new(settings());
     for id in 0..200 {
         host.at(T0 + ms(id * 10), &[Event::Request(request(id))]);
@@ -268,21 +271,21 @@
 }
 
 #[test]
-fn a_refusing_node_is_tried_again_and_recovers() {
+fn an_endpoint_that_refuses_connections_is_tried_again_and_recovers() {
     let mut host = Host::new(settings());
     let mut seen = 0;
     for id in 0..400 {
         host.at(T0 + ms(id * 10), &[Event::Request(request(id))]);
         for (at, id, _) in host.sends()[seen..].to_vec() {
             let number = host.sends()[..seen].iter().filter(|s| s.1 == id).count() as u8;
-            let up = at > T0 + 2 * S;
+            let is_up = at > T0 + 2 * S;
             host.at(
                 host.now + MS,
                 &[outcome(
                     id,
                     number,
                     1,
-                    if up { AttemptOutcome::Served } else { AttemptOutcome::ConnectFailed },
+                    if is_up { AttemptOutcome::Served } else { AttemptOutcome::ConnectFailed },
                 )],
             );
             seen += 1;
@@ -292,7 +295,8 @@
     assert!(late > 5, "{late} sent in the last second");
 }
 
-/// Found on an incident: impatient clients' attempts could not come back in time, and they came again.
+/// Guards against wasted attempts: those for clients with little time left could not be answered before the
+/// clients left, and the clients sent their requests again.
 #[test]
 fn nothing_is_sent_for_a_client_about_to_leave() {
     let mut host = Host::new(settings());
@@ -305,7 +309,8 @@
     assert_eq!((host.sends().len(), host.ends(2).len()), (1, 1));
 }
 
-/// What a late answer tells ages: soon after it a client with little time is refused, later it is served.
+/// The round trip observed from a late answer decays: soon after the answer a client with little time is
+/// rejected, later its request is sent.
 #[test]
 fn a_late_answer_rejects_requests_only_while_it_is_recent() {
     let mut host = Host::new(settings());
@@ -313,16 +318,17 @@
     let Event::AttemptEnded(mut answer) = outcome(1, 0, 1, AttemptOutcome::Served) else { return };
     answer.elapsed = 2 * S;
     host.at(T0 + 2 * S, &[Event::AttemptEnded(answer)]);
-    let hasty = |id| Event::Request(Request { time_remaining: 500 * MS, ..request(id) });
-    let acts = host.at(T0 + 2 * S + MS, &[hasty(2)]);
-    assert!(acts.iter().any(|a| matches!(a, Action::Reject { request: 2, .. })), "{acts:?}");
-    host.at(T0 + 12 * S, &[hasty(3)]);
+    let urgent = |id| Event::Request(Request { time_remaining: 500 * MS, ..request(id) });
+    let actions = host.at(T0 + 2 * S + MS, &[urgent(2)]);
+    assert!(actions.iter().any(|a| matches!(a, Action::Reject { request: 2, .. })), "{actions:?}");
+    host.at(T0 + 12 * S, &[urgent(3)]);
     assert_eq!(host.sends().last().map(|s| s.1), Some(3));
 }
 
-/// A host whose only place is taken for a second by a first request, and whose second waits behind it.
-fn one_waits(mut set: Settings, second: Request) -> Host {
-    set.classes[0].deadline = S; // What was not sent may wait for half of its time.
+/// A host whose only slot is taken by request 3 while `second` waits for it. Request 1 was answered after a
+/// second, which reduced the window to one slot.
+fn host_with_a_waiting_request(mut set: Settings, second: Request) -> Host {
+    set.classes[0].deadline = S; // Lets an unsent request wait for nearly half of its client's time.
     let mut host = Host::new(Settings { initiators: 1, ..set });
     host.at(T0, &[Event::Request(request(1))]);
     let Event::AttemptEnded(mut answer) = outcome(1, 0, 1, AttemptOutcome::Served) else { return host };
@@ -333,19 +339,21 @@
     host
 }
 
-/// What can no longer be answered before its client leaves is refused then, not held to the deadline.
+/// A request that can no longer be answered before its client leaves is rejected then, not held until its
+/// deadline.
 #[test]
-fn a_request_with_too_little_time_left_is_answered_in_that_step() {
-    let mut host = one_waits(settings(), request(2));
+fn a_request_with_too_little_time_left_is_answered_before_its_deadline() {
+    let mut host = host_with_a_waiting_request(settings(), request(2));
     host.ring_until(T0 + 5 * S);
     let ended = host.ends(2)[0];
     assert!(ended > T0 + 2 * S && ended < T0 + 2400 * MS, "{:?}", ended - T0);
     assert!(!host.sends().iter().any(|s| s.1 == 2));
 }
 
-/// A repeat that no node drops any more is failed when that is so, though its client would wait on.
+/// A repeat that endpoints would no longer deduplicate is failed at that time, although its client would wait
+/// longer.
 #[test]
-fn a_repeat_remembered_no_more_is_failed_in_that_step() {
+fn a_repeat_past_the_deduplication_window_is_failed_at_once() {
     let mut set = settings();
     set.classes[1].dedup_window = 800 * MS;
     let mut host = Host::new(set);
@@ -365,31 +373,32 @@
     assert!(host.log.contains(&(T0 + 800 * MS, Action::Fail { request: 2 })));
 }
 
-/// A refusal tells its client when to come back, spread over hosts, at most as long as clients wait. It
-/// does so whether or not the settings say that clients heed it: a client given up on has to be told.
+/// A rejection tells its client when to retry: after a delay that is randomized across initiators and at most
+/// `max_retry_after`. It does so whether or not the settings say that clients heed the delay, because a
+/// client whose request is given up has to be told.
 #[test]
 fn rejections_carry_retry_after() {
-    let told = |seed: u64| {
+    let retry_after = |seed: u64| {
         let set = Settings { max_retry_after: 900 * MS, ..settings() };
         let mut host =
             Host { scheduler: shaletack::scheduler::Scheduler::new(set, seed, T0), now: T0, log: vec![] };
         host.at(T0, &[Event::Request(request(2))]);
         host.ring_until(T0 + S);
-        let told = |a: &Action| match a {
+        let delay = |action: &Action| match action {
             Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         };
-        host.log.iter().find_map(|(_, a)| told(a)).expect("refused")
+        host.log.iter().find_map(|(_, action)| delay(action)).expect("a rejection")
     };
-    let waits: std::collections::BTreeSet<Duration> = (0..20).map(told).collect();
-    assert!(waits.len() > 5, "{waits:?}");
-    assert!(waits.iter().all(|w| (180 * MS..=900 * MS).contains(w)), "{waits:?}");
+    let delays: std::collections::BTreeSet<Duration> = (0..20).map(retry_after).collect();
+    assert!(delays.len() > 5, "{delays:?}");
+    assert!(delays.iter().all(|delay| (180 * MS..=900 * MS).contains(delay)), "{delays:?}");
 }
 
-/// Found on the quiet day: clients told early came again, and their repeats, late whatever came, took the
-/// places of work that could be in time.
+/// Guards against late work before work in time: clients that were rejected early retried, and their retries,
+/// which were late in any case, took the slots of requests that could still be in time.
 #[test]
-fn a_repeat_whose_first_aim_is_past_yields_to_work_in_time() {
+fn a_client_retry_past_its_objective_yields_to_requests_in_time() {
     let mut host = Host::new(settings());
     host.at(T0, &[Event::Request(request(1)), Event::Request(request(2))]);
     let repeat = Request { time_remaining: 2 * S, ..request(3) };
@@ -400,30 +409,32 @@
 }
 
 #[test]
-fn what_is_out_for_a_client_that_left_is_called_off() {
+fn attempts_for_a_client_that_left_are_cancelled() {
     let mut host = Host::new(settings());
     host.at(T0, &[Event::Request(request(1))]);
-    let acts = host.at(T0 + MS, &[Event::ClientLeft(1)]);
-    assert!(acts.contains(&Action::Cancel { request: 1, number: 0 }), "{acts:?}");
+    let actions = host.at(T0 + MS, &[Event::ClientLeft(1)]);
+    assert!(actions.contains(&Action::Cancel { request: 1, number: 0 }), "{actions:?}");
 }
 
-/// Found on the first calm day on sockets: what no place was found for was refused at the end of its time,
-/// when its client could do nothing more. It is told before half of it; what was tried is waited for.
+/// Guards against rejections that come too late: a request for which no slot was found was rejected at its
+/// deadline, when its client could not retry any more. It is rejected before half of its time, while a
+/// request that has been sent is waited for.
 #[test]
-fn what_was_never_sent_is_refused_before_half_of_its_time() {
+fn an_unsent_request_is_rejected_before_half_of_its_time() {
     let mut host = Host::new(settings());
     host.at(T0, &[Event::Request(Request { shard: Some(5), ..request(1) }), Event::Request(request(2))]);
     host.ring_until(T0 + 2 * S);
     let ended = host.ends(1);
     assert!(ended.len() == 1 && ended[0] < T0 + 1500 * MS, "{ended:?}");
-    assert!(host.ends(2).is_empty(), "the one that is out is not given up");
+    assert!(host.ends(2).is_empty(), "the request in flight is not given up");
 }
 
-/// Found on the second deployment: what waited for units of a limit or for a place was held for half of its
-/// time, four times its aim; boxes then did work that earned a tenth while work in time waited. It is given up
-/// once its client has waited the part of its time that the class's aim is, of less worth the sooner.
+/// Guards against requests that wait unsent for too long: while they were held for half of their time, which
+/// was four times the latency objective, endpoints did work that earned a tenth while requests in time waited.
+/// A request that waits for a slot or for units of a limit is given up after a fraction of its client's time:
+/// the ratio of the class's latency objective to its deadline, divided by the priority factor.
 #[test]
-fn what_is_not_sent_is_given_up_with_its_aim_and_by_its_worth() {
+fn an_unsent_request_is_given_up_by_its_objective_and_priority_weight() {
     let mut set = settings();
     let cheap = RequestClass { priority_weight: 1.0, ..class(Idempotency::Idempotent) };
     set.classes.extend([
@@ -437,53 +448,60 @@
         },
     ]);
     let mut host = Host::new(set);
-    // Class, its client's wait, and when it is told: an aim of a sixth of the deadline, two fifths, those at half
-    // the worth, one too short to find a place in, and settings that name no deadline.
+    // Class, the client's time and the time until the answer, in milliseconds. The classes have an objective
+    // of a sixth of the deadline, one of two fifths, the same at half the priority weight, one too short to
+    // find a slot in, and no deadline at all.
     let cases =
         [(0, 3000, 500), (0, 600, 100), (3, 3000, 1200), (4, 3000, 600), (5, 3000, 300), (6, 1000, 100)];
-    for (id, (class, patience, _)) in (1..).zip(cases) {
-        let nowhere = Request { class, time_remaining: ms(patience), shard: Some(5), ..request(id) };
-        host.at(T0, &[Event::Request(nowhere)]);
+    for (id, (class, client_time, _)) in (1..).zip(cases) {
+        let unserved = Request { class, time_remaining: ms(client_time), shard: Some(5), ..request(id) };
+        host.at(T0, &[Event::Request(unserved)]);
     }
     host.ring_until(T0 + 2 * S);
-    for (id, (class, _, told)) in (1..).zip(cases) {
+    for (id, (class, _, answered_after)) in (1..).zip(cases) {
         let ends = host.ends(id);
-        let in_time = |end: &Duration| (ms(told)..=ms(told) + 2 * MS).contains(&(*end - T0));
-        assert!(ends.len() == 1 && in_time(&ends[0]), "class {class}: {:?}, {told} ms", ends[0] - T0);
+        let in_time =
+            |end: &Duration| (ms(answered_after)..=ms(answered_after) + 2 * MS).contains(&(*end - T0));
+        assert!(
+            ends.len() == 1 && in_time(&ends[0]),
+            "class {class}: {:?}, {answered_after} ms",
+            ends[0] - T0
+        );
     }
 }
 
-/// Units of a limit went to requests past their aim as they came, and those that came next were refused for want of
-/// them: late work leaves half of the store.
+/// Guards against late requests that use up a limit: they drew units as they arrived, and requests that
+/// arrived next were rejected for lack of units. Late requests leave half of the burst in the bucket.
 #[test]
-fn late_work_leaves_units_of_a_limit_to_what_can_be_in_time() {
-    // Plan, the client's wait (others wait 3 s: what is less was spent before), when it comes, and whether it goes.
+fn late_requests_leave_units_of_a_limit_to_requests_in_time() {
+    // Plan, the client's time in milliseconds (others have 3 s, so the difference was spent on earlier
+    // attempts), when the request arrives, and whether it is sent.
     let cases = [(0, 2400, 500, false), (0, 2400, 2000, true), (0, 3000, 500, true), (1, 2400, 500, true)];
-    for (plan, patience, after, goes) in cases {
+    for (plan, client_time, after, is_sent) in cases {
         let mut host = Host::new(Settings { initiators: 1, ..settings() });
-        // The round trip is known from one of another volume.
+        // A request of another volume shows the round trip.
         host.at(T0, &[Event::Request(Request { volume: 8, ..request(1) })]);
         host.ring_until(T0 + 40 * MS);
         host.at(host.now, &[outcome(1, 0, 1, AttemptOutcome::Served)]);
         host.ring_until(T0 + ms(after));
-        let ask = Request { plan, initiators: 1.0, time_remaining: ms(patience), ..request(2) };
-        host.at(host.now, &[Event::Request(ask)]);
-        assert_eq!(host.sends().len() - 1, usize::from(goes), "{plan} {patience} {after}");
-        // It waits no longer for that than for anything else.
+        let limited = Request { plan, initiators: 1.0, time_remaining: ms(client_time), ..request(2) };
+        host.at(host.now, &[Event::Request(limited)]);
+        assert_eq!(host.sends().len() - 1, usize::from(is_sent), "{plan} {client_time} {after}");
+        // A request waits for units no longer than for anything else.
         host.ring_until(host.now + S);
-        assert_eq!(host.sends().len() + host.ends(2).len(), 2, "{plan} {patience} {after}");
+        assert_eq!(host.sends().len() + host.ends(2).len(), 2, "{plan} {client_time} {after}");
     }
 }
 
-/// An attempt late by a whole aim gives its place to one that can still be in time, and is answered.
-/// Through a cut of 6 s all that is sent is given up, and all of it that still can comes at its end: connections live
-/// for 4 s. Before, the store had filled again meanwhile, and what came passed the limit by all that was given up.
+/// Guards against abandoned requests that exceed a limit: during a network partition of 6 s all requests are
+/// abandoned, and at its end those arrive whose connections are still open. A connection lives for 4 s. When
+/// the bucket refilled during the partition, the arrivals exceeded the limit by all abandoned units.
 #[test]
-fn what_was_given_up_keeps_its_units_while_it_may_still_come() {
+fn abandoned_requests_keep_their_units_while_they_may_still_arrive() {
     let set = Settings { keep_alive_timeout: 4 * S, ..settings() };
     let plan = set.plans[0].clone();
     let mut host = Host::new(set);
-    // Each request's units count once, from its first attempt on.
+    // The units of a request count once, from its first attempt on.
     let six_seconds =
         |host: &mut Host, first: RequestId, ending: AttemptOutcome| -> Vec<(Duration, RequestId)> {
             let mut sent: Vec<(Duration, RequestId)> = Vec::new();
@@ -491,31 +509,38 @@
                 let new = Request { plan: 0, initiators: 1.0, ..request(first + n) };
                 let event = if n % 10 == 0 { Event::Request(new) } else { Event::Timer };
                 let mut actions = host.at(host.now + MS, &[event]);
-                while let Some(Action::Send { request, endpoint: node, .. }) =
+                while let Some(Action::Send { request, endpoint, .. }) =
                     actions.iter().find(|a| matches!(a, Action::Send { .. })).cloned()
                 {
-                    let tries = sent.iter().filter(|s| s.1 == request).count();
+                    let attempts = sent.iter().filter(|s| s.1 == request).count();
                     sent.push((host.now, request));
-                    actions = host.at(host.now, &[outcome(request, tries as u8, node, ending)]);
+                    actions = host.at(host.now, &[outcome(request, attempts as u8, endpoint, ending)]);
                 }
             }
             sent.sort_by_key(|s| s.1);
             sent.dedup_by_key(|s| s.1);
             sent
         };
-    let cut = six_seconds(&mut host, 0, AttemptOutcome::TimedOut);
-    let came = 2.0 * cut.iter().filter(|s| s.0 + 4 * S >= host.now).count() as f64;
-    assert!(!cut.is_empty() && came <= plan.burst + plan.tolerance, "{came} units come at once");
-    // Nothing stays drawn for good: past the life of those connections all that the limit allows goes out again.
+    let partition = six_seconds(&mut host, 0, AttemptOutcome::TimedOut);
+    let arrived = 2.0 * partition.iter().filter(|s| s.0 + 4 * S >= host.now).count() as f64;
+    assert!(
+        !partition.is_empty() && arrived <= plan.burst + plan.tolerance,
+        "{arrived} units arrive at once"
+    );
+    // The abandoned units are released: past the life of those connections all that the limit allows is sent
+    // again.
     host.ring_until(host.now + 5 * S);
-    let went = 2.0 * six_seconds(&mut host, 10_000, AttemptOutcome::Served).len() as f64;
-    assert!(went >= 0.9 * (plan.burst + 6.0 * plan.limit), "{went} units went out");
+    let sent = 2.0 * six_seconds(&mut host, 10_000, AttemptOutcome::Served).len() as f64;
+    assert!(sent >= 0.9 * (plan.burst + 6.0 * plan.limit), "{sent} units are sent");
 }
 
+/// An attempt that is late by a whole latency objective is cancelled and answered, so that a request that can
+/// still be in time gets its slot.
 #[test]
 fn a_late_attempt_frees_capacity_for_one_that_can_be_in_time() {
     let late = |cancels| {
-        let mut host = one_waits(Settings { cancellation_allowed: cancels, ..settings() }, request(2));
+        let mut host =
+            host_with_a_waiting_request(Settings { cancellation_allowed: cancels, ..settings() }, request(2));
         host.ring_until(T0 + 1950 * MS);
         host.at(host.now, &[Event::Request(request(4))]);
         host.ring_until(T0 + 2 * S + 100 * MS);
@@ -527,20 +552,20 @@
     assert!(late(false).ends(3).is_empty());
 }
 
-/// One that is being answered, or whose body is not whole there, holds no place: the next goes out beside it, and
-/// nothing is called off for room.
+/// A request whose response has begun, or whose body is incomplete, holds no slot: the next request is sent
+/// beside it, and it is not cancelled to free a slot.
 #[test]
 fn a_request_being_answered_or_not_yet_complete_takes_no_slot() {
-    for free in [Event::ResponseStarted(1), Event::RequestBody { request: 1, moves: true }] {
+    for event in [Event::ResponseStarted(1), Event::RequestBody { request: 1, moves: true }] {
         let mut host = Host::new(settings());
         for id in 1..=6 {
             host.at(T0, &[Event::Request(request(id))]);
         }
-        let out = |host: &Host| host.sends().len();
-        let before = out(&host);
+        let sent = |host: &Host| host.sends().len();
+        let before = sent(&host);
         assert!(before < 6);
-        host.at(T0 + MS, &[free]);
-        assert_eq!(out(&host), before + 1);
+        host.at(T0 + MS, &[event]);
+        assert_eq!(sent(&host), before + 1);
         host.ring_until(T0 + 1100 * MS);
         assert!(!host.log.iter().any(|(_, a)| *a == Action::Cancel { request: 1, number: 0 }));
     }
@@ -549,15 +574,15 @@
 #[test]
 fn requests_of_one_key_continue_past_the_window() {
     let mut host = Host::new(settings());
-    let of = |id, key| Event::Request(Request { key, ..request(id) });
-    host.at(T0, &[of(1, 5), of(2, 6), of(3, 7), of(4, 5), of(5, 5)]);
+    let keyed = |id, key| Event::Request(Request { key, ..request(id) });
+    host.at(T0, &[keyed(1, 5), keyed(2, 6), keyed(3, 7), keyed(4, 5), keyed(5, 5)]);
     let sent: Vec<u64> = host.sends().iter().map(|s| s.1).collect();
     assert_eq!(sent[..3], [1, 4, 5]);
     assert!(!sent.contains(&3));
 }
 
 #[test]
-fn under_pressure_service_follows_the_weights() {
+fn service_under_load_follows_the_weights() {
     let mut set = settings();
     set.plans = vec![Plan { weight: 1.0, ..Plan::default() }, Plan { weight: 3.0, ..Plan::default() }];
     let mut host = Host::new(set);
@@ -576,9 +601,9 @@
 }
 
 #[test]
-fn odd_but_legal_events_do_nothing() {
+fn unexpected_but_legal_events_have_no_effect() {
     let mut host = Host::new(settings());
-    let acts = host.at(
+    let actions = host.at(
         T0 + MS,
         &[
             outcome(99, 0, 1, AttemptOutcome::Served),
@@ -590,11 +615,14 @@
             list(EndpointListKind::Failed, vec![]),
         ],
     );
-    assert!(acts.iter().all(|a| matches!(a, Action::SetTimer(_) | Action::WatchEndpointList(_))), "{acts:?}");
+    assert!(
+        actions.iter().all(|a| matches!(a, Action::SetTimer(_) | Action::WatchEndpointList(_))),
+        "{actions:?}"
+    );
 }
 
 #[test]
-fn settings_with_nothing_in_them_still_serve() {
+fn empty_settings_still_serve_requests() {
     let mut host = Host::new(Settings::default());
     host.at(
         T0,
@@ -606,9 +634,9 @@
     assert_eq!(host.ends(1).len(), 1);
 }
 
-/// A window that shut on late answers opens again once answers are prompt.
+/// A window that late answers reduced to one slot grows again once answers are prompt.
 #[test]
-fn late_answers_do_not_shut_the_window_for_good() {
+fn late_answers_do_not_reduce_the_window_for_good() {
     let mut host = Host::new(settings());
     let (mut seen, mut id) = (0, 0);
     while id < 2000 || seen < host.sends().len() {
@@ -622,28 +650,29 @@
             host.at(host.now + 10 * MS, &[Event::AttemptEnded(answer)]);
             seen += 1;
             if seen == 23 {
-                assert!(sent_at_once(&host) <= 1, "shut after late answers");
+                assert!(sent_at_once(&host) <= 1, "reduced after late answers");
             }
         }
     }
-    let (shut, open) = (host.sends()[22].0, host.sends()[35].0);
-    assert!(open < shut + 6 * S, "prompt answers end the rests: {:?}", open - shut);
-    assert_eq!(sent_at_once(&host), 2, "open again");
+    let (reduced, full) = (host.sends()[22].0, host.sends()[35].0);
+    assert!(full < reduced + 6 * S, "prompt answers end the pauses: {:?}", full - reduced);
+    assert_eq!(sent_at_once(&host), 2, "full again");
 }
 
-/// How many of three requests this host, as it stands, would send in one batch.
+/// Returns how many of three new requests a host would send in one batch, without a change to its state.
 fn sent_at_once(host: &Host) -> usize {
     let mut actions = Vec::new();
-    let asks: Vec<Event> = (501..504).map(|id| Event::Request(request(id))).collect();
-    host.scheduler.clone().step(host.now + MS, &asks, &mut actions);
+    let requests: Vec<Event> = (501..504).map(|id| Event::Request(request(id))).collect();
+    host.scheduler.clone().step(host.now + MS, &requests, &mut actions);
     actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
 }
 
-/// Found on zone+brink: a third of the connections came up late, and each that did not in time was taken for a restart:
-/// its box was held back and counted as cold for the whole warm-up.
+/// Guards against restarts presumed without need: a third of the connections were established late, and each
+/// that timed out was taken for a restart. Its endpoint was held back and put into slow start for the whole
+/// warm-up.
 #[test]
-fn one_connection_that_does_not_come_up_is_no_restart_of_its_endpoint() {
-    let sent = |tooks: &[Duration]| {
+fn a_single_connect_timeout_is_not_a_restart_of_the_endpoint() {
+    let sent = |connect_times: &[Duration]| {
         let mut host = Host::new(Settings { connect_timeout: 250 * MS, ..settings() });
         host.at(
             T0,
@@ -652,21 +681,21 @@
                 Event::Request(Request { time_remaining: 2 * S, ..request(1) }),
             ],
         );
-        for (number, took) in tooks.iter().enumerate() {
+        for (number, connect_time) in connect_times.iter().enumerate() {
             let Event::AttemptEnded(attempt) = outcome(1, number as u8, 1, AttemptOutcome::ConnectFailed)
             else {
                 return 0;
             };
             host.at(
                 T0 + 250 * MS + number as u32 * MS,
-                &[Event::AttemptEnded(EndedAttempt { elapsed: *took, ..attempt })],
+                &[Event::AttemptEnded(EndedAttempt { elapsed: *connect_time, ..attempt })],
             );
         }
-        // And as many as a warm box takes at a time.
+        // A second request, which the window of a warm endpoint holds as well.
         host.at(T0 + 260 * MS, &[Event::Request(request(2))]);
         host.sends().len()
     };
-    assert_eq!(sent(&[250 * MS]), 3, "once more, and the next");
-    assert_eq!(sent(&[2 * MS]), 1, "refused: it may be starting anew");
+    assert_eq!(sent(&[250 * MS]), 3, "retried, and the next request is sent");
+    assert_eq!(sent(&[2 * MS]), 1, "refused: the endpoint may be restarting");
     assert_eq!(sent(&[250 * MS, 250 * MS]), 2, "twice in a row: held back");
 }
