--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -1,39 +1,40 @@
-//! Counts of requests by class and of attempts by outcome since the start, and when they are logged next.
+//! Counters of requests by class and of attempts by outcome since the process started, and the schedule on
+//! which they are logged.
 
 use crate::outcome::TransportOutcome;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often the counts go to the log, while the broker has anything to do.
+/// The interval at which the counters are logged while the broker has inputs to handle.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What became of the requests of one class.
+/// Counters of the requests of one class, by their outcome.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestCounters {
-    /// How many were taken.
+    /// Requests that arrived.
     pub taken: u64,
-    /// How many were served.
+    /// Requests that were served.
     pub served: u64,
-    /// The units of the served ones.
+    /// The units of the served requests.
     pub units: f64,
-    /// How many were rejected.
+    /// Requests that were rejected.
     pub rejected: u64,
-    /// How many failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// How many clients left before their answer.
+    /// Requests whose client left before the final answer.
     pub client_left: u64,
 }
 
-/// The counts of one class.
+/// The counters of one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassCounters {
     /// The name of the class.
     pub class: String,
-    /// What became of its requests.
+    /// The counters of the requests of the class.
     pub requests: RequestCounters,
 }
 
-/// All counts since the start.
+/// All counters since the process started.
 #[derive(Clone, Debug)]
 pub(crate) struct Counters {
     by_class: Vec<ClassCounters>,
@@ -42,12 +43,13 @@
 }
 
 impl Counters {
-    /// Nothing is counted yet.
+    /// Creates counters without any class.
     pub(crate) fn new(now: Duration) -> Self {
         Counters { by_class: Vec::new(), by_outcome: BTreeMap::new(), logged_at: now }
     }
 
-    /// Counts these classes as well. Numbers of classes are never given anew: names that are already counted come first.
+    /// Adds a counter for each class that has none. `names` are all classes by number; class numbers are
+    /// never reused, so the classes that already have a counter come first.
     pub(crate) fn extend_classes<'a>(&mut self, names: impl Iterator<Item = &'a String>) {
         let new = names.skip(self.by_class.len());
         self.by_class.extend(
@@ -55,29 +57,29 @@
         );
     }
 
-    /// Changes the counts of a class, given by its number.
+    /// Applies `change` to the counters of the class of that number.
     pub(crate) fn count(&mut self, class: u16, change: impl FnOnce(&mut RequestCounters)) {
         if let Some(counters) = self.by_class.get_mut(class as usize) {
             change(&mut counters.requests);
         }
     }
 
-    /// Counts the end of an attempt.
+    /// Counts an ended attempt.
     pub(crate) fn count_attempt(&mut self, outcome: TransportOutcome) {
         *self.by_outcome.entry(format!("{outcome:?}")).or_default() += 1;
     }
 
-    /// The counts of requests, by number of their class.
+    /// Returns the request counters, indexed by class number.
     pub(crate) fn by_class(&self) -> &[ClassCounters] {
         &self.by_class
     }
 
-    /// How many attempts ended in which way, by the outcome's name.
+    /// Returns the number of ended attempts, by the name of their outcome.
     pub(crate) fn by_outcome(&self) -> &BTreeMap<String, u64> {
         &self.by_outcome
     }
 
-    /// Whether the counts are due to be logged; if so, the next time is one interval from now.
+    /// Returns whether the counters are due to be logged. If so, they are next due one interval from now.
     pub(crate) fn take_log_due(&mut self, now: Duration) -> bool {
         let due = now >= self.logged_at + LOG_INTERVAL;
         if due {
--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: who the endpoints are, in the form that discovery gives it.
+//! The endpoint list and the parser for the JSON form in which discovery sends it.
 
 use crate::interface::{EndpointListKind, Readiness};
 use crate::json::{self, JsonError, JsonField};
@@ -8,109 +8,111 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// One endpoint as listed.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Its name, the same at every initiator.
+    /// The endpoint's name, the same at every initiator.
     pub id: String,
-    /// Where this initiator reaches it; a removed one needs none.
+    /// The address at which this initiator reaches the endpoint; a removed endpoint needs none.
     pub address: Option<SocketAddr>,
-    /// The name of its zone.
+    /// The name of the endpoint's zone.
     pub zone: String,
-    /// The shard it holds.
+    /// The shard that the endpoint holds.
     pub shard: u16,
-    /// What it is ready for.
+    /// Whether the endpoint takes work.
     pub readiness: Readiness,
-    /// When it last started, as Unix time; `None`: long ago.
+    /// When the endpoint last started, as Unix time; `None`: long ago.
     pub up_since: Option<Duration>,
 }
 
-/// A report on the list.
+/// A message about the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
     /// The list's revision.
     pub revision: u64,
-    /// The whole list, or what changed.
+    /// Whether the entries are the complete list or only the changed part of it.
     pub kind: EndpointListKind,
     /// The entries.
     pub entries: Vec<EndpointRecord>,
 }
 
-/// A list that was read, and what is wrong with the entries that were passed over.
+/// A parsed list, and the errors of entries that were skipped or overridden.
 #[derive(Debug)]
 pub struct ReadList {
-    /// The list.
+    /// The list of valid entries.
     pub list: EndpointList,
-    /// The faults of other entries.
+    /// The errors of other entries.
     pub faults: Vec<EntryError>,
 }
 
-/// What is wrong with one entry of a list.
+/// Why an entry of a list is skipped.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// It is not of the form of an entry.
+    /// The entry is not an object of the expected form.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// It has no name.
-    #[error("a member of the list has no id")]
+    /// The entry has no name.
+    #[error("member without an id")]
     NoId,
-    /// A field of it can't be read.
+    /// A field of the entry is invalid.
     #[error("member {id}: {source}")]
     Field {
-        /// Its name.
+        /// The endpoint's name.
         id: String,
-        /// What is wrong.
+        /// The error of the field.
         source: FieldError,
     },
-    /// An entry before it has the same name.
-    #[error("member {id} is listed twice: the last counts")]
+    /// Two entries have the same name; the earlier one is skipped.
+    #[error("member {id} is listed twice; the last entry is used")]
     Duplicate {
-        /// The name.
+        /// The endpoint's name.
         id: String,
     },
 }
 
-/// Why a field of an entry can't be read.
+/// Why a field of an entry is invalid.
 #[derive(Debug, Error)]
 pub enum FieldError {
-    /// It has another type than it should.
+    /// The field has another type than expected.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// The readiness is none of those known.
-    #[error("'{0}' is not a phase")]
+    /// The phase is not one of "up", "draining" and "removed".
+    #[error("unknown phase '{0}'")]
     UnknownPhase(String),
-    /// The address can't be parsed.
+    /// The address cannot be parsed.
     #[error("'{0}' is not an address and port")]
     BadAddress(String),
 }
 
-/// Reads one report; the text's bytes are overwritten.
+/// Parses one message about the list; the text's bytes are overwritten.
 pub fn read(text: &mut [u8]) -> Result<ReadList, JsonError> {
     let value = json::parse(text)?;
     read_list(JsonField::object(&value, "the list")?)
 }
 
-/// A report from an object already parsed. One bad entry must not keep the others from counting: it is passed over and
-/// named. Of entries with the same id the last counts.
+/// Reads a list from a parsed JSON object.
+///
+/// An invalid entry is skipped and reported in [`ReadList::faults`], so that it does not prevent the use of
+/// the others. Of several entries with the same id the last is used.
 pub fn read_list(object: JsonField) -> Result<ReadList, JsonError> {
     let complete = object.field("complete").boolean()?;
     let kind = if complete { EndpointListKind::Full } else { EndpointListKind::Delta };
-    let (mut entries, mut faults) = (BTreeMap::new(), Vec::new());
+    let (mut entries, mut errors) = (BTreeMap::new(), Vec::new());
     for entry in object.field("members").list()? {
         match read_record(entry) {
-            Err(fault) => faults.push(fault),
+            Err(error) => errors.push(error),
             Ok(record) => {
                 let earlier = entries.insert(record.id.clone(), record);
-                faults.extend(earlier.map(|record: EndpointRecord| EntryError::Duplicate { id: record.id }));
+                errors.extend(earlier.map(|record: EndpointRecord| EntryError::Duplicate { id: record.id }));
             }
         }
     }
     let revision = object.field("revision").integer()?;
     let list = EndpointList { revision, kind, entries: entries.into_values().collect() };
-    Ok(ReadList { list, faults })
+    Ok(ReadList { list, faults: errors })
 }
 
-/// Reads one entry; an error names it.
+/// Reads one entry. An error names the endpoint, where the entry has an id.
 pub fn read_record(entry: JsonField) -> Result<EndpointRecord, EntryError> {
     let id = entry.field("id").text()?;
     if id.is_empty() {
--- a/crates/core/src/interface/action.rs
+++ b/crates/core/src/interface/action.rs
@@ -1,56 +1,56 @@
-//! Actions: what the scheduler asks its initiator to do.
+//! The actions that the scheduler requests from its initiator.
 
 use super::{EndpointId, RequestId};
 use std::time::Duration;
 
-/// One thing to do. Actions are carried out in the order given.
+/// One action. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt; it ends when the client gives up at the latest.
+    /// Starts an attempt. The attempt ends at the latest when the client stops waiting.
     Send {
-        /// Whose attempt.
+        /// The request to send.
         request: RequestId,
-        /// Where it goes.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// When it times out; 0: when the client gives up.
+        /// How long after its start the attempt times out; 0: only when the client stops waiting.
         timeout: Duration,
     },
-    /// Final answer: rejected, the client may safely come again.
+    /// Gives a request its final answer: rejected. The client may safely retry.
     Reject {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// How long its client should stay away; 0: no advice.
+        /// How long the client should wait before it retries; 0: no advice.
         retry_after: Duration,
     },
-    /// Final answer: failed, and it may have taken effect or not.
+    /// Gives a request its final answer: failed. The request may have taken effect or not.
     Fail {
-        /// Which request.
+        /// The request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancels an attempt: its result is no longer awaited.
     Cancel {
-        /// Whose attempt.
+        /// The request of the attempt.
         request: RequestId,
-        /// Which of its attempts, from 0.
+        /// The number of the attempt, from 0.
         number: u8,
     },
-    /// Bring [`Event::Timer`](super::Event::Timer) at this time or after it.
+    /// Schedules [`Event::Timer`](super::Event::Timer) for this time or later.
     SetTimer(Duration),
-    /// Send an endpoint a health check.
+    /// Sends a health check to an endpoint.
     HealthCheck(EndpointId),
-    /// Close idle connections to an endpoint.
+    /// Closes the idle connections to an endpoint.
     CloseIdle(EndpointId),
-    /// Send a message to other initiators.
+    /// Sends a message to one initiator or to all others.
     SendPeerMessage {
-        /// The rank of the one it is for; `None`: all.
+        /// The rank of the receiver; `None`: all other initiators.
         to: Option<u16>,
         /// The message.
         bytes: Vec<u8>,
     },
-    /// Write a line to the log.
+    /// Writes a line to the log.
     Log(String),
-    /// Subscribe to changes of the endpoint list, or end the subscription.
+    /// Subscribes to changes of the endpoint list, or ends the subscription.
     WatchEndpointList(bool),
-    /// Ask for the complete endpoint list once.
+    /// Requests the complete endpoint list once.
     FetchEndpointList,
 }
--- a/crates/core/src/interface/endpoint.rs
+++ b/crates/core/src/interface/endpoint.rs
@@ -3,61 +3,61 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The number of an endpoint; it stays the same when the endpoint's process restarts.
+/// Identifies an endpoint. The number stays the same when the endpoint's process restarts.
 pub type EndpointId = u32;
 
 /// Whether an endpoint takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum Readiness {
-    /// Takes work.
+    /// The endpoint takes work.
     #[default]
     Ready,
-    /// Finishes the work it has; nothing new may be sent.
+    /// The endpoint finishes the work it has; nothing new may be sent to it.
     Draining,
-    /// The endpoint list has it no more.
+    /// The endpoint is no longer listed.
     #[serde(rename = "Gone")]
     Removed,
 }
 
-/// One line of the endpoint list.
+/// One entry of the endpoint list, in the scheduler's terms.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointUpdate {
-    /// Which endpoint.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: u16,
-    /// The shard it holds.
+    /// The shard that the endpoint holds.
     pub shard: u16,
-    /// Whether it takes work.
+    /// Whether the endpoint takes work.
     pub readiness: Readiness,
-    /// When it last started; 0: long ago.
+    /// When the endpoint last started; 0: long ago.
     pub started_at: Duration,
-    /// A number for that start that is the same at every initiator; 0: `started_at` in nanoseconds.
+    /// A number that identifies this start at every initiator; 0: `started_at` in nanoseconds identifies it.
     pub start_id: u64,
 }
 
 /// What a message about the endpoint list holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// Only the lines that changed.
+    /// Only the entries that changed.
     Delta,
     /// The complete list.
     Full,
-    /// The complete list as this initiator last saw it, perhaps long ago.
+    /// The complete list as this initiator last received it, perhaps long ago.
     Cached,
-    /// No lines: a call failed or the subscription broke. The old list stands.
+    /// No entries: a call failed or the subscription broke. The previous list stays in force.
     Failed,
 }
 
-/// An endpoint's own figures, as it last measured them; `None`: not reported.
+/// The load that an endpoint last measured and reported; `None`: not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Recent service time without waiting, in milliseconds.
+    /// Recent service time without queueing, in milliseconds.
     pub service_ms: Option<f64>,
-    /// Requests that wait there.
+    /// Requests queued at the endpoint.
     pub queued: Option<f64>,
-    /// Part of its cores in use, from 0 to 1.
+    /// Fraction of the endpoint's cores in use, from 0 to 1.
     pub utilization: Option<f64>,
-    /// Requests that it works on.
+    /// Requests being served.
     pub in_flight: Option<f64>,
 }
--- a/crates/core/src/interface/event.rs
+++ b/crates/core/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! Events: what the scheduler is told.
+//! The events that the scheduler receives.
 
 use super::{
     EndedAttempt, EndpointId, EndpointListKind, EndpointUpdate, LoadReport, Request, RequestId, Settings,
@@ -6,64 +6,66 @@
 };
 use std::time::Duration;
 
-/// What other initiators say, as far as it bears on what is sent; it replaces what they said before.
+/// What other initiators report, as far as it affects what is sent. Replaces all earlier reports.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PeerGossip {
-    /// Endpoints that fail elsewhere, and until when they are held back.
+    /// Endpoints to which attempts fail, and until when each is held back.
     pub held_back_until: Vec<(EndpointId, Duration)>,
-    /// Units that others sent an endpoint in slow start within the overload window.
+    /// Units that other initiators sent to each endpoint in slow start within the overload window.
     pub units_sent: Vec<(EndpointId, f64)>,
-    /// Units a second that others are asked for, by volume, and when that was observed.
+    /// Units per second that clients request from other initiators, by volume, and when that was observed.
     pub demand: Vec<(VolumeId, f64, Duration)>,
 }
 
-/// What happened. Events of one batch stand in the order in which they came.
+/// One event. The events of a batch are in the order in which they occurred.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list or a change of it.
+    /// The endpoint list or a change of the list was received.
     EndpointList {
-        /// What it holds.
+        /// What the message holds.
         kind: EndpointListKind,
-        /// Its lines.
+        /// Its entries.
         lines: Vec<EndpointUpdate>,
     },
-    /// A request came in.
+    /// A request arrived.
     Request(Request),
-    /// The answer to a request of a streamed class has begun; its deadline no longer counts.
+    /// The response to a request of a streamed class has begun; the deadline of the request no longer
+    /// applies.
     ResponseStreaming(RequestId),
-    /// The first bytes of the answer to a request's last attempt have come.
+    /// The first bytes of the response to the last attempt of a request have arrived.
     ResponseStarted(RequestId),
-    /// The body of a request goes out as its client sends it, or its last byte has gone.
+    /// The body of a request is being sent as its client sends it, or its last byte has been sent.
     RequestBody {
-        /// Whose body.
+        /// The request.
         request: RequestId,
-        /// It is on its way.
+        /// Whether the body is still being sent.
         moves: bool,
     },
     /// An attempt ended.
     AttemptEnded(EndedAttempt),
-    /// The settings from now on. Numbers of classes and plans mean what they meant, and there may be more.
+    /// New settings are in force. The numbers of existing classes and plans keep their meaning; there may be
+    /// more of them.
     Settings(Box<Settings>),
-    /// This process's part of every budget, from 0 to 1; another process of the same initiator has the rest.
+    /// This process's share of every budget, from 0 to 1; another process of the same initiator has the rest.
     BudgetShare(f64),
     /// The client left; no answer is owed any more.
     ClientLeft(RequestId),
     /// A timer is due.
     Timer,
-    /// What other initiators say.
+    /// Reports of other initiators.
     Gossip(PeerGossip),
-    /// A health check came back.
+    /// A health check ended.
     HealthChecked {
-        /// Which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// It answered.
+        /// Whether the endpoint answered.
         ok: bool,
-        /// Its figures.
+        /// The load that the endpoint reported.
         load: LoadReport,
     },
-    /// Another initiator's message.
+    /// A message of another initiator arrived.
     PeerMessage {
-        /// Its rank.
+        /// The sender's rank.
         from: u16,
         /// The message.
         bytes: Vec<u8>,
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -1,7 +1,8 @@
-//! What an initiator and its scheduler say to each other: settings, events and actions.
+//! The interface between an initiator and its scheduler: settings, events and actions.
 //!
-//! A point in time is the span since the zero of the initiator's clock, which never goes backwards. Units are the sizes
-//! of requests, in which reserves, limits and capacities are counted. Classes, plans, zones and shards go by number.
+//! A point in time is a [`Duration`](std::time::Duration) since the zero of the initiator's clock, which
+//! never goes backwards. Request sizes are given in units, in which reserves, limits and capacities are
+//! counted too. Classes, plans, zones and shards are identified by number.
 
 mod action;
 mod endpoint;
--- a/crates/core/src/interface/request.rs
+++ b/crates/core/src/interface/request.rs
@@ -1,61 +1,61 @@
-//! Requests, and how their attempts end.
+//! Requests, and the outcomes of their attempts.
 
 use super::{EndpointId, LoadReport};
 use std::time::Duration;
 
-/// The number an initiator gives a request; never used twice.
+/// Identifies a request at its initiator; never reused.
 pub type RequestId = u64;
-/// The number of a volume.
+/// Identifies a volume.
 pub type VolumeId = u64;
 
-/// A request that has come in.
+/// A request of a client.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Its number.
+    /// The request's number.
     pub id: RequestId,
-    /// Its class, by number.
+    /// The number of the request's class.
     pub class: u16,
-    /// Its volume.
+    /// The volume.
     pub volume: VolumeId,
-    /// The volume's plan, by number.
+    /// The number of the volume's plan.
     pub plan: u16,
-    /// How many initiators the volume's requests come through.
+    /// The number of initiators through which the volume's requests arrive.
     pub initiators: f64,
-    /// The piece of data that is read or written; 0: none.
+    /// Identifies the data that is read or written; 0: none.
     pub key: u64,
-    /// The shard that holds the data; `None`: a new object, which any endpoint can take.
+    /// The shard that holds the data; `None`: a new object, which any endpoint can store.
     pub shard: Option<u16>,
-    /// Its size, in units.
+    /// The request's size, in units.
     pub units: f64,
-    /// How long until the client gives up.
+    /// How long the client still waits.
     pub time_remaining: Duration,
-    /// The client marked it as a repeat of its own.
+    /// Whether the client marked the request as a retry of its own.
     pub client_retry: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served.
+    /// The endpoint served the request.
     Served,
-    /// The endpoint answered with an error; it may have run.
+    /// The endpoint answered with an error; the request may have run.
     Error,
-    /// Rejected unseen; it did not run.
+    /// The endpoint rejected the request without processing it; the request did not run.
     Rejected,
-    /// No answer in time; it may have run or still run.
+    /// No answer came in time; the request may have run, or may still run.
     TimedOut,
-    /// No connection; it did not run.
+    /// No connection was established; the request did not run.
     ConnectFailed,
-    /// The connection broke; it may have run or still run.
+    /// The connection was lost; the request may have run, or may still run.
     ConnectionLost,
-    /// Cancelled; it may have run or still run.
+    /// The attempt was cancelled; the request may have run, or may still run.
     Cancelled,
-    /// Never sent; it did not run.
+    /// The attempt was never sent; the request did not run.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Proof that nothing of the attempt ran.
+    /// Returns whether the outcome proves that nothing of the attempt ran.
     pub fn never_ran(self) -> bool {
         matches!(self, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
     }
@@ -64,22 +64,24 @@
 /// The end of one attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedAttempt {
-    /// Whose attempt.
+    /// The request of the attempt.
     pub request: RequestId,
-    /// Which of its attempts, from 0.
+    /// The number of the attempt, from 0.
     pub number: u8,
-    /// Where it went.
+    /// The endpoint to which the attempt was sent.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// The outcome.
     pub outcome: AttemptOutcome,
-    /// How long since it was sent.
+    /// The time since the attempt was sent.
     pub elapsed: Duration,
-    /// No answer is owed for the request any more, by this attempt or one before it.
+    /// Whether the request has its final answer, by this attempt or an earlier one.
     pub request_complete: bool,
-    /// Units served for the volume everywhere in a finished period, in parts of the plan's rate; `None`: not told.
+    /// Units served to the volume through all initiators in a completed period, as a fraction of the plan's
+    /// rate; `None`: not reported.
     pub volume_usage: Option<f64>,
-    /// Units that this endpoint's shard served the volume through other initiators since its last answer here.
+    /// Units that the endpoint's shard served to the volume through other initiators since the shard's last
+    /// answer here.
     pub units_elsewhere: f64,
-    /// The endpoint's figures, where some came along.
+    /// The load that the endpoint reported with the answer.
     pub load_report: LoadReport,
 }
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -1,103 +1,107 @@
-//! Settings: request classes, plans, the rules that all initiators share, and what this site allows.
+//! Settings: request classes, plans, the rules shared by all initiators, and the features that a site allows.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What a repeat of a request may do.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Idempotency {
     /// A repeat does no harm.
     #[default]
     Idempotent,
-    /// The endpoints of one scope drop a repeat within the deduplication window.
+    /// The endpoints of the class's [`DedupScope`] drop a repeat within the deduplication window.
     Keyed,
     /// A repeat would take effect again.
     NotIdempotent,
 }
 
-/// Which endpoints drop the repeats of a keyed request.
+/// The endpoints that drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum DedupScope {
-    /// Every endpoint.
+    /// All endpoints.
     #[default]
     All,
-    /// Those of the zone of its first attempt.
+    /// The endpoints of the zone of the first attempt.
     Zone,
-    /// Those of the shard of its first attempt.
+    /// The endpoints of the shard of the first attempt.
     Shard,
 }
 
 /// One class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestClass {
-    /// Its name.
+    /// The class's name.
     pub name: String,
-    /// An answer within this time earns the full priority weight.
+    /// The time within which an answer earns the full priority weight.
     pub latency_objective: Duration,
-    /// How long a client waits in all, over all of its tries.
+    /// How long a client waits in total, over all of its attempts.
     pub deadline: Duration,
-    /// The part of the priority weight that an answer after the latency objective still earns, from 0 to 1.
+    /// The fraction of the priority weight that an answer after the latency objective still earns, from 0 to
+    /// 1.
     pub late_weight: f64,
-    /// What one answered request counts.
+    /// The value of one answered request, relative to other classes.
     pub priority_weight: f64,
-    /// What a repeat may do.
+    /// Whether a request may be repeated.
     pub idempotency: Idempotency,
-    /// Which endpoints drop repeats of a keyed request.
+    /// The endpoints that drop repeats of a keyed request.
     pub dedup_scope: DedupScope,
-    /// How long repeats are dropped, from the send of the first attempt that may have run.
+    /// How long repeats are dropped, counted from the send of the first attempt that may have run.
     pub dedup_window: Duration,
-    /// Requests with the same key run one at a time, in the order taken.
+    /// Whether requests with the same key run one at a time, in the order of their arrival.
     pub ordered: bool,
-    /// The most attempts of one of its requests; 0: the settings' `max_attempts`.
+    /// The maximum number of attempts for one request; 0: [`Settings::max_attempts`] applies.
     pub max_attempts: u32,
-    /// Newer settings have it no more: only requests taken under it stay.
+    /// Whether newer settings dropped the class: only requests that arrived before keep it.
     pub retired: bool,
 }
 
-/// One plan; its figures hold for each of its volumes, over all initiators and endpoints together.
+/// One plan. Its figures apply to each of its volumes, over all initiators and endpoints together.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Its name.
+    /// The plan's name.
     pub name: String,
-    /// Units a second that such a volume is sized for.
+    /// The rate that a volume of the plan is sized for, in units per second.
     pub rate: f64,
-    /// Units a second that earn their full weight.
+    /// The rate that earns its full weight, in units per second.
     pub reserve: f64,
-    /// Units a second at which the limit's bucket fills; 0: no limit.
+    /// The fill rate of the limit's token bucket, in units per second; 0: no limit.
     pub limit: f64,
-    /// The most units that the limit's bucket holds.
+    /// The capacity of the limit's token bucket, in units.
     pub burst: f64,
-    /// How many units that bucket may go below 0.
+    /// How many units the limit's token bucket may be overdrawn.
     pub tolerance: f64,
-    /// Its part of what endpoints can do beyond the reserves, against the other plans' weights.
+    /// The plan's share of the capacity beyond the reserves, relative to the weights of other plans.
     pub weight: f64,
-    /// A factor on what its requests count.
+    /// A factor on the value of the plan's requests.
     pub price: f64,
-    /// Newer settings have it no more.
+    /// Whether newer settings dropped the plan.
     pub retired: bool,
 }
 
-/// The rules that all initiators keep with no agreement between them.
+/// The rules that all initiators follow without coordination.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SharedRules {
-    /// An initiator that may not have heard of changes for this long counts as notified of them; 0: no such time.
+    /// The time after which an initiator counts as notified of changes that it may not have received; 0: no
+    /// such time.
     pub notified_within: Duration,
-    /// The part of its usual work that an endpoint can do just after its start, at least.
+    /// The fraction of its usual work that an endpoint can do just after its start, at least.
     pub slow_start_capacity: f64,
-    /// An endpoint can do all of its usual work this long after its start.
+    /// The time after its start from which an endpoint can do all of its usual work.
     pub slow_start_duration: Duration,
-    /// An endpoint in slow start fails when all initiators together send it more than so many times what it can do,
-    /// over `overload_window`; 0: not stated.
+    /// An endpoint in slow start fails when all initiators together send it more than this many times the
+    /// work that it can do, over `overload_window`; 0: not stated.
     pub overload_factor: f64,
-    /// The span over which work sent to an endpoint in slow start is counted.
+    /// The window over which work sent to an endpoint in slow start is counted.
     pub overload_window: Duration,
     /// How long the requests of a key wait after an attempt that may still run.
     pub ordering_pause: Duration,
-    /// The span over which retries are counted; 0: no retry budget.
+    /// The window over which retries are counted; 0: no retry budget.
     pub retry_budget_window: Duration,
-    /// Retries always allowed in that span; `None`: none, or no retry budget.
+    /// The number of retries always allowed in the window; `None`: none if a ratio is given, else no retry
+    /// budget.
     pub retry_budget_minimum: Option<f64>,
-    /// Retries for each request taken in that span; `None`: none, or no retry budget.
+    /// The number of retries for each request that arrived in the window; `None`: none if a minimum is given,
+    /// else no retry budget.
     pub retry_budget_ratio: Option<f64>,
 }
 
@@ -106,12 +110,12 @@
 pub struct RetryBudgetRules {
     /// Always allowed.
     pub minimum: f64,
-    /// Allowed for each request taken in the window.
+    /// Allowed in addition for each request that arrived in the window.
     pub ratio: f64,
 }
 
 impl SharedRules {
-    /// The retry budget; `None`: retries are not counted.
+    /// Returns the retry budget; `None`: retries are not limited by a budget.
     pub fn retry_budget(&self) -> Option<RetryBudgetRules> {
         let is_stated = self.retry_budget_minimum.or(self.retry_budget_ratio).is_some();
         if self.retry_budget_window.is_zero() || !is_stated {
@@ -122,80 +126,84 @@
     }
 }
 
-/// All that a scheduler is told at its start.
+/// The settings of a scheduler.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// How many initiators there are, this one included.
+    /// The number of initiators, this one included.
     pub initiators: u32,
-    /// This initiator's number among them, from 0.
+    /// This initiator's number among all initiators, from 0.
     pub rank: u32,
     /// This initiator's zone.
     pub zone: u16,
     /// The names of the zones, by number.
     pub zones: Vec<String>,
-    /// The shortest time between batches of events.
+    /// The minimum interval between batches of events.
     pub min_batch_interval: Duration,
-    /// The endpoint list comes only when asked for.
+    /// Whether the endpoint list is sent only on request.
     pub endpoint_list_polled: bool,
     /// The classes, by number.
     pub classes: Vec<RequestClass>,
     /// The plans, by number.
     pub plans: Vec<Plan>,
-    /// The rules that all initiators keep.
+    /// The rules shared by all initiators.
     pub rules: SharedRules,
-    /// The most attempts of one request; 0: no such limit.
+    /// The maximum number of attempts for one request; 0: no such limit.
     pub max_attempts: u32,
-    /// A request may have two attempts in flight.
+    /// Whether a request may have two attempts in flight.
     pub hedging_allowed: bool,
-    /// [`Action::SendPeerMessage`](super::Action::SendPeerMessage) is allowed.
+    /// Whether [`Action::SendPeerMessage`](super::Action::SendPeerMessage) is allowed.
     pub peer_messages_allowed: bool,
-    /// [`Action::HealthCheck`](super::Action::HealthCheck) is allowed.
+    /// Whether [`Action::HealthCheck`](super::Action::HealthCheck) is allowed.
     pub health_checks_allowed: bool,
-    /// [`Action::Cancel`](super::Action::Cancel) is allowed.
+    /// Whether [`Action::Cancel`](super::Action::Cancel) is allowed.
     pub cancellation_allowed: bool,
-    /// The longest time that a rejected client stays away; 0: not stated.
+    /// The longest retry-after time that a rejected client follows; 0: not stated.
     pub max_retry_after: Duration,
-    /// Units within the overload window, from all initiators together, that an endpoint takes at any age.
+    /// Units that an endpoint of any age can take within the overload window, from all initiators together.
     pub slow_start_units: f64,
-    /// An endpoint closes a connection that is idle for this long.
+    /// The time after which an endpoint closes an idle connection.
     pub keep_alive_timeout: Duration,
-    /// A connection that is not up by then is given up; 0: not stated.
+    /// The time after which a connection that is not established is abandoned; 0: not stated.
     pub connect_timeout: Duration,
-    /// The most requests that may be open here, for clients have no connections for more; 0: not stated.
+    /// The maximum number of open requests at this initiator, since clients have no connections for more; 0:
+    /// not stated.
     pub max_open_requests: usize,
     /// The names of the figures in load reports, in their order.
     pub load_report_fields: Vec<String>,
-    /// The period over which the meter adds up use; 0: no meter.
+    /// The period over which the meter sums up usage; 0: no meter.
     pub meter_period: Duration,
-    /// Mean size of a request, in units.
+    /// The mean size of a request, in units.
     pub mean_request_units: f64,
-    /// Size of the largest request, in units.
+    /// The size of the largest request, in units.
     pub max_request_units: f64,
-    /// Part of its weight that work beyond the reserve and within the volume's share earns, from 0 to 1.
+    /// The fraction of its weight that work beyond the reserve, but within the volume's share, earns, from 0
+    /// to 1.
     pub within_share_weight: f64,
-    /// Part of its weight that work beyond reserve and share earns, from 0 to 1.
+    /// The fraction of its weight that work beyond both reserve and share earns, from 0 to 1.
     pub beyond_share_weight: f64,
 }
 
 impl Settings {
-    /// A class by its number; the default one where there is none.
+    /// Returns the class of that number; the default class if there is none.
     pub fn class(&self, number: u16) -> RequestClass {
         self.classes.get(number as usize).cloned().unwrap_or_default()
     }
 
-    /// A request of this class that had so many attempts may have another one.
-    pub fn attempts_left(&self, class: &RequestClass, tried: usize) -> bool {
-        let most = if class.max_attempts > 0 { class.max_attempts } else { self.max_attempts };
-        most == 0 || tried < most as usize
+    /// Returns whether a request of `class` that had `attempts` attempts may have another one.
+    pub fn attempts_left(&self, class: &RequestClass, attempts: usize) -> bool {
+        let max_attempts = if class.max_attempts > 0 { class.max_attempts } else { self.max_attempts };
+        max_attempts == 0 || attempts < max_attempts as usize
     }
 
-    /// The longest time that a client waits, over all classes.
+    /// Returns the longest time that a client waits, over all classes.
     pub fn longest_deadline(&self) -> Duration {
         self.classes.iter().map(|c| c.deadline).max().unwrap_or_default()
     }
 
-    /// These in place of older ones. A class or plan that is the same in both keeps its number, and one that only
-    /// the older have keeps it too, retired: numbers that are in use never come to mean something else.
+    /// Returns these settings as the successors of `older` ones.
+    ///
+    /// A class or plan that is the same in both keeps its number. One that only the older settings have keeps
+    /// its number too and is retired, so that a number in use never changes its meaning.
     pub fn replacing(mut self, older: &Settings) -> Settings {
         let mut classes: Vec<_> =
             older.classes.iter().cloned().map(|c| RequestClass { retired: true, ..c }).collect();
@@ -216,18 +224,19 @@
         Settings { classes, plans, ..self }
     }
 
-    /// The shortest latency objective of all classes, in nanoseconds; a second where there are none.
+    /// Returns the shortest latency objective of the current classes in nanoseconds; one second if there is
+    /// no class.
     pub fn shortest_latency_objective_nanos(&self) -> f64 {
         let current = self.classes.iter().filter(|c| !c.retired);
         current.map(|c| c.latency_objective).min().unwrap_or(Duration::from_secs(1)).as_nanos() as f64
     }
 
-    /// The greatest priority weight of all classes.
+    /// Returns the greatest priority weight of the current classes.
     pub fn max_priority_weight(&self) -> f64 {
         self.classes.iter().filter(|c| !c.retired).map(|c| c.priority_weight).fold(0.0, f64::max)
     }
 
-    /// The mean weight of the plans.
+    /// Returns the mean weight of the current plans.
     pub fn mean_weight(&self) -> f64 {
         let current = || self.plans.iter().filter(|p| !p.retired);
         current().map(|p| p.weight).sum::<f64>() / current().count().max(1) as f64
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,11 +1,13 @@
-//! The core of an initiator: in which order, when and where the I/O requests of many volumes go to the endpoints that hold
-//! their data.
+//! The decision core of an initiator: decides in which order, when and to which endpoint the I/O requests of
+//! many volumes are sent.
 //!
-//! It owns every decision ([`scheduler`]), the state of every request and endpoint ([`broker`]), what each end of a connection
-//! proves ([`outcome`]), what peers report ([`gossip`]) and the forms of what it is told ([`endpoint_list`], [`settings`]).
+//! [`scheduler`] makes the decisions, [`broker`] holds the state of every request and endpoint, [`outcome`]
+//! defines what each end of a connection proves about the attempt, [`gossip`] evaluates the reports of peers,
+//! and [`endpoint_list`] and [`settings`] parse the inputs of those names.
 //!
-//! It never reads or writes, holds no socket and reads no clock: time comes with each input, and what is to be done goes out
-//! as effects. That the crate has no runtime among its dependencies keeps it so.
+//! The crate performs no I/O, holds no socket and reads no clock: the time comes with each input, and the
+//! work to do is returned as effects. The crate has no async runtime among its dependencies, which enforces
+//! this.
 
 pub mod broker;
 pub mod counters;
--- a/crates/core/src/operator_event.rs
+++ b/crates/core/src/operator_event.rs
@@ -1,4 +1,4 @@
-//! What the core wants the operators to know, as values: the host writes them to its log.
+//! Events of the core that concern operators, as typed values. The host writes them to its log.
 
 use crate::counters::ClassCounters;
 use crate::endpoint_list::EndpointRecord;
@@ -6,71 +6,73 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One event for the operators.
+/// One event that concerns operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorEvent {
-    /// An endpoint as the list now has it.
+    /// An entry of the endpoint list is new or has changed.
     EndpointListed {
         /// The list's revision.
         revision: u64,
-        /// What the report held.
+        /// The kind of list message that held the entry.
         kind: EndpointListKind,
         /// The entry.
         record: EndpointRecord,
     },
-    /// Other entries of the same list changed that are not logged one by one.
+    /// Further entries of the same list changed and are not logged one by one.
     EndpointsNotListed {
         /// The list's revision.
         revision: u64,
-        /// How many.
+        /// How many changed entries are not logged.
         more: usize,
     },
-    /// A predecessor's state has been taken over.
+    /// The state handed over by a predecessor was restored.
     HandoverRestored {
-        /// The revision of its list.
+        /// The revision of the predecessor's endpoint list.
         revision: u64,
-        /// How many endpoints it knew.
+        /// How many endpoints the predecessor knew.
         endpoints: usize,
         /// How many of them operators had suspended.
         suspended: usize,
-        /// Its clients were sent elsewhere.
+        /// Whether the predecessor was drained, so that its clients were sent to other initiators.
         drained: bool,
     },
     /// An operator suspended the endpoint of that name.
     EndpointSuspended(String),
-    /// An operator resumed the endpoint of that name; it counts as just started.
+    /// An operator resumed the endpoint of that name. Its slow start begins now, unless the endpoint list
+    /// shows a start that surely came after the suspension.
     EndpointResumed(String),
-    /// An operator has clients sent elsewhere.
+    /// An operator drained this initiator: clients are to use other initiators.
     ClientsDrained,
-    /// An operator has clients accepted again.
+    /// An operator activated this initiator: clients are accepted again.
     ClientsAccepted,
-    /// Counts since the start.
+    /// Counters since the process started.
     Counters {
-        /// What became of requests, by class.
+        /// The outcomes of requests, by class.
         classes: Vec<ClassCounters>,
-        /// How many attempts ended in which way, by the outcome's name.
+        /// The number of ended attempts, by the name of their outcome.
         attempt_outcomes: BTreeMap<String, u64>,
-        /// Requests without a final answer.
+        /// The number of requests without a final answer.
         open_requests: usize,
     },
-    /// What peers report of an endpoint has come to mean something else.
+    /// The advice on an endpoint changed in more than its duration. Advice follows from peers' reports and
+    /// from failures of this initiator's own attempts.
     AdviceChanged {
         /// The endpoint's name.
         id: String,
-        /// It gets nothing new.
+        /// Whether nothing new is sent to the endpoint.
         stopped: bool,
-        /// It is held back for a moment.
+        /// Whether the endpoint is held back for a short time because attempts to it fail.
         held: bool,
-        /// How long ago it started, as reported.
+        /// How long ago the endpoint started, as reported by a peer.
         started_ago: Option<Duration>,
     },
-    /// Some of a peer's reports were not accepted.
+    /// Some reports of a peer were rejected.
     PeerReportsRejected {
         /// The peer's name.
         from: String,
-        /// How many were out of range, or first-hand in another's name.
+        /// How many were out of range, or claimed to be first-hand in the name of another observer.
         invalid: usize,
     },
-    /// A line of the scheduler's.
+    /// A log line of the scheduler.
     SchedulerMessage(String),
 }
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,59 +1,66 @@
-//! How an attempt ended, as its connection saw it, and what that proves to the scheduler.
+//! How an attempt ended on its connection, and what that proves about whether it ran.
 //!
-//! The upstream clients see many ends; the scheduler's decisions need only to know which of them prove that nothing ran.
-//! [`TransportOutcome::attempt_outcome`] is the one place where the first becomes the second.
+//! Upstream clients distinguish many ways in which an exchange ends. The scheduler only needs to know which
+//! of them prove that nothing ran. [`TransportOutcome::attempt_outcome`] is the only place that maps one to
+//! the other.
 
 use crate::interface::AttemptOutcome;
 
-/// How the exchange with an endpoint ended, as seen on its connection. Names appear in the log and in counters.
+/// How the exchange with an endpoint ended, as seen on its connection. The variants' names appear in the log
+/// and in counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransportOutcome {
-    /// A complete response: the work is done.
+    /// A complete response: the request was served.
     Complete,
-    /// A complete response that says the work failed.
+    /// A complete response that reports a failure.
     EndpointError,
-    /// Rejected, and the endpoint vouches that nothing ran.
+    /// The endpoint rejected the request and guarantees that nothing ran.
     Rejected,
-    /// A response that the protocol does not know; nothing proves what ran.
+    /// A response that the protocol does not define; whether the request ran is unknown.
     ProtocolViolation,
     /// The connection was refused, or there was no route to the endpoint.
     Unreachable,
-    /// The connection was not established within the settings' time.
+    /// The connection was not established within the connect timeout of the settings.
     ConnectTimedOut,
     /// The handshake on a new connection failed before any request was written.
     HandshakeFailed,
     /// The connection was lost while the request was being written; its last byte may have been sent.
     LostWhileWriting,
-    /// The connection was lost before the request's last byte was to be written.
+    /// The connection was lost before the last byte of the request was due to be written.
     LostBeforeRequest,
-    /// The connection was lost after the request and before a response.
+    /// The connection was lost after the request was written and before a response began.
     LostAwaitingResponse,
-    /// The response began and did not come complete.
+    /// The response began and ended incomplete.
     TruncatedResponse,
-    /// The response's end can't be told from a lost connection, or it is larger than a response may be.
+    /// The end of the response cannot be told from a lost connection, or the response exceeds the size limit.
     UnboundedResponse,
-    /// What came can't be read as a response, or stopped on the way; the connection did not end.
+    /// The received bytes are not a valid response, or stopped part-way; the connection did not end.
     MalformedResponse,
-    /// Nothing came in time, and the connection was closed.
+    /// No response came in time, and the connection was closed.
     TimedOut,
-    /// The scheduler cancelled it, and the connection was closed.
+    /// The scheduler cancelled the attempt, and the connection was closed.
     Cancelled,
-    /// It was never begun: the endpoint's address is not known any more.
+    /// The attempt was never started: the endpoint's address is no longer known.
     NoAddress,
-    /// It was never written: its endpoint took no new work, or its client left, before a connection was there.
+    /// The attempt was never written: before a connection was available, the endpoint stopped taking new work
+    /// or the client left.
     Withdrawn,
-    /// It was never begun: this machine had no socket, port or memory left for it, which says nothing of the endpoint.
+    /// The attempt was never started: this host had no socket, port or memory left, which says nothing about
+    /// the endpoint.
     NoDescriptor,
 }
 
 impl TransportOutcome {
-    /// The scheduler's outcome. One that proves that the attempt never ran
-    /// ([`AttemptOutcome::never_ran`]) is given only where the end proves it: nothing of the request was complete at the
-    /// endpoint, or the endpoint says so.
+    /// Maps the outcome to the scheduler's terms.
+    ///
+    /// An outcome that proves that the attempt never ran ([`AttemptOutcome::never_ran`]) is returned only
+    /// where the end of the exchange is a proof: the endpoint had not received the complete request, or the
+    /// endpoint states that nothing ran.
     pub fn attempt_outcome(self) -> AttemptOutcome {
         match self {
             TransportOutcome::Complete => AttemptOutcome::Served,
-            // A malformed response tells of an endpoint that lives: it is not taken for one that has just restarted.
+            // A malformed response comes from a running process: the endpoint is not presumed to have
+            // restarted.
             TransportOutcome::EndpointError
             | TransportOutcome::ProtocolViolation
             | TransportOutcome::UnboundedResponse
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,58 +1,59 @@
-//! The one reader of the settings' JSON, for the program and the simulator adapter alike. The platform's keys are mapped to
-//! the code's terms here and nowhere else.
+//! The parser of the settings' JSON, shared by the program and the simulator adapter.
+//!
+//! This is the only place that maps the JSON keys, which are fixed from outside, to the terms of the code.
 
 use crate::interface::{DedupScope, Idempotency, Plan, RequestClass, Settings, SharedRules};
 use crate::json::{self, JsonError, JsonField};
 use thiserror::Error;
 
-/// The most initiators a fleet may have.
+/// The maximum number of initiators in a fleet.
 const MAX_INITIATORS: f64 = 65_536.0;
 
-/// Why settings can't be used.
+/// Why settings are invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The text can't be parsed.
-    #[error("the settings are {0}")]
+    /// The text cannot be parsed.
+    #[error("invalid settings: {0}")]
     Syntax(#[source] JsonError),
-    /// A value has another type than it should.
+    /// A value has another type than expected.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// A named value has another type than it should.
+    /// The value of a named key has another type than expected.
     #[error("{key}: {source}")]
     Key {
         /// The key.
         key: &'static str,
-        /// What is wrong.
+        /// The error of its value.
         source: JsonError,
     },
-    /// A number of initiators is no whole number, or too great.
-    #[error("{key}: {value} is not a whole number up to {max}", max = MAX_INITIATORS)]
+    /// A count is not a whole number from 0 to [`MAX_INITIATORS`].
+    #[error("{key}: {value} is not a whole number from 0 to {max}", max = MAX_INITIATORS)]
     NotACount {
         /// The key.
         key: &'static str,
         /// Its value.
         value: f64,
     },
-    /// There is no initiator.
-    #[error("balancers: there is at least one, this one")]
+    /// The number of initiators is 0.
+    #[error("balancers: must be at least 1")]
     NoInitiators,
-    /// This initiator's number is not one of the fleet's.
-    #[error("rank: {rank} is not below balancers, {initiators}")]
+    /// This initiator's rank is not below the number of initiators.
+    #[error("rank: {rank} is not below balancers ({initiators})")]
     RankTooGreat {
-        /// This initiator's number, from 0.
+        /// This initiator's rank, from 0.
         rank: u32,
-        /// How many there are.
+        /// The number of initiators.
         initiators: u32,
     },
 }
 
-/// Reads the settings; the text's bytes are overwritten.
+/// Parses the settings; the text's bytes are overwritten.
 pub fn read(text: &mut [u8]) -> Result<Settings, SettingsError> {
     let value = json::parse(text).map_err(SettingsError::Syntax)?;
     read_settings(JsonField::object(&value, "the settings")?)
 }
 
-/// The settings from an object already parsed.
+/// Reads the settings from a parsed JSON object.
 pub fn read_settings(top: JsonField) -> Result<Settings, SettingsError> {
     let (limits, domain) = (top.field("limits"), top.field("domain"));
     let max_attempts = limits.field("try-limit").integer()? as u32;
@@ -86,13 +87,13 @@
     })
 }
 
-/// How many initiators there are and which this one is.
+/// The number of initiators and the rank of this one.
 struct Fleet {
     initiators: u32,
     rank: u32,
 }
 
-/// 1 and 0 where nothing is stated.
+/// Reads the fleet; without the keys there is one initiator, of rank 0.
 fn read_fleet(top: JsonField) -> Result<Fleet, SettingsError> {
     let initiators = read_count(top, "balancers", 1.0)?;
     let rank = read_count(top, "rank", 0.0)?;
--- a/crates/core/src/units_message.rs
+++ b/crates/core/src/units_message.rs
@@ -1,33 +1,35 @@
-//! Messages between initiators about the units of limited volumes, and their bytes. What is asked for and granted is
-//! decided in `scheduler/unit_grants.rs`.
+//! Messages by which initiators request and grant units of limited volumes, and their binary encoding.
+//!
+//! `scheduler/unit_grants.rs` decides how many units are requested and granted. Part of each volume's limit
+//! is kept in a pool at one initiator, the volume's home.
 
 /// A message between two initiators about the units of a limited volume.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum UnitsMessage {
-    /// An initiator that lacks units asks the volume's home for some.
+    /// Requests units from the volume's home, sent by an initiator that lacks them.
     Request {
         /// The volume.
         volume: u64,
-        /// Its plan, by number.
+        /// The number of the volume's plan.
         plan: u16,
-        /// How many units are wanted.
+        /// How many units are requested.
         units: f64,
-        /// Tells this question from others.
+        /// Identifies this request; the grant repeats the number.
         number: u32,
     },
-    /// The home's answer.
+    /// Grants units, sent by the volume's home.
     Grant {
         /// The volume.
         volume: u64,
         /// How many units may be spent.
         units: f64,
-        /// The number of the question.
+        /// The number of the request that is answered.
         number: u32,
     },
 }
 
 impl UnitsMessage {
-    /// As bytes, 17 or 19 of them.
+    /// Encodes the message in little-endian order: 17 bytes for a grant, 19 for a request.
     pub fn bytes(&self) -> Vec<u8> {
         let (volume, units, number, plan) = match *self {
             UnitsMessage::Request { volume, plan, units, number } => (volume, units, number, Some(plan)),
@@ -41,7 +43,8 @@
         bytes
     }
 
-    /// From bytes; `None` where they are no such message.
+    /// Decodes a message. Returns `None` if the bytes are not a valid message or the amount is not positive
+    /// and finite.
     pub fn parse(bytes: &[u8]) -> Option<UnitsMessage> {
         let (head, plan) = bytes.split_at_checked(17)?;
         let volume = u64::from_le_bytes(head[1..9].try_into().ok()?);
