--- a/crates/core/src/broker/effect.rs
+++ b/crates/core/src/broker/effect.rs
@@ -1,4 +1,5 @@
-//! What the broker asks its host to do: attempts, final answers, one timer, log events and broadcasts to peers.
+//! The effects that the broker requests from its host: attempts, final answers, one timer, log events and
+//! broadcasts to peers.
 
 use super::input::AttemptId;
 use crate::interface::RequestId;
@@ -11,39 +12,41 @@
 /// The final answer to a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The endpoint's response.
+    /// Served, with the endpoint's response.
     Served(Bytes),
-    /// Not served, and a retry is harmless after that long.
+    /// Not served. A retry after the given time is harmless.
     Rejected(Duration),
-    /// Failed; whether it had an effect is unknown.
+    /// Failed; whether the request took effect is unknown.
     Failed,
 }
 
-/// What is to be done.
+/// One effect that the host carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Start an attempt.
+    /// Starts an attempt.
     StartAttempt {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
         /// The endpoint's address.
         to: SocketAddr,
-        /// The broker gives it up after this long.
+        /// The time after which the broker aborts the attempt.
         timeout: Duration,
     },
-    /// Give an attempt up: close its connection.
+    /// Aborts an attempt: its connection is closed.
     AbortAttempt(AttemptId),
-    /// Send the one final answer.
+    /// Sends the final answer of a request; each request has only one.
     Respond {
-        /// To which request.
+        /// The request.
         request: RequestId,
         /// The answer.
         answer: Answer,
     },
-    /// Come back with [`Input::TimerFired`](super::Input::TimerFired) at that instant; it replaces any earlier timer.
+    /// Schedules [`Input::TimerFired`](super::Input::TimerFired) for this instant, in place of any earlier
+    /// timer.
     SetTimer(Instant),
-    /// Something for the operators to know.
+    /// Logs an event for operators.
     Log(OperatorEvent),
-    /// All that this process observes of endpoints now, for its peers; the receiver filters what is new.
+    /// Sends peers all that this process currently observes of endpoints; the receiver filters out what it
+    /// already knows.
     Broadcast(Vec<Report>),
 }
--- a/crates/core/src/broker/endpoint_state.rs
+++ b/crates/core/src/broker/endpoint_state.rs
@@ -1,28 +1,28 @@
-//! What is remembered of one endpoint: its entry in the list, when it started, and whether operators suspended it.
+//! The state of one endpoint: its entry in the list, its start, and its suspension by operators.
 
 use crate::endpoint_list::EndpointRecord;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The least time between two starts of one endpoint.
+/// The minimum time between two starts of one endpoint.
 const MIN_START_INTERVAL: Duration = Duration::from_nanos(1);
 
-/// An endpoint that the list named at least once. Times are by the core's clock.
+/// An endpoint that was listed at least once. Times are by the core's clock.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct EndpointState {
     #[serde(rename = "member")]
     pub(super) record: EndpointRecord,
-    /// When it last started, as listed; `None`: long ago.
+    /// When the endpoint last started, as listed; `None`: long ago.
     #[serde(rename = "started", default)]
     listed_start: Option<Duration>,
-    /// It did not start before this.
+    /// The earliest time at which the listed start can have happened.
     #[serde(rename = "earliest", default)]
     earliest_start: Duration,
     pub(super) suspended: bool,
-    /// When operators last suspended it.
+    /// When operators last suspended the endpoint.
     #[serde(rename = "out")]
     suspended_at: Duration,
-    /// When operators last resumed it.
+    /// When operators last resumed the endpoint.
     #[serde(rename = "back")]
     resumed_at: Duration,
 }
@@ -39,9 +39,11 @@
         }
     }
 
-    /// Takes a new entry of the list. `listed_start` is its start by the core's clock, which did not happen before
-    /// `earliest_start`. A start is converted once, when it is first listed, and any other one is a newer start: the clock
-    /// that it is told by may have been set back.
+    /// Replaces the endpoint's entry in the list.
+    ///
+    /// `listed_start` is the listed start by the core's clock, which did not happen before `earliest_start`.
+    /// A start is converted only once, when it is first listed. Any different start counts as newer, even if
+    /// its Unix time is earlier: the clock on which it was read may have been set back.
     pub(super) fn update(
         &mut self,
         record: &EndpointRecord,
@@ -56,7 +58,8 @@
         self.record = record.clone();
     }
 
-    /// A hand-over from a version that stored no start of the core's own clock: its clock showed Unix time.
+    /// Derives the listed start after a hand-over from a version that did not store it; that version's clock
+    /// showed Unix time.
     pub(super) fn restore_start(&mut self, now: Duration) {
         if self.listed_start.is_none() {
             self.listed_start = self.record.up_since.map(|listed| listed.min(now));
@@ -64,7 +67,7 @@
         }
     }
 
-    /// Suspends or resumes it; whether that changed anything.
+    /// Suspends or resumes the endpoint. Returns whether that changed anything.
     pub(super) fn set_suspended(&mut self, suspended: bool, now: Duration) -> bool {
         let changed = self.suspended != suspended;
         if changed {
@@ -75,8 +78,10 @@
         changed
     }
 
-    /// When it last started; 0: long ago. Operators restart an endpoint while it is suspended, and the list may tell of
-    /// that much later: until it tells of a start that surely came after the suspension, the endpoint counts as started
+    /// Returns when the endpoint last started; zero: long ago.
+    ///
+    /// Operators restart an endpoint while it is suspended, and the list may report that start much later.
+    /// Until the list reports a start that surely came after the suspension, the endpoint counts as started
     /// when it was resumed.
     pub(super) fn started_at(&self) -> Duration {
         let listed = self.listed_start.unwrap_or_default();
@@ -87,7 +92,7 @@
         }
     }
 
-    /// A number for that start that is the same at every initiator, where the list tells of it; else 0.
+    /// Returns a number that identifies the start at every initiator; 0 if the start is not a listed one.
     pub(super) fn start_id(&self) -> u64 {
         let listed = self.record.up_since.filter(|_| self.listed_start == Some(self.started_at()));
         listed.map_or(0, |unix_time| unix_time.as_nanos() as u64)
--- a/crates/core/src/broker/endpoints.rs
+++ b/crates/core/src/broker/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoints that the list ever named: their addresses, numbers and zones, and what the scheduler is told of each.
+//! The endpoints that were ever listed: their addresses, numbers and zones, and the updates about each for
+//! the scheduler.
 
 use super::endpoint_state::EndpointState;
 use super::step::Step;
@@ -11,18 +12,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Zones that the settings do not name are numbered from here on.
+/// The first number of zones that the settings do not name.
 const FIRST_UNNAMED_ZONE: u16 = 0x8000;
-/// Changed entries of one list that are logged one by one: the log has a limit, and other lines have to fit in.
+/// How many changed entries of one list are logged one by one: the log is rate-limited, and other lines must
+/// still fit.
 const MAX_LOGGED_CHANGES: usize = 25;
-/// Endpoints are replaced by new ones all day: past this number the removed ones are forgotten.
+/// The number of endpoints above which removed ones are forgotten: endpoints are replaced by new ones all
+/// day.
 const MAX_REMEMBERED_ENDPOINTS: usize = 4096;
 
-/// What, beside an endpoint's own state, decides what the scheduler is told of it.
+/// What, apart from an endpoint's own state, determines the update that the scheduler receives about it.
 pub(super) struct UpdateContext<'a> {
     /// The names of the zones, by number.
     zones: &'a [String],
-    /// Advice that follows from peers' reports, where there are peers.
+    /// The source of advice on endpoints; `None` if there are no peers.
     gossip: Option<&'a GossipState>,
 }
 
@@ -31,8 +34,11 @@
         UpdateContext { zones: &settings.zones, gossip }
     }
 
-    /// A zone that the settings do not name is none of theirs, nor that of an endpoint which names none: endpoints of two
-    /// zones do not drop each other's repeats.
+    /// Returns the number of an endpoint's zone.
+    ///
+    /// A zone that the settings do not name is numbered by the hash of its name, and an endpoint without a
+    /// zone by the hash of its own name. Neither is taken for a named zone: endpoints of two zones do not
+    /// drop each other's repeats.
     fn zone_number(&self, record: &EndpointRecord) -> u16 {
         if let Some(number) = self.zones.iter().position(|zone| *zone == record.zone) {
             return number as u16;
@@ -46,15 +52,16 @@
 #[derive(Debug, Default)]
 pub(super) struct Endpoints {
     states: BTreeMap<String, EndpointState>,
-    /// Where the listed ones are reached.
+    /// The addresses of listed endpoints.
     addresses: BTreeMap<EndpointId, SocketAddr>,
     revision: u64,
-    /// Changes of the list may have been missed: any endpoint may be draining, and none gets anything new.
+    /// Whether changes of the list may have been missed. Any endpoint may then be draining, and nothing new
+    /// is sent to any.
     stale: bool,
     start_times: StartTimes,
 }
 
-/// The part of the endpoints that a successor takes over.
+/// The state of all endpoints that a successor restores.
 pub(super) struct RestoredEndpoints {
     pub(super) revision: u64,
     pub(super) states: BTreeMap<String, EndpointState>,
@@ -62,33 +69,33 @@
 }
 
 impl Endpoints {
-    /// The list's revision, as last received.
+    /// Returns the revision of the list that was last received.
     pub(super) fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether there is any endpoint to send to.
+    /// Returns whether any endpoint is listed.
     pub(super) fn any_listed(&self) -> bool {
         !self.addresses.is_empty()
     }
 
-    /// Whether the list ever named it.
+    /// Returns whether the endpoint of that name was ever listed, as far as it is remembered.
     pub(super) fn contains(&self, id: &str) -> bool {
         self.states.contains_key(id)
     }
 
-    /// Where an endpoint is reached, while it is listed.
+    /// Returns the address of an endpoint while it is listed.
     pub(super) fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         self.addresses.get(&endpoint).copied()
     }
 
-    /// The names of the suspended ones.
+    /// Returns the names of the suspended endpoints.
     pub(super) fn suspended(&self) -> Vec<String> {
         let suspended = self.states.iter().filter(|(_, state)| state.suspended);
         suspended.map(|(id, _)| id.clone()).collect()
     }
 
-    /// All that the list ever named, as far as they are remembered.
+    /// Returns all endpoints that were ever listed, as far as they are remembered.
     pub(super) fn known(&self) -> KnownEndpoints<'_> {
         let known = self.states.iter().map(|(id, state)| {
             let endpoint = KnownEndpoint {
@@ -102,24 +109,25 @@
         known.collect()
     }
 
-    /// This machine's wall clock shows this, as Unix time.
+    /// Records the Unix time that this host's wall clock shows.
     pub(super) fn read_wall_clock(&mut self, now: Duration, shown: Duration) {
         self.start_times.read_wall_clock(now, shown);
     }
 
-    /// The list that is followed says that nothing has changed.
+    /// Records that the watched list reports no change.
     pub(super) fn list_is_current(&mut self, now: Duration) {
         self.start_times.list_received(now, None);
     }
 
-    /// Whether changes of the list may have been missed.
+    /// Sets whether changes of the list may have been missed.
     pub(super) fn set_stale(&mut self, stale: bool, context: &UpdateContext, step: &mut Step) {
         self.stale = stale;
-        let lines = self.states.keys().filter_map(|id| self.update(id, context)).collect();
-        step.events.push(Event::EndpointList { kind: EndpointListKind::Delta, lines });
+        let updates = self.states.keys().filter_map(|id| self.scheduler_update(id, context)).collect();
+        step.events.push(Event::EndpointList { kind: EndpointListKind::Delta, lines: updates });
     }
 
-    /// Suspends an endpoint, or resumes it in slow start. Saying it twice is saying it once.
+    /// Suspends an endpoint, or resumes it in slow start. Does nothing if the endpoint already is in that
+    /// state.
     pub(super) fn set_suspended(
         &mut self,
         id: &str,
@@ -136,13 +144,15 @@
             true => OperatorEvent::EndpointSuspended(name),
             false => OperatorEvent::EndpointResumed(name),
         });
-        let lines = self.update(id, context).into_iter().collect();
-        step.events.push(Event::EndpointList { kind: EndpointListKind::Delta, lines });
+        let updates = self.scheduler_update(id, context).into_iter().collect();
+        step.events.push(Event::EndpointList { kind: EndpointListKind::Delta, lines: updates });
     }
 
-    /// What the scheduler is told of one endpoint: one that is suspended drains, whatever the list says, and so does one
-    /// that peers say takes no work. Nothing that peers say resumes one.
-    pub(super) fn update(&self, id: &str, context: &UpdateContext) -> Option<EndpointUpdate> {
+    /// Returns the update that the scheduler receives about one endpoint.
+    ///
+    /// A suspended endpoint is draining whatever the list says, and so is one that takes no work according to
+    /// peers. No report of a peer makes an endpoint ready.
+    pub(super) fn scheduler_update(&self, id: &str, context: &UpdateContext) -> Option<EndpointUpdate> {
         let state = self.states.get(id)?;
         let record = &state.record;
         let advice = context.gossip.map(|gossip| gossip.advice(id)).unwrap_or_default();
@@ -158,8 +168,9 @@
         })
     }
 
-    /// Takes a list that is followed, so that its times tell of the fleet's clock.
-    pub(super) fn apply_followed_list(
+    /// Applies a message of the watched list and returns the event for the scheduler. The starts in the
+    /// message show the fleet's clock.
+    pub(super) fn apply_watched_list(
         &mut self,
         list: EndpointList,
         context: &UpdateContext,
@@ -171,7 +182,7 @@
         event
     }
 
-    /// Takes a list, whole or changes; what the scheduler is told of it.
+    /// Applies a complete list or changes, and returns the event for the scheduler.
     pub(super) fn apply_list(
         &mut self,
         list: EndpointList,
@@ -185,7 +196,7 @@
                 state.record.readiness = Readiness::Removed;
             }
         }
-        let (mut lines, mut changed) = (Vec::new(), 0);
+        let (mut updates, mut changed) = (Vec::new(), 0);
         for record in &list.entries {
             if self.states.get(&record.id).is_none_or(|state| state.record != *record) {
                 changed += 1;
@@ -195,14 +206,14 @@
                 }
             }
             self.apply_record(step.now, record);
-            lines.extend(self.update(&record.id, context));
+            updates.extend(self.scheduler_update(&record.id, context));
         }
         if changed > MAX_LOGGED_CHANGES {
             let (revision, more) = (list.revision, changed - MAX_LOGGED_CHANGES);
             step.log(OperatorEvent::EndpointsNotListed { revision, more });
         }
         self.forget_removed();
-        Event::EndpointList { kind: list.kind, lines }
+        Event::EndpointList { kind: list.kind, lines: updates }
     }
 
     fn apply_record(&mut self, now: Duration, record: &EndpointRecord) {
@@ -213,7 +224,7 @@
             self.addresses.insert(endpoint, address);
         }
         let listed_start = record.up_since.map(|unix_time| self.start_times.started_at(now, unix_time));
-        let earliest_start = self.start_times.earliest(now);
+        let earliest_start = self.start_times.earliest_start(now);
         let state = self.states.entry(record.id.clone());
         let state = state.or_insert_with(|| EndpointState::new(record.clone()));
         state.update(record, listed_start, earliest_start);
@@ -225,7 +236,7 @@
         }
     }
 
-    /// What a successor takes over.
+    /// Returns the state for a successor.
     pub(super) fn snapshot(&self) -> RestoredEndpoints {
         RestoredEndpoints {
             revision: self.revision,
@@ -234,7 +245,8 @@
         }
     }
 
-    /// Goes on where a predecessor was, which knew the list later than the configuration did; what the scheduler is told of it.
+    /// Restores the state of a predecessor, whose list is newer than the configured one, and returns the
+    /// event for the scheduler.
     pub(super) fn restore(
         &mut self,
         restored: RestoredEndpoints,
@@ -250,13 +262,15 @@
     }
 }
 
-/// A number for an endpoint's name, the same at every initiator: the eight hex digits at its end, or its hash.
+/// Returns the number of the endpoint of that name, the same at every initiator: the eight hex digits after
+/// the name's last hyphen, or else the hash of the name.
 fn endpoint_number(id: &str) -> EndpointId {
     let digits = id.rsplit('-').next().unwrap_or(id);
     let number = (digits.len() == 8).then(|| u32::from_str_radix(digits, 16).ok()).flatten();
     number.unwrap_or_else(|| fnv1a(id))
 }
 
+/// The 32-bit FNV-1a hash of a text.
 fn fnv1a(text: &str) -> u32 {
     text.bytes().fold(0x811c_9dc5, |hash: u32, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
--- a/crates/core/src/broker/gossip.rs
+++ b/crates/core/src/broker/gossip.rs
@@ -1,4 +1,5 @@
-//! Where peers' reports meet the broker: what comes in, when endpoints are reviewed, and what is broadcast.
+//! The broker's side of gossip: handles the reports of peers, reviews the advice on endpoints, and broadcasts
+//! own observations.
 
 use super::effect::Effect;
 use super::endpoints::UpdateContext;
@@ -11,22 +12,22 @@
 use std::time::{Duration, Instant};
 
 impl Broker {
-    /// What a peer is told in an exchange, most needed first; nothing where there are no peers.
+    /// Returns the reports for a peer in an exchange, the most important first; none if there are no peers.
     pub fn peer_reports(&self, now: Instant) -> Vec<Report> {
         let now = self.clock.time(now);
         let Some(gossip) = &self.gossip else { return Vec::new() };
         gossip.exchange_reports(now, &self.endpoints.known(), &self.scheduler)
     }
 
-    /// What this process adds to the sums over all initiators; nothing where there are no peers.
+    /// Returns this process's contribution to the sums over all initiators; empty if there are no peers.
     pub fn contribution(&self, now: Instant) -> Contribution {
         let now = self.clock.time(now);
         let Some(gossip) = &self.gossip else { return Contribution::default() };
         gossip.contribution(now, &self.endpoints.known(), &self.scheduler)
     }
 
-    /// Takes what a peer reported in an exchange.
-    pub(super) fn take_peer_reports(
+    /// Merges the reports of a peer in an exchange.
+    pub(super) fn handle_peer_reports(
         &mut self,
         from: Observer,
         round_trip: Duration,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Takes reports that were new among the peers.
+    /// Merges reports that gossip brought.
     pub(super) fn merge_gossip(&mut self, reports: Vec<Report>, step: &mut Step) {
         step.review_due = true;
         if let Some(gossip) = &mut self.gossip {
@@ -49,15 +50,16 @@
         }
     }
 
-    /// Takes the sums over all other initiators.
-    pub(super) fn take_peer_totals(&mut self, totals: PeerTotals, step: &mut Step) {
+    /// Replaces the sums over all other initiators.
+    pub(super) fn handle_peer_totals(&mut self, totals: PeerTotals, step: &mut Step) {
         let Some(gossip) = &mut self.gossip else { return };
         gossip.set_totals(step.now, totals);
         let window = self.settings.get().rules.overload_window;
         step.events.push(Event::Gossip(gossip.for_scheduler(step.now, window, &self.endpoints.known())));
     }
 
-    /// Keeps what the step's attempts say of their endpoints, for this process and its peers.
+    /// Records what the attempts that ended in this step show about their endpoints, for this process and its
+    /// peers.
     pub(super) fn observe_attempts(&mut self, step: &mut Step) {
         let Some(gossip) = &mut self.gossip else { return };
         let observed = gossip.observe_attempts(step.now, &step.events);
@@ -65,8 +67,11 @@
         step.broadcast_due |= observed.reportable;
     }
 
-    /// Where anything changed, or a piece of advice runs out: weighs what is known of endpoints anew, and tells the
-    /// scheduler what follows. What fails here is held back before it is tried again, as it is at those who hear of it.
+    /// Recomputes the advice on endpoints if anything changed or advice expired, and passes the result to the
+    /// scheduler.
+    ///
+    /// The advice precedes the scheduler's run of the same step: an endpoint that fails here is held back
+    /// before it is tried again, as it is at the initiators that receive the report.
     pub(super) fn review_endpoints(&mut self, step: &mut Step) {
         let now = step.now;
         let Some(gossip) = &mut self.gossip else { return };
@@ -78,7 +83,7 @@
         let changes = gossip.review(now, &known);
         let window = self.settings.get().rules.overload_window;
         let for_scheduler = gossip.for_scheduler(now, window, &known);
-        for change in changes.iter().filter(|change| change.news) {
+        for change in changes.iter().filter(|change| change.kind_changed) {
             step.log(OperatorEvent::AdviceChanged {
                 id: change.id.clone(),
                 stopped: change.advice.stop_until.is_some(),
@@ -87,12 +92,13 @@
             });
         }
         let context = UpdateContext::new(self.settings.get(), self.gossip.as_ref());
-        let updates = changes.iter().filter_map(|change| self.endpoints.update(&change.id, &context));
+        let updates =
+            changes.iter().filter_map(|change| self.endpoints.scheduler_update(&change.id, &context));
         step.events.push(Event::EndpointList { kind: EndpointListKind::Delta, lines: updates.collect() });
         step.events.push(Event::Gossip(for_scheduler));
     }
 
-    /// Broadcasts what this process observes, where anything of it may be new to peers.
+    /// Broadcasts this process's observations if some of them may be new to peers.
     pub(super) fn broadcast(&mut self, step: &mut Step) {
         let Some(gossip) = self.gossip.as_mut().filter(|_| step.broadcast_due) else { return };
         let reports = gossip.broadcast_reports(step.now, &self.endpoints.known(), &self.scheduler);
@@ -101,7 +107,7 @@
         }
     }
 
-    /// When a piece of advice runs out.
+    /// Returns when advice next expires.
     pub(super) fn next_review(&self) -> Option<Duration> {
         self.gossip.as_ref().and_then(GossipState::next_change)
     }
--- a/crates/core/src/broker/input.rs
+++ b/crates/core/src/broker/input.rs
@@ -1,4 +1,5 @@
-//! What the host tells the broker: requests, the fate of attempts, lists, settings, operators' commands and gossip.
+//! The inputs that the host passes to the broker: requests, results of attempts, endpoint lists, settings,
+//! commands of operators and gossip.
 
 use super::snapshot::CoreSnapshot;
 use crate::endpoint_list::EndpointList;
@@ -15,12 +16,12 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// Which of its attempts, from 0.
+    /// The number of the attempt, from 0.
     pub number: u8,
 }
 
 impl AttemptId {
-    /// The attempt of that number, from 0, of a request.
+    /// Identifies the attempt of that number, from 0, of a request.
     pub fn new(request: RequestId, number: u8) -> Self {
         AttemptId { request, number }
     }
@@ -29,135 +30,136 @@
 /// A client's request, in the scheduler's terms.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct IncomingRequest {
-    /// Its class, by number.
+    /// The number of the request's class.
     pub class: u16,
-    /// Its volume.
+    /// The volume.
     pub volume: VolumeId,
-    /// The volume's plan, by number.
+    /// The number of the volume's plan.
     pub plan: u16,
-    /// Through how many initiators the volume's requests come.
+    /// The number of initiators through which the volume's requests arrive.
     pub initiators: f64,
     /// The key of the data; 0: none.
     pub key: u64,
     /// The shard that holds the data; `None`: any.
     pub shard: Option<u16>,
-    /// Its size in units.
+    /// The request's size, in units.
     pub units: f64,
     /// How long the client still waits.
     pub time_remaining: Duration,
-    /// The client marked it as a retry of its own.
+    /// Whether the client marked the request as a retry of its own.
     pub client_retry: bool,
 }
 
-/// How an attempt came back from an upstream client.
+/// The result of an attempt, as an upstream client returns it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult {
     /// How the exchange ended.
     pub transport: TransportOutcome,
-    /// The endpoint's response, where it is complete.
+    /// The endpoint's response, if it is complete.
     pub body: Bytes,
-    /// The volume's use at all initiators, as a part of its plan's rate.
+    /// The volume's usage through all initiators, as a fraction of the plan's rate; `None`: not reported.
     pub volume_usage: Option<f64>,
-    /// Units the shard served the volume through other initiators since its last response here.
+    /// Units that the shard served to the volume through other initiators since the shard's last response
+    /// here.
     pub units_elsewhere: f64,
-    /// Bytes of the request's body were sent that can't be sent again.
+    /// Whether bytes of the request's body were sent that cannot be sent again.
     pub body_consumed: bool,
 }
 
 impl AttemptResult {
-    /// An attempt that ended without a response.
+    /// Creates the result of an attempt that ended without a response.
     pub fn without_response(transport: TransportOutcome) -> Self {
         let body = Bytes::new();
         AttemptResult { transport, body, volume_usage: None, units_elsewhere: 0.0, body_consumed: false }
     }
 }
 
-/// How far an attempt has come.
+/// How far an attempt has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptProgress {
-    /// Its first byte is written now: from here on the endpoint may have it.
+    /// The first byte of the request is being written: from now on the endpoint may have received it.
     WriteStarted,
-    /// The request's body is sent as its client sends it.
+    /// The body of the request is being sent as its client sends it.
     BodyStreaming,
     /// The last byte of the body has been sent.
     BodySent,
-    /// The first bytes of the response are here.
+    /// The first bytes of the response have arrived.
     ResponseStarted,
 }
 
 /// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorCommand {
-    /// Take the endpoint of that name out of service, whatever the list says.
+    /// Takes the endpoint of that name out of service, whatever the list says.
     Suspend(String),
-    /// Give it back; it may have been restarted meanwhile.
+    /// Returns the endpoint of that name to service; it may have been restarted meanwhile.
     Resume(String),
-    /// Send the clients elsewhere.
+    /// Drains this initiator: clients are sent to other initiators.
     Drain,
-    /// Accept clients again.
+    /// Accepts clients again.
     Activate,
 }
 
-/// What happened.
+/// One occurrence that the broker handles.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A client's request was read.
     RequestArrived {
-        /// A number never used before.
+        /// A number that was never used before.
         id: RequestId,
         /// The request.
         request: IncomingRequest,
     },
-    /// An attempt came back.
+    /// An attempt ended.
     AttemptEnded {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// Its result.
         result: AttemptResult,
     },
-    /// An attempt has come so far.
+    /// An attempt progressed.
     AttemptProgressed {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
-        /// How far.
+        /// How far it has progressed.
         progress: AttemptProgress,
     },
-    /// The client of a request is gone.
+    /// The client of a request left.
     ClientLeft(RequestId),
-    /// The endpoint list, or what changed of it.
+    /// The endpoint list or a change of the list was received.
     EndpointList(EndpointList),
-    /// This machine's wall clock shows this, as Unix time. It may be stepped at any time.
+    /// The Unix time that this host's wall clock shows. The wall clock may be stepped at any time.
     WallClock(Duration),
-    /// Settings from now on; requests taken before keep the rules they came under.
+    /// New settings are in force. Requests that arrived before keep the rules under which they arrived.
     Settings(Box<Settings>),
-    /// A command of an operator.
+    /// An operator gave a command.
     OperatorCommand(OperatorCommand),
-    /// Continue where another process left off.
+    /// Restores the state of another process, from which this one takes over.
     Restore {
-        /// What that process left.
+        /// The state of that process.
         snapshot: Box<CoreSnapshot>,
         /// This process's share of every budget, from 0 to 1.
         budget_share: f64,
     },
-    /// This process's share of every budget, from 0 to 1; another one has the rest.
+    /// This process's share of every budget, from 0 to 1; another process has the rest.
     BudgetShare(f64),
-    /// The list that is followed says that nothing has changed.
+    /// The watched list reports that nothing has changed.
     EndpointListCurrent,
-    /// Whether changes of the list count as notified that can't have been received here.
+    /// Whether the list may lack changes of which this initiator counts as notified.
     EndpointListStale(bool),
-    /// What a peer reported in an exchange.
+    /// A peer sent reports in an exchange.
     PeerReports {
         /// The peer.
         from: Observer,
-        /// The round trip of the exchange.
+        /// The round-trip time of the exchange.
         round_trip: Duration,
-        /// Its reports.
+        /// The reports.
         reports: Vec<Report>,
     },
-    /// Reports that were new among the peers, checked by whoever brings them.
+    /// Gossip brought reports that are new here. The caller has validated them.
     GossipMerged(Vec<Report>),
-    /// The sums over all other initiators.
+    /// The sums over all other initiators were updated.
     PeerTotals(PeerTotals),
-    /// The timer that [`Effect::SetTimer`](super::Effect::SetTimer) set has fired.
+    /// The timer set by [`Effect::SetTimer`](super::Effect::SetTimer) has fired.
     TimerFired,
 }
--- a/crates/core/src/broker/mod.rs
+++ b/crates/core/src/broker/mod.rs
@@ -1,9 +1,10 @@
-//! The broker: one reducer over the scheduler and every request of one initiator.
+//! The broker: a reducer over the scheduler and all requests of one initiator.
 //!
-//! All that happens comes in as an [`Input`] with its time, and all that is to be done goes out as an [`Effect`]: the broker
-//! reads no clock and holds no socket, so a test or a simulation drives the same code as the program. It keeps what the
-//! scheduler does not: open requests and attempts in flight, the endpoint list with addresses and suspensions, peers'
-//! reports, settings, counters and the hand-over. Which request goes where and when is the scheduler's decision.
+//! Each occurrence is passed in as an [`Input`] with its time, and the work to do is returned as [`Effect`]s.
+//! The broker reads no clock and holds no socket, so that tests and simulations drive the same code as the
+//! program. The broker keeps the state that the scheduler does not: open requests and attempts in flight, the
+//! endpoint list with addresses and suspensions, the reports of peers, the settings, the counters and the
+//! hand-over state. The scheduler decides when and to which endpoint each request is sent.
 
 mod clock;
 mod current_settings;
@@ -13,7 +14,6 @@
 mod gossip;
 mod input;
 mod operator;
-
 mod requests;
 mod snapshot;
 mod step;
@@ -47,16 +47,17 @@
     scheduler: Scheduler,
     requests: Requests,
     endpoints: Endpoints,
-    /// `None`: initiators do not talk to each other.
+    /// `None`: initiators do not exchange reports.
     gossip: Option<GossipState>,
-    /// When the scheduler wants to be called again.
+    /// The time for which the scheduler requested a timer event.
     scheduler_timer: Option<Duration>,
-    /// Since when an operator has clients sent elsewhere.
+    /// When an operator drained this initiator, so that clients are sent elsewhere.
     drained_since: Option<Duration>,
 }
 
 impl Broker {
-    /// An initiator that has just started; the endpoint list it last had comes as an input.
+    /// Creates the broker of an initiator that has just started. A cached endpoint list is passed in as an
+    /// input.
     pub fn new(settings: Settings, seed: u64, clock: Clock, now: Instant) -> Self {
         let now = clock.time(now);
         let scheduler = Scheduler::new(settings.clone(), seed, now);
@@ -75,29 +76,30 @@
         }
     }
 
-    /// The same, where initiators talk to each other; `me` is what this process is to them.
+    /// Enables the exchange of reports with peers, to which this process is known as `me`.
     pub fn among_peers(mut self, me: Observer) -> Self {
         self.gossip = Some(GossipState::new(me));
         self
     }
 
-    /// The one way in: takes what happened, and returns what is to be done, in order.
+    /// Handles one input and returns the work to do, in order. All changes of the broker's state are made by
+    /// this method.
     pub fn step(&mut self, now: Instant, input: Input) -> Vec<Effect> {
         let mut step = Step::new(self.clock.time(now));
-        self.take_input(input, &mut step);
+        self.handle_input(input, &mut step);
         self.requests.time_out_attempts(&mut step);
         self.fire_scheduler_timer(&mut step);
         self.observe_attempts(&mut step);
         self.review_endpoints(&mut step);
         self.broadcast(&mut step);
-        self.withdraw_from_closed(&mut step);
+        self.withdraw_from_unavailable(&mut step);
         self.run_scheduler(&mut step);
         self.log_counters(&mut step);
         self.set_timer(&mut step);
         step.effects
     }
 
-    fn take_input(&mut self, input: Input, step: &mut Step) {
+    fn handle_input(&mut self, input: Input, step: &mut Step) {
         match input {
             Input::RequestArrived { id, request } => self.requests.arrived(id, request, step),
             Input::AttemptEnded { attempt, result } => {
@@ -108,10 +110,10 @@
                 self.requests.progressed(attempt, progress, step);
             }
             Input::ClientLeft(id) => self.requests.client_left(id, step),
-            Input::EndpointList(list) => self.take_endpoint_list(list, step),
+            Input::EndpointList(list) => self.handle_endpoint_list(list, step),
             Input::EndpointListCurrent => {
                 self.endpoints.list_is_current(step.now);
-                self.note_followed_list(step);
+                self.watched_list_received(step);
             }
             Input::EndpointListStale(stale) => {
                 let context = UpdateContext::new(self.settings.get(), self.gossip.as_ref());
@@ -120,19 +122,20 @@
             Input::WallClock(shown) => self.endpoints.read_wall_clock(step.now, shown),
             Input::Settings(settings) => self.change_settings(*settings, step),
             Input::BudgetShare(share) => step.events.push(Event::BudgetShare(share)),
-            Input::OperatorCommand(command) => self.carry_out(command, step),
+            Input::OperatorCommand(command) => self.handle_command(command, step),
             Input::Restore { snapshot, budget_share } => self.restore(*snapshot, budget_share, step),
             Input::PeerReports { from, round_trip, reports } => {
-                self.take_peer_reports(from, round_trip, reports, step);
+                self.handle_peer_reports(from, round_trip, reports, step);
             }
             Input::GossipMerged(reports) => self.merge_gossip(reports, step),
-            Input::PeerTotals(totals) => self.take_peer_totals(totals, step),
+            Input::PeerTotals(totals) => self.handle_peer_totals(totals, step),
             Input::TimerFired => {}
         }
     }
 
-    /// A cached list may be of any age: only one that is followed tells of now.
-    fn take_endpoint_list(&mut self, list: EndpointList, step: &mut Step) {
+    /// Applies a list. A cached list may be of any age: only the messages of a watched list describe the
+    /// present.
+    fn handle_endpoint_list(&mut self, list: EndpointList, step: &mut Step) {
         let context = UpdateContext::new(self.settings.get(), self.gossip.as_ref());
         if list.kind == EndpointListKind::Cached {
             let event = self.endpoints.apply_list(list, &context, step);
@@ -140,14 +143,14 @@
             step.review_due = true;
             step.broadcast_due = true;
         } else {
-            let event = self.endpoints.apply_followed_list(list, &context, step);
+            let event = self.endpoints.apply_watched_list(list, &context, step);
             step.events.push(event);
-            self.note_followed_list(step);
+            self.watched_list_received(step);
         }
     }
 
-    /// The list that is followed has spoken, be it to say that nothing changed.
-    fn note_followed_list(&mut self, step: &mut Step) {
+    /// Records that a message of the watched list was received, even if nothing has changed.
+    fn watched_list_received(&mut self, step: &mut Step) {
         if let Some(gossip) = &mut self.gossip {
             gossip.list_received(step.now);
         }
@@ -168,8 +171,8 @@
         }
     }
 
-    /// An endpoint that drains or was removed gets nothing new from now on.
-    fn withdraw_from_closed(&mut self, step: &mut Step) {
+    /// Withdraws the unwritten attempts to endpoints that drain or were removed: nothing new is sent to them.
+    fn withdraw_from_unavailable(&mut self, step: &mut Step) {
         let mut ready = BTreeMap::new();
         for update in step.endpoint_updates() {
             ready.insert(update.endpoint, update.readiness == Readiness::Ready);
@@ -178,13 +181,13 @@
             return;
         }
         let endpoints = &self.endpoints;
-        let closed = |endpoint: EndpointId| {
+        let unavailable = |endpoint: EndpointId| {
             endpoints.address(endpoint).is_none() || ready.get(&endpoint) == Some(&false)
         };
-        self.requests.withdraw_from(closed, step);
+        self.requests.withdraw_from(unavailable, step);
     }
 
-    /// Lets the scheduler decide until nothing follows from its last decisions at once.
+    /// Runs the scheduler until its last actions cause no further events.
     fn run_scheduler(&mut self, step: &mut Step) {
         let mut actions = Vec::new();
         while !step.events.is_empty() {
@@ -197,15 +200,15 @@
         }
     }
 
-    /// Carries out one decision; what comes of it at once is an event for the scheduler's next round.
+    /// Carries out one action. Its immediate consequences are events for the scheduler's next run.
     fn apply_action(&mut self, action: Action, step: &mut Step) {
         match action {
-            Action::Send { request, endpoint: node, timeout } => {
-                let address = self.endpoints.address(node);
-                self.requests.start_attempt(request, node, timeout, address, step);
+            Action::Send { request, endpoint, timeout } => {
+                let address = self.endpoints.address(endpoint);
+                self.requests.start_attempt(request, endpoint, timeout, address, step);
             }
             Action::Cancel { request, number } => {
-                self.requests.give_up(AttemptId { request, number }, TransportOutcome::Cancelled, step);
+                self.requests.abort(AttemptId { request, number }, TransportOutcome::Cancelled, step);
             }
             Action::Reject { request, retry_after } => self.requests.reject(request, retry_after, step),
             Action::Fail { request } => self.requests.fail(request, step),
@@ -213,8 +216,8 @@
                 self.scheduler_timer = Some(self.scheduler_timer.map_or(at, |earlier| earlier.min(at)));
             }
             Action::Log(line) => step.log(OperatorEvent::SchedulerMessage(line)),
-            // The list is always followed, idle connections end by their own timers, and neither health checks nor
-            // messages between initiators are asked for where the settings do not allow them.
+            // The host always watches the list, and idle connections are closed by their own timers. The
+            // scheduler requests health checks and peer messages only if the settings allow them.
             Action::WatchEndpointList(_) | Action::FetchEndpointList | Action::CloseIdle(_) => {}
             Action::HealthCheck(_) | Action::SendPeerMessage { .. } => {}
         }
@@ -230,7 +233,7 @@
         }
     }
 
-    /// One timer for all that waits: attempts' deadlines, the scheduler, and advice that runs out.
+    /// Sets one timer for the earliest of attempt deadlines, the scheduler's timer and the expiry of advice.
     fn set_timer(&self, step: &mut Step) {
         let timers = [self.requests.next_deadline(), self.scheduler_timer, self.next_review()];
         if let Some(first) = timers.into_iter().flatten().min() {
@@ -238,58 +241,63 @@
         }
     }
 
-    /// Whether it knows of an endpoint to send to.
+    /// Returns whether there is a listed endpoint to send to.
     pub fn is_ready(&self) -> bool {
         self.endpoints.any_listed()
     }
 
-    /// Requests without a final answer.
+    /// Returns the number of requests without a final answer.
     pub fn open_requests(&self) -> usize {
         self.requests.open_count()
     }
 
-    /// What became of the requests, by the number of their class.
+    /// Returns the request counters, indexed by class number.
     pub fn counters(&self) -> &[ClassCounters] {
         self.requests.counters.by_class()
     }
 
-    /// How many attempts ended in which way, by the name of the [`TransportOutcome`].
+    /// Returns the number of ended attempts, by the name of their [`TransportOutcome`].
     pub fn attempt_outcomes(&self) -> &BTreeMap<String, u64> {
         self.requests.counters.by_outcome()
     }
 
-    /// The settings in force, with classes and plans of earlier ones, retired.
+    /// Returns the settings in force. Classes and plans that only earlier settings had are included as
+    /// retired.
     pub fn settings(&self) -> Rc<Settings> {
         self.settings.get().clone()
     }
 
-    /// A class by the name that clients use. One that newer settings dropped is still found for a while. A request that
-    /// carries no key is none of a class with idempotency keys.
+    /// Returns the number of the class of that name, as clients use it.
+    ///
+    /// A class that newer settings dropped is still found for a few seconds. A request without a key
+    /// (`has_key` is false) belongs to no class that requires idempotency keys.
     pub fn class(&self, name: &str, has_key: bool, now: Instant) -> Option<u16> {
         self.settings.class(name, has_key, self.clock.time(now))
     }
 
-    /// A plan by its name; one that newer settings dropped is found where none has that name now.
+    /// Returns the number of the plan of that name. A plan that newer settings dropped is found if no current
+    /// plan has the name.
     pub fn plan(&self, name: &str) -> Option<u16> {
         self.settings.plan(name)
     }
 
-    /// The endpoint list's revision, as last received.
+    /// Returns the revision of the endpoint list that was last received.
     pub fn revision(&self) -> u64 {
         self.endpoints.revision()
     }
 
-    /// Whether the list ever named an endpoint of that name.
+    /// Returns whether the endpoint of that name was ever listed, as far as removed endpoints are remembered.
     pub fn knows(&self, id: &str) -> bool {
         self.endpoints.contains(id)
     }
 
-    /// The names of the endpoints that operators suspended.
+    /// Returns the names of the endpoints that operators suspended.
     pub fn suspended_endpoints(&self) -> Vec<String> {
         self.endpoints.suspended()
     }
 
-    /// Since when clients are to go elsewhere, where an operator said so.
+    /// Returns since when this initiator is drained by an operator, so that clients are to use other
+    /// initiators; `None` if it is not drained.
     pub fn drained_since(&self) -> Option<Instant> {
         self.drained_since.map(|at| self.clock.instant(at))
     }
--- a/crates/core/src/broker/operator.rs
+++ b/crates/core/src/broker/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' commands: suspend and resume an endpoint, send the clients elsewhere and accept them again.
+//! The commands of operators: suspend and resume an endpoint, drain and activate this initiator.
 
 use super::endpoints::UpdateContext;
 use super::input::OperatorCommand;
@@ -7,8 +7,8 @@
 use crate::operator_event::OperatorEvent;
 
 impl Broker {
-    /// Carries out a command. Giving one twice is giving it once.
-    pub(super) fn carry_out(&mut self, command: OperatorCommand, step: &mut Step) {
+    /// Carries out a command. Commands are idempotent.
+    pub(super) fn handle_command(&mut self, command: OperatorCommand, step: &mut Step) {
         step.review_due = true;
         step.broadcast_due = true;
         match command {
--- a/crates/core/src/broker/requests.rs
+++ b/crates/core/src/broker/requests.rs
@@ -1,5 +1,5 @@
-//! Requests without a final answer and their attempts in flight: who still waits, until when, what became of each attempt,
-//! and which attempts are withdrawn before anything of them is written.
+//! Open requests and attempts in flight: their deadlines, the outcome of each attempt, and the withdrawal of
+//! attempts that have not been written yet.
 
 use super::effect::{Answer, Effect};
 use super::input::{AttemptId, AttemptProgress, AttemptResult, IncomingRequest};
@@ -12,31 +12,31 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An answer is given this long before its client stops waiting: the way back takes time as well.
+/// How long before the client stops waiting the final answer is given, so that it reaches the client in time.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
-/// Retry-After of a request that never ran and whose body can't be sent again.
+/// The retry-after time of a request that never ran and whose body cannot be sent again.
 const UNREPEATABLE_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A request that no final answer was given to.
+/// A request without a final answer.
 #[derive(Debug)]
 struct OpenRequest {
     class: u16,
     units: f64,
-    /// The latest moment of its final answer.
+    /// The latest time of the final answer.
     deadline: Duration,
-    /// How long the client waits, less the margin for the answer's way back.
+    /// How long the client waits, less [`RESPONSE_MARGIN`].
     time_remaining: Duration,
     attempts: u8,
-    /// An attempt has ended that may have run.
+    /// Whether an attempt has ended that may have run.
     may_have_run: bool,
 }
 
-/// An attempt whose outcome is not known yet.
+/// An attempt without an outcome.
 #[derive(Debug)]
 struct InFlightAttempt {
     endpoint: EndpointId,
     sent_at: Duration,
-    /// It is given up then.
+    /// When the attempt times out.
     deadline: Duration,
     response_started_at: Option<Duration>,
     body_streaming: bool,
@@ -44,13 +44,14 @@
 }
 
 impl InFlightAttempt {
-    /// The end of its round trip. One that is being answered says nothing of its endpoint by ending late.
+    /// Returns the end of the attempt's round trip. Once the response has begun, a late end says nothing
+    /// about the endpoint's latency.
     fn round_trip_end(&self, now: Duration) -> Duration {
         self.response_started_at.unwrap_or(now)
     }
 }
 
-/// All open requests, all attempts in flight, and the counts of both.
+/// All open requests, all attempts in flight, and the counters of both.
 #[derive(Debug)]
 pub(super) struct Requests {
     open: BTreeMap<RequestId, OpenRequest>,
@@ -63,18 +64,18 @@
         Requests { open: BTreeMap::new(), in_flight: BTreeMap::new(), counters }
     }
 
-    /// How many requests are without a final answer.
+    /// Returns the number of requests without a final answer.
     pub(super) fn open_count(&self) -> usize {
         self.open.len()
     }
 
-    /// When the next attempt is to be given up; `None` while none has a deadline.
+    /// Returns when the next attempt times out; `None` while no attempt has a deadline.
     pub(super) fn next_deadline(&self) -> Option<Duration> {
         let deadlines = self.in_flight.values().map(|attempt| attempt.deadline);
         deadlines.filter(|deadline| *deadline < Duration::MAX).min()
     }
 
-    /// Takes a new request; one whose number is already open is ignored.
+    /// Adds a new request. Ignored if a request of that number is already open.
     pub(super) fn arrived(&mut self, id: RequestId, request: IncomingRequest, step: &mut Step) {
         if self.open.contains_key(&id) {
             return;
@@ -89,7 +90,7 @@
             may_have_run: false,
         };
         self.open.insert(id, open);
-        self.counters.count(request.class, |counts| counts.taken += 1);
+        self.counters.count(request.class, |counters| counters.taken += 1);
         step.events.push(Event::Request(Request {
             id,
             class: request.class,
@@ -104,39 +105,39 @@
         }));
     }
 
-    /// The client is gone: no answer is owed any more.
+    /// Closes a request whose client left: no answer is owed any more.
     pub(super) fn client_left(&mut self, id: RequestId, step: &mut Step) {
         if let Some(open) = self.open.remove(&id) {
-            self.counters.count(open.class, |counts| counts.client_left += 1);
+            self.counters.count(open.class, |counters| counters.client_left += 1);
             step.events.push(Event::ClientLeft(id));
         }
     }
 
-    /// The scheduler rejects a request.
+    /// Answers a request as rejected.
     pub(super) fn reject(&mut self, request: RequestId, retry_after: Duration, step: &mut Step) {
         let Some(open) = self.open.remove(&request) else { return };
-        self.counters.count(open.class, |counts| counts.rejected += 1);
+        self.counters.count(open.class, |counters| counters.rejected += 1);
         step.effects.push(Effect::Respond { request, answer: Answer::Rejected(retry_after) });
     }
 
-    /// The scheduler gives a request up.
+    /// Answers a request as failed.
     pub(super) fn fail(&mut self, request: RequestId, step: &mut Step) {
         let Some(open) = self.open.remove(&request) else { return };
-        self.counters.count(open.class, |counts| counts.failed += 1);
+        self.counters.count(open.class, |counters| counters.failed += 1);
         step.effects.push(Effect::Respond { request, answer: Answer::Failed });
     }
 
     fn serve(&mut self, request: RequestId, body: Bytes, step: &mut Step) {
         let Some(open) = self.open.remove(&request) else { return };
-        self.counters.count(open.class, |counts| {
-            counts.served += 1;
-            counts.units += open.units;
+        self.counters.count(open.class, |counters| {
+            counters.served += 1;
+            counters.units += open.units;
         });
         step.effects.push(Effect::Respond { request, answer: Answer::Served(body) });
     }
 
-    /// Starts the next attempt of a request. `timeout`: 0 where only the request's deadline ends it. Where the endpoint's
-    /// address is not known any more the attempt ends at once, not sent.
+    /// Starts the next attempt of a request. If `timeout` is zero, only the deadline of the request ends the
+    /// attempt. If the address of the endpoint is no longer known, the attempt ends at once as not sent.
     pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
@@ -171,7 +172,7 @@
         step.effects.push(Effect::StartAttempt { attempt, to, timeout });
     }
 
-    /// Notes how far an attempt has come.
+    /// Records the progress of an attempt.
     pub(super) fn progressed(&mut self, id: AttemptId, progress: AttemptProgress, step: &mut Step) {
         let Some(attempt) = self.in_flight.get_mut(&id) else { return };
         let Some(open) = self.open.get_mut(&id.request) else { return };
@@ -181,7 +182,8 @@
                 attempt.response_started_at = Some(step.now);
                 step.events.push(Event::ResponseStarted(id.request));
             }
-            // While a body is streamed its client's time stands still; it starts anew with the last byte.
+            // While a body is streaming, the client's deadline is suspended; it starts anew with the last
+            // byte.
             AttemptProgress::BodyStreaming | AttemptProgress::BodySent => {
                 let streaming = progress == AttemptProgress::BodyStreaming;
                 open.deadline = match streaming {
@@ -196,7 +198,8 @@
         }
     }
 
-    /// An attempt came back. `max_retry_after`: the longest wait a client keeps; 0: not stated.
+    /// Handles the result of an attempt. `max_retry_after` is the longest retry-after time that a client
+    /// follows; 0: not stated.
     pub(super) fn ended(
         &mut self,
         id: AttemptId,
@@ -205,7 +208,7 @@
         step: &mut Step,
     ) {
         self.finish_body(id, step);
-        // One that was given up has had its one outcome.
+        // An attempt that was aborted already has its outcome.
         let Some(attempt) = self.in_flight.remove(&id) else { return };
         self.counters.count_attempt(result.transport);
         let outcome = result.transport.attempt_outcome();
@@ -226,7 +229,8 @@
         }));
     }
 
-    /// A request that can't be sent again has its final answer with its first failure.
+    /// Gives a request that cannot be sent again its final answer. The request is rejected if no attempt may
+    /// have run, else failed. Does nothing if the request is already answered.
     fn end_unrepeatable(&mut self, request: RequestId, max_retry_after: Duration, step: &mut Step) {
         let Some(open) = self.open.get(&request) else { return };
         if open.may_have_run {
@@ -239,15 +243,15 @@
         self.reject(request, retry_after, step);
     }
 
-    /// Gives up the attempts whose deadline has come.
+    /// Aborts the attempts whose deadline has passed.
     pub(super) fn time_out_attempts(&mut self, step: &mut Step) {
         for id in self.attempts_where(|_, attempt| attempt.deadline <= step.now) {
-            self.give_up(id, TransportOutcome::TimedOut, step);
+            self.abort(id, TransportOutcome::TimedOut, step);
         }
     }
 
-    /// An attempt that still waits for a connection, and for whose answer nobody waits any more, is never sent,
-    /// whether or not the settings let one be cancelled that was.
+    /// Withdraws the unwritten attempts of requests that are no longer open. An unwritten attempt may be
+    /// withdrawn even if the settings do not allow the cancellation of attempts that were sent.
     pub(super) fn withdraw_unwanted(&mut self, step: &mut Step) {
         let unwanted = |id: &AttemptId| !self.open.contains_key(&id.request);
         for id in self.attempts_where(|id, attempt| !attempt.write_started && unwanted(id)) {
@@ -255,21 +259,22 @@
         }
     }
 
-    /// Withdraws the attempts that still wait for a connection to an endpoint that takes nothing new. They would be
-    /// written whenever the connection comes up, past the time that the settings leave.
-    pub(super) fn withdraw_from(&mut self, closed: impl Fn(EndpointId) -> bool, step: &mut Step) {
-        for id in self.attempts_where(|_, attempt| !attempt.write_started && closed(attempt.endpoint)) {
+    /// Withdraws the unwritten attempts to endpoints that take nothing new. An attempt that waits for a
+    /// connection would otherwise be written when the connection is established, later than the settings
+    /// allow.
+    pub(super) fn withdraw_from(&mut self, unavailable: impl Fn(EndpointId) -> bool, step: &mut Step) {
+        for id in self.attempts_where(|_, attempt| !attempt.write_started && unavailable(attempt.endpoint)) {
             self.withdraw(id, step);
         }
     }
 
     fn withdraw(&mut self, id: AttemptId, step: &mut Step) {
         self.finish_body(id, step);
-        self.give_up(id, TransportOutcome::Withdrawn, step);
+        self.abort(id, TransportOutcome::Withdrawn, step);
     }
 
-    /// Closes an attempt from this side; `transport` says why.
-    pub(super) fn give_up(&mut self, id: AttemptId, transport: TransportOutcome, step: &mut Step) {
+    /// Aborts an attempt from this side, with `transport` as its outcome.
+    pub(super) fn abort(&mut self, id: AttemptId, transport: TransportOutcome, step: &mut Step) {
         let Some(attempt) = self.in_flight.remove(&id) else { return };
         self.counters.count_attempt(transport);
         step.effects.push(Effect::AbortAttempt(id));
@@ -278,7 +283,7 @@
         step.events.push(Event::AttemptEnded(ended));
     }
 
-    /// A body that was still streaming when its attempt ended streams no more.
+    /// Ends the streaming of a body whose attempt ends, and restarts the client's deadline.
     fn finish_body(&mut self, id: AttemptId, step: &mut Step) {
         if self.in_flight.get(&id).is_some_and(|attempt| attempt.body_streaming) {
             self.progressed(id, AttemptProgress::BodySent, step);
--- a/crates/core/src/broker/snapshot.rs
+++ b/crates/core/src/broker/snapshot.rs
@@ -1,7 +1,7 @@
-//! What a process hands over to the one that takes its place, and how that one goes on.
+//! The state that a process hands over to its successor, and its restoration there.
 //!
-//! Another version may read it or may have written it: stored names stay as they were, and what older versions did not store
-//! has a default.
+//! The two processes may run different versions: stored names never change, and fields that older versions
+//! did not store have defaults.
 
 use super::clock::Clock;
 use super::endpoint_state::EndpointState;
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// What the core hands over to its successor.
+/// The state that the core hands over to its successor.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct CoreSnapshot {
     revision: u64,
@@ -25,7 +25,8 @@
     drained: bool,
     #[serde(rename = "learnt")]
     scheduler: SchedulerSnapshot,
-    /// When it was taken, by the clock that all its other times are read on. The first version stored none.
+    /// When the snapshot was taken, by the core's clock, on which all its other times are based. The first
+    /// version did not store the time.
     #[serde(rename = "now", default)]
     taken_at: Option<Duration>,
     #[serde(rename = "starts", default)]
@@ -33,14 +34,15 @@
 }
 
 impl CoreSnapshot {
-    /// The clock of the process that took it, which took it at this instant.
+    /// Returns the clock of the process that took the snapshot at the instant `taken_at`; `None` if the
+    /// snapshot holds no time.
     pub fn clock(&self, taken_at: Instant) -> Option<Clock> {
         self.taken_at.map(|time| Clock::new(taken_at, time))
     }
 }
 
 impl Broker {
-    /// What this core hands over to a process that gets this share of its budgets, from 0 to 1.
+    /// Takes a snapshot for a process that receives `budget_share` of this process's budgets, from 0 to 1.
     pub fn snapshot(&self, now: Instant, budget_share: f64) -> CoreSnapshot {
         let endpoints = self.endpoints.snapshot();
         CoreSnapshot {
@@ -53,7 +55,8 @@
         }
     }
 
-    /// Goes on where another process was. It knew the list later than the configuration did, and what operators asked.
+    /// Restores the state of another process. Its endpoint list is newer than the configured one, and it
+    /// holds the operators' commands.
     pub(super) fn restore(&mut self, snapshot: CoreSnapshot, budget_share: f64, step: &mut Step) {
         step.review_due = true;
         step.broadcast_due = true;
@@ -71,7 +74,7 @@
         };
         let context = UpdateContext::new(self.settings.get(), self.gossip.as_ref());
         let list = self.endpoints.restore(restored, &context, step);
-        // The scheduler has to know an endpoint before its past can be restored.
+        // The scheduler must know an endpoint before the endpoint's state can be restored.
         self.scheduler.step(step.now, &[list], &mut Vec::new());
         self.scheduler.restore(snapshot.scheduler);
         step.events.push(Event::BudgetShare(budget_share));
--- a/crates/core/src/broker/step.rs
+++ b/crates/core/src/broker/step.rs
@@ -1,22 +1,22 @@
-//! One step of the broker in progress.
+//! The working state of one step of the broker.
 
 use super::effect::Effect;
 use crate::interface::{EndpointUpdate, Event};
 use crate::operator_event::OperatorEvent;
 use std::time::Duration;
 
-/// What a step gathers on its way through the phases.
+/// What the phases of a step collect.
 #[derive(Debug)]
 pub(super) struct Step {
-    /// The step's time, by the core's clock.
+    /// The time of the step, by the core's clock.
     pub(super) now: Duration,
-    /// For the scheduler, in order.
+    /// Events for the scheduler, in order.
     pub(super) events: Vec<Event>,
-    /// For the host, in order.
+    /// Effects for the host, in order.
     pub(super) effects: Vec<Effect>,
-    /// Something changed that may change the advice on endpoints.
+    /// Whether something changed that may change the advice on endpoints.
     pub(super) review_due: bool,
-    /// Something changed that peers are to know.
+    /// Whether something changed that peers need to know.
     pub(super) broadcast_due: bool,
 }
 
@@ -29,7 +29,7 @@
         self.effects.push(Effect::Log(event));
     }
 
-    /// The endpoint updates that the scheduler is about to get, in order.
+    /// Returns the endpoint updates that the scheduler is about to receive, in order.
     pub(super) fn endpoint_updates(&self) -> Vec<&EndpointUpdate> {
         let lists = self.events.iter().filter_map(|event| match event {
             Event::EndpointList { lines, .. } => Some(lines),
--- a/crates/core/src/gossip/mod.rs
+++ b/crates/core/src/gossip/mod.rs
@@ -1,8 +1,8 @@
-//! What peers report, beside the core's own observations: what follows from it for each endpoint and volume, and what this
-//! initiator reports to its peers.
+//! The reports of peers and the core's own observations: the advice on endpoints that follows from both, the
+//! sums over all initiators, and the reports that this initiator sends to its peers.
 //!
-//! Reports only ever take away: they stop an endpoint, hold it back, put it in slow start or count off units. There is none
-//! of this where initiators do not talk to each other.
+//! Reports can only restrict: they stop an endpoint, hold it back, put it in slow start or reduce the units
+//! that may be sent. Without peers this state does not exist.
 
 mod reports;
 mod review;
@@ -20,24 +20,24 @@
 use std::time::Duration;
 use totals::PeerSums;
 
-/// How often an endpoint that goes on failing is reported again.
+/// The interval at which an endpoint that keeps failing is reported again.
 const FAILING_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// One endpoint as this initiator's list and its operators have it.
+/// One endpoint as this initiator knows it from its list and its operators.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownEndpoint<'a> {
-    /// Its number at the scheduler.
+    /// The endpoint's number at the scheduler.
     pub endpoint: EndpointId,
-    /// Its entry in the list.
+    /// The endpoint's entry in the list.
     pub record: &'a EndpointRecord,
-    /// An operator suspended it.
+    /// Whether an operator suspended the endpoint.
     pub suspended: bool,
-    /// When it last started, as far as the core knows by itself; 0: long ago.
+    /// When the endpoint last started, as far as the core knows without reports; zero: long ago.
     pub started_at: Duration,
 }
 
 impl KnownEndpoint<'_> {
-    /// The listed start in milliseconds of Unix time, the same at every initiator; 0: long ago.
+    /// Returns the listed start in milliseconds of Unix time, the same at every initiator; 0: long ago.
     fn start_ms(&self) -> u64 {
         self.record.up_since.map_or(0, |unix_time| unix_time.as_millis() as u64)
     }
@@ -47,45 +47,46 @@
     }
 }
 
-/// All endpoints that the list ever named, by name.
+/// All endpoints that were ever listed, by name.
 pub type KnownEndpoints<'a> = BTreeMap<&'a str, KnownEndpoint<'a>>;
 
-/// A start of an endpoint and when this process first knew of it.
+/// A start of an endpoint, and when this process first knew of the start.
 #[derive(Clone, Copy, Debug)]
 struct KnownStart {
     start_ms: u64,
     known_since: Duration,
 }
 
-/// What the attempts of one step say.
+/// What the attempts that ended in one step show.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ObservedAttempts {
-    /// An endpoint fails here: the advice on it is due for review.
+    /// Whether an endpoint fails here, so that the advice on it is due for review.
     pub failing: bool,
-    /// There is something to report to peers.
+    /// Whether there is something to report to peers.
     pub reportable: bool,
 }
 
-/// Peers' reports, what this initiator observes itself, and the advice that follows from both.
+/// The reports of peers, this initiator's own observations, and the advice that follows from both.
 #[derive(Clone, Debug)]
 pub struct GossipState {
+    /// The identity under which this process reports.
     me: Observer,
     reported: ObservationStore,
-    /// When the followed list last spoke; `None`: only a cached one was read.
+    /// When the watched list last sent a message; `None`: only a cached list was read.
     list_received_at: Option<Duration>,
-    /// The start that each endpoint had when it was last listed.
+    /// The last listed start of each endpoint.
     starts: BTreeMap<String, KnownStart>,
-    /// When this initiator's list or operators last said that an endpoint takes no work.
+    /// When an endpoint was last known here to take no work, by the list or an operator.
     not_ready_at: BTreeMap<String, Duration>,
     health: BTreeMap<EndpointId, AttemptHistory>,
     advice: BTreeMap<String, Advice>,
-    /// When this process last broadcast what it observes.
+    /// When this process last broadcast its observations.
     broadcast_at: Duration,
     sums: PeerSums,
 }
 
 impl GossipState {
-    /// Nothing is known yet; `me` is what this process is to its peers.
+    /// Creates the state of a process without reports, which is known to its peers as `me`.
     pub fn new(me: Observer) -> Self {
         GossipState {
             me,
@@ -100,12 +101,13 @@
         }
     }
 
-    /// The followed list has spoken, be it to say that nothing changed.
+    /// Records that the watched list sent a message, even if nothing has changed.
     pub fn list_received(&mut self, now: Duration) {
         self.list_received_at = Some(now);
     }
 
-    /// Takes what a peer reported in an exchange of that round trip; how many of its reports were not accepted.
+    /// Merges the reports that a peer sent in an exchange with that round-trip time. Returns how many were
+    /// rejected.
     pub fn merge_exchange(
         &mut self,
         now: Duration,
@@ -116,19 +118,19 @@
         self.reported.merge_reports(now, round_trip, &self.me, from, reports).rejected
     }
 
-    /// Takes reports that were new among the peers, checked by whoever brings them.
+    /// Merges reports that gossip brought and that the caller has validated.
     pub fn merge(&mut self, now: Duration, reports: Vec<Report>) {
         for report in reports.into_iter().filter(|report| report.observer != self.me) {
             self.reported.merge(report.into_observation(now, Duration::ZERO));
         }
     }
 
-    /// Takes the sums over all other initiators; what is not among them is not known.
+    /// Replaces the sums over all other initiators. A sum that `totals` lacks is unknown from now on.
     pub fn set_totals(&mut self, now: Duration, totals: PeerTotals) {
         self.sums = PeerSums::new(now, totals);
     }
 
-    /// Notes what ended attempts say of their endpoints.
+    /// Records what ended attempts show about their endpoints.
     pub fn observe_attempts(&mut self, now: Duration, events: &[Event]) -> ObservedAttempts {
         let mut observed = ObservedAttempts::default();
         let repeat_due = now >= self.broadcast_at + FAILING_REPORT_INTERVAL;
@@ -150,12 +152,12 @@
         observed
     }
 
-    /// The advice on an endpoint, as last reviewed.
+    /// Returns the advice on an endpoint, as last reviewed.
     pub fn advice(&self, id: &str) -> Advice {
         self.advice.get(id).copied().unwrap_or_default()
     }
 
-    /// When a piece of advice next runs out by itself.
+    /// Returns when advice next changes by the passing of time alone.
     pub fn next_change(&self) -> Option<Duration> {
         self.advice.values().filter_map(Advice::next_change).min()
     }
--- a/crates/core/src/gossip/reports.rs
+++ b/crates/core/src/gossip/reports.rs
@@ -1,5 +1,5 @@
-//! What this initiator reports to its peers: what it observes of endpoints, what it sent to those in slow start and what it is
-//! asked for.
+//! The reports that this initiator sends to its peers: its observations of endpoints, the units it sent to
+//! endpoints in slow start, and the demand of its clients.
 
 use super::totals::{Contribution, EndpointUsage, VolumeDemand, MILLI_UNITS};
 use super::{GossipState, KnownEndpoint, KnownEndpoints};
@@ -9,7 +9,8 @@
 use std::time::Duration;
 
 impl GossipState {
-    /// What a peer is told in an exchange: what this process observes, sent and is asked for, and what others reported.
+    /// Returns the reports for a peer in an exchange: this process's own observations, units sent and demand,
+    /// and the reports of others.
     pub fn exchange_reports(
         &self,
         now: Duration,
@@ -18,21 +19,17 @@
     ) -> Vec<Report> {
         let mut own = self.observations(now, known, scheduler);
         for usage in self.usage(now, known, scheduler).into_iter().filter(|usage| usage.milli_units > 0) {
-            own.push({
-                let claim = Claim::SlowStartUnits { endpoint: usage.id, milli_units: usage.milli_units };
-                self.observe(claim, usage.start_ms, now)
-            });
+            let claim = Claim::SlowStartUnits { endpoint: usage.id, milli_units: usage.milli_units };
+            own.push(self.observation(claim, usage.start_ms, now));
         }
         for demand in demands(now, scheduler) {
-            own.push({
-                let claim = Claim::Demand { volume: demand.volume, milli_units_per_second: demand.rate };
-                self.observe(claim, 0, now)
-            });
+            let claim = Claim::Demand { volume: demand.volume, milli_units_per_second: demand.rate };
+            own.push(self.observation(claim, 0, now));
         }
         self.reported.reports_for_exchange(now, &self.me, own)
     }
 
-    /// What this process observes first-hand, for all peers.
+    /// Returns this process's first-hand observations, for all peers.
     pub fn broadcast_reports(
         &mut self,
         now: Duration,
@@ -44,13 +41,14 @@
         own.iter().filter_map(|observation| observation.to_report(now, &self.me)).collect()
     }
 
-    /// What this process adds to the sums over all initiators.
+    /// Returns this process's contribution to the sums over all initiators.
     pub fn contribution(&self, now: Duration, known: &KnownEndpoints, scheduler: &Scheduler) -> Contribution {
         let demand = demands(now, scheduler).collect();
         Contribution { demand, spent: self.usage(now, known, scheduler) }
     }
 
-    /// What this process sent to endpoints in slow start within the settings' overload window.
+    /// Returns the units that this process sent to each endpoint in slow start within the settings' overload
+    /// window.
     fn usage(&self, now: Duration, known: &KnownEndpoints, scheduler: &Scheduler) -> Vec<EndpointUsage> {
         let rules = scheduler.rules();
         let mut usage = Vec::new();
@@ -65,7 +63,7 @@
         usage
     }
 
-    /// When an endpoint started that takes work and is in slow start.
+    /// Returns when an endpoint started; `None` if the endpoint takes no work or is not in slow start.
     fn slow_start_since(
         &self,
         id: &str,
@@ -76,7 +74,8 @@
         if endpoint.started_at.is_zero() || !endpoint.is_ready() {
             return None;
         }
-        // It can't have started after its start was first known, whatever this process's clock says.
+        // An endpoint cannot have started after its start was first known, whatever this process's clock
+        // shows.
         let known_since = self.starts.get(id).map_or(now, |start| start.known_since);
         let started_at = endpoint.started_at.min(known_since);
         Some(started_at).filter(|started_at| now < *started_at + rules.slow_start_duration)
@@ -87,29 +86,31 @@
         for (id, endpoint) in known {
             let start_ms = endpoint.start_ms();
             let name = || (*id).to_owned();
-            if let Some((readiness, seen)) = self.reportable_readiness(id, endpoint, now) {
-                own.push(self.observe(Claim::Readiness { endpoint: name(), readiness }, start_ms, seen));
+            if let Some((readiness, observed_at)) = self.reportable_readiness(id, endpoint, now) {
+                let claim = Claim::Readiness { endpoint: name(), readiness };
+                own.push(self.observation(claim, start_ms, observed_at));
             }
             let history = self.health.get(&endpoint.endpoint);
             if let Some(verdict) = history.and_then(AttemptHistory::verdict) {
                 let claim = Claim::Health { endpoint: name(), health: verdict.health };
-                own.push(self.observe(claim, start_ms, verdict.observed_at));
+                own.push(self.observation(claim, start_ms, verdict.observed_at));
             }
             if let Some(started_at) = self.slow_start_since(id, endpoint, scheduler.rules(), now) {
                 let uptime = now.saturating_sub(started_at);
-                own.push(self.observe(Claim::Started { endpoint: name(), uptime }, start_ms, now));
+                own.push(self.observation(Claim::Started { endpoint: name(), uptime }, start_ms, now));
             }
         }
         own
     }
 
-    fn observe(&self, claim: Claim, start_ms: u64, observed_at: Duration) -> Observation {
+    /// Returns a first-hand observation of this process.
+    fn observation(&self, claim: Claim, start_ms: u64, observed_at: Duration) -> Observation {
         let observer = self.me.clone();
         Observation { claim, observer, endpoint_incarnation: start_ms, hops: 0, observed_at }
     }
 
-    /// What the list or an operator says an endpoint is ready for, and when that was seen. That one takes work is reported
-    /// only where somebody may think otherwise.
+    /// Returns an endpoint's readiness by the list or an operator, and when that was observed. That an
+    /// endpoint takes work is reported only if some initiator may hold the opposite.
     fn reportable_readiness(
         &self,
         id: &str,
@@ -119,17 +120,18 @@
         if endpoint.suspended {
             return Some((ReportedReadiness::Draining, now));
         }
-        let seen = self.list_received_at?;
+        let observed_at = self.list_received_at?;
         match endpoint.record.readiness {
-            Readiness::Ready if !self.is_doubted(id) => None,
-            Readiness::Ready => Some((ReportedReadiness::Ready, seen)),
-            Readiness::Draining => Some((ReportedReadiness::Draining, seen)),
-            Readiness::Removed => Some((ReportedReadiness::Removed, seen)),
+            Readiness::Ready if !self.is_readiness_disputed(id) => None,
+            Readiness::Ready => Some((ReportedReadiness::Ready, observed_at)),
+            Readiness::Draining => Some((ReportedReadiness::Draining, observed_at)),
+            Readiness::Removed => Some((ReportedReadiness::Removed, observed_at)),
         }
     }
 
-    /// Whether this process lately knew an endpoint to take no work, or a peer reports so.
-    fn is_doubted(&self, id: &str) -> bool {
+    /// Returns whether an endpoint was recently known here to take no work, or a peer reports that it takes
+    /// none.
+    fn is_readiness_disputed(&self, id: &str) -> bool {
         let reported = self.reported.get(&Subject::Readiness(id.to_owned()));
         let ready =
             |claim: &Claim| matches!(claim, Claim::Readiness { readiness: ReportedReadiness::Ready, .. });
@@ -137,7 +139,7 @@
     }
 }
 
-/// What this process is asked for, by volume.
+/// Returns the demand of this process's clients, by volume.
 fn demands(now: Duration, scheduler: &Scheduler) -> impl Iterator<Item = VolumeDemand> + '_ {
     let demands = scheduler.demands(now);
     demands.map(|(volume, rate)| VolumeDemand { volume, rate: (rate * MILLI_UNITS) as u64 })
--- a/crates/core/src/gossip/review.rs
+++ b/crates/core/src/gossip/review.rs
@@ -1,34 +1,36 @@
-//! Weighs all that is known of endpoints anew: which are stopped, held back or in slow start by what peers report and by what
-//! fails here.
+//! The review of endpoints: computes which endpoints are stopped, held back or in slow start according to the
+//! reports of peers and the failures of own attempts.
 
 use super::{GossipState, KnownEndpoint, KnownEndpoints, KnownStart};
 use shaletack_observations::{Advice, AttemptHistory, LocalView, OBSERVATION_LIFETIME};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What changed of the advice on one endpoint.
+/// A change of the advice on one endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdviceChange {
-    /// Its name.
+    /// The endpoint's name.
     pub id: String,
-    /// The advice now.
+    /// The advice in force.
     pub advice: Advice,
-    /// It says something else than before, and not only for a longer or shorter time.
-    pub news: bool,
+    /// Whether the advice changed in more than its duration.
+    pub kind_changed: bool,
 }
 
-/// The endpoints that there may be advice on, by name.
+/// The endpoints on which there may be advice, by name.
 type Candidates<'a> = Vec<(&'a str, &'a KnownEndpoint<'a>)>;
 
 impl GossipState {
-    /// Weighs everything anew; which endpoints' advice changed. Only endpoints that somebody reports of, or that fail
-    /// here, are weighed one by one: there is no advice on the others.
+    /// Recomputes the advice on all endpoints and returns the changes.
+    ///
+    /// Only endpoints on which there are reports or that fail here are evaluated: there is no advice on the
+    /// others.
     pub fn review(&mut self, now: Duration, known: &KnownEndpoints) -> Vec<AdviceChange> {
         self.forget_removed(now, known);
-        self.note_endpoints(now, known);
-        let fresh = self.weigh_candidates(now, known);
-        let old = std::mem::replace(&mut self.advice, fresh);
-        self.changes(&old)
+        self.record_endpoints(now, known);
+        let advice = self.evaluate_candidates(now, known);
+        let previous = std::mem::replace(&mut self.advice, advice);
+        self.changes(&previous)
     }
 
     fn forget_removed(&mut self, now: Duration, known: &KnownEndpoints) {
@@ -42,8 +44,8 @@
         }
     }
 
-    /// Notes when each start was first known, and which endpoints take no work now.
-    fn note_endpoints(&mut self, now: Duration, known: &KnownEndpoints) {
+    /// Records when each start was first known, and which endpoints currently take no work.
+    fn record_endpoints(&mut self, now: Duration, known: &KnownEndpoints) {
         for (id, endpoint) in known {
             let start_ms = endpoint.start_ms();
             if self.starts.get(*id).is_none_or(|start| start.start_ms != start_ms) {
@@ -55,30 +57,31 @@
         }
     }
 
-    fn weigh_candidates(&self, now: Duration, known: &KnownEndpoints) -> BTreeMap<String, Advice> {
+    fn evaluate_candidates(&self, now: Duration, known: &KnownEndpoints) -> BTreeMap<String, Advice> {
         let candidates = self.candidates(known);
         let mut serving = self.serving_by_shard(now, known, &candidates);
-        let mut fresh = BTreeMap::new();
+        let mut advice_by_id = BTreeMap::new();
         for (id, endpoint) in candidates {
             // Each endpoint that is held back leaves one fewer to serve its shard.
-            let others = serving.entry(endpoint.record.shard).or_default();
+            let serving_shard = serving.entry(endpoint.record.shard).or_default();
             let advice = Advice::from_observations(
                 &self.reported,
                 id,
-                &self.own_view(now, id, endpoint, *others > 1),
+                &self.local_view(now, id, endpoint, *serving_shard > 1),
                 now,
             );
             if advice.hold_until.is_some() && advice.stop_until.is_none() && endpoint.is_ready() {
-                *others -= 1;
+                *serving_shard -= 1;
             }
             if advice != Advice::default() {
-                fresh.insert(id.to_owned(), advice);
+                advice_by_id.insert(id.to_owned(), advice);
             }
         }
-        fresh
+        advice_by_id
     }
 
-    /// Endpoints that a peer reports of, or that fail here, in order of their names.
+    /// Returns the endpoints on which there are reports of peers or that fail here, in the order of their
+    /// names.
     fn candidates<'a>(&'a self, known: &'a KnownEndpoints) -> Candidates<'a> {
         let reported = self.reported.iter().filter_map(|observation| observation.claim.endpoint());
         let failing = known.iter().filter(|(_, endpoint)| self.failing_at(endpoint).is_some());
@@ -90,7 +93,8 @@
         self.health.get(&endpoint.endpoint).and_then(AttemptHistory::failing_at)
     }
 
-    /// How many endpoints serve each shard: those that are ready and that no report stops.
+    /// Returns the number of endpoints that serve each shard: those that are ready and not stopped by a
+    /// report.
     fn serving_by_shard(
         &self,
         now: Duration,
@@ -102,8 +106,12 @@
             *serving.entry(endpoint.record.shard).or_default() += usize::from(endpoint.is_ready());
         }
         for (id, endpoint) in candidates.iter().filter(|(_, endpoint)| endpoint.is_ready()) {
-            let advice =
-                Advice::from_observations(&self.reported, id, &self.own_view(now, id, endpoint, false), now);
+            let advice = Advice::from_observations(
+                &self.reported,
+                id,
+                &self.local_view(now, id, endpoint, false),
+                now,
+            );
             if advice.stop_until.is_some() {
                 *serving.entry(endpoint.record.shard).or_default() -= 1;
             }
@@ -111,8 +119,9 @@
         serving
     }
 
-    /// What this process knows of an endpoint by itself. `has_alternative`: another one can serve its shard.
-    fn own_view(
+    /// Returns what this process knows about an endpoint without reports. `has_alternative` states whether
+    /// another endpoint can serve the same shard.
+    fn local_view(
         &self,
         now: Duration,
         id: &str,
@@ -129,18 +138,18 @@
         }
     }
 
-    fn changes(&self, old: &BTreeMap<String, Advice>) -> Vec<AdviceChange> {
-        let ids: BTreeSet<&String> = old.keys().chain(self.advice.keys()).collect();
+    fn changes(&self, previous: &BTreeMap<String, Advice>) -> Vec<AdviceChange> {
+        let ids: BTreeSet<&String> = previous.keys().chain(self.advice.keys()).collect();
         let change = |id: &String| {
-            let (before, advice) = (old.get(id).copied().unwrap_or_default(), self.advice(id));
-            let news = kind_of(&before) != kind_of(&advice);
-            (before != advice).then(|| AdviceChange { id: id.clone(), advice, news })
+            let (before, advice) = (previous.get(id).copied().unwrap_or_default(), self.advice(id));
+            let kind_changed = kind_of(&before) != kind_of(&advice);
+            (before != advice).then(|| AdviceChange { id: id.clone(), advice, kind_changed })
         };
         ids.into_iter().filter_map(change).collect()
     }
 }
 
-/// What a piece of advice says, apart from how long it holds.
+/// Returns the advice without its duration.
 fn kind_of(advice: &Advice) -> impl PartialEq {
     (advice.stop_until.is_some(), advice.hold_until.is_some(), advice.started_at)
 }
--- a/crates/core/src/gossip/totals.rs
+++ b/crates/core/src/gossip/totals.rs
@@ -1,5 +1,5 @@
-//! Sums over all initiators: what this one contributes, what all others together amount to, and what of that bears on the
-//! scheduler's decisions.
+//! Sums over all initiators: this initiator's contribution, the totals of all others, and the part of them
+//! that affects the scheduler's decisions.
 
 use super::{GossipState, KnownEndpoints};
 use crate::interface::{EndpointId, PeerGossip, VolumeId};
@@ -7,35 +7,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Milli-units in a unit. Amounts travel as whole milli-units.
+/// Milli-units in a unit. Amounts are sent as whole milli-units.
 pub(super) const MILLI_UNITS: f64 = 1000.0;
 
-/// What is asked of a volume.
+/// The demand of clients on a volume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VolumeDemand {
     /// The volume.
     pub volume: VolumeId,
-    /// Milli-units a second.
+    /// The demand, in milli-units per second.
     pub rate: u64,
 }
 
-/// What was sent to an endpoint in slow start within the settings' overload window.
+/// The units sent to an endpoint in slow start within the settings' overload window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointUsage {
     /// The endpoint's name.
     pub id: String,
-    /// Its start, in milliseconds of Unix time as listed.
+    /// The endpoint's start as listed, in milliseconds of Unix time.
     pub start_ms: u64,
-    /// Milli-units.
+    /// The units sent, in milli-units.
     pub milli_units: u64,
 }
 
-/// What this process adds to the sums over all initiators.
+/// This process's contribution to the sums over all initiators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Contribution {
-    /// What it is asked for.
+    /// The demand of this process's clients.
     pub demand: Vec<VolumeDemand>,
-    /// What it sent to endpoints in slow start; nothing sent as well, since only who adds to a sum receives it.
+    /// The units sent to each endpoint in slow start. Endpoints to which nothing was sent are included, since
+    /// only the contributors to a sum receive it.
     pub spent: Vec<EndpointUsage>,
 }
 
@@ -48,16 +49,16 @@
     pub age: Duration,
 }
 
-/// What all other initiators together add.
+/// The totals of all other initiators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerTotals {
-    /// What they are asked for.
+    /// The demand of their clients.
     pub demand: Vec<Aged<VolumeDemand>>,
-    /// What they sent to endpoints in slow start.
+    /// The units that they sent to endpoints in slow start.
     pub spent: Vec<Aged<EndpointUsage>>,
 }
 
-/// A sum in milli-units, or milli-units a second, and when its oldest part was seen.
+/// A sum in milli-units or milli-units per second, and when its oldest part was observed.
 #[derive(Clone, Copy, Debug)]
 struct Sum {
     milli_units: u64,
@@ -68,18 +69,18 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerSums {
     demand: BTreeMap<VolumeId, Sum>,
-    /// By the endpoint's name and its start in milliseconds.
-    spent: BTreeMap<(String, u64), Sum>,
+    /// By the endpoint's name and listed start in milliseconds of Unix time.
+    slow_start_usage: BTreeMap<(String, u64), Sum>,
 }
 
 impl PeerSums {
     pub(super) fn new(now: Duration, totals: PeerTotals) -> Self {
         let sum = |milli_units, age| Sum { milli_units, seen_at: now.saturating_sub(age) };
         let demand = totals.demand.into_iter();
-        let spent = totals.spent.into_iter();
+        let usage = totals.spent.into_iter();
         PeerSums {
             demand: demand.map(|total| (total.value.volume, sum(total.value.rate, total.age))).collect(),
-            spent: spent
+            slow_start_usage: usage
                 .map(|Aged { value, age }| ((value.id, value.start_ms), sum(value.milli_units, age)))
                 .collect(),
         }
@@ -87,7 +88,8 @@
 }
 
 impl GossipState {
-    /// What of peers' reports and sums bears on what is sent; `window`: the settings' overload window.
+    /// Returns the part of peers' reports and sums that affects what is sent. `window` is the settings'
+    /// overload window.
     pub fn for_scheduler(&self, now: Duration, window: Duration, known: &KnownEndpoints) -> PeerGossip {
         let holds =
             known.iter().filter_map(|(id, endpoint)| Some((endpoint.endpoint, self.advice(id).hold_until?)));
@@ -98,27 +100,28 @@
         }
     }
 
-    /// Units that others sent each endpoint in slow start within the window. Peers of the release before send reports and
-    /// are in no sum; all others are in the sums.
+    /// Returns the units that others sent to each endpoint in slow start within the window. Peers of the
+    /// previous release send reports and are not in the sums; all other peers are in the sums.
     fn units_sent(&self, now: Duration, window: Duration, known: &KnownEndpoints) -> Vec<(EndpointId, f64)> {
         let reported = self.reported.iter().filter_map(|observation| match &observation.claim {
             Claim::SlowStartUnits { endpoint, .. } => Some(endpoint.as_str()),
             _ => None,
         });
-        let summed = self.sums.spent.keys().map(|(id, _)| id.as_str());
+        let summed = self.sums.slow_start_usage.keys().map(|(id, _)| id.as_str());
         let ids: BTreeSet<&str> = reported.chain(summed).collect();
         let units = ids.into_iter().filter_map(|id| {
             let endpoint = known.get(id)?;
             let start_ms = endpoint.start_ms();
             let reported = reported_slow_start_units(&self.reported, id, start_ms, window, now);
-            let summed = self.sums.spent.get(&(id.to_owned(), start_ms));
+            let summed = self.sums.slow_start_usage.get(&(id.to_owned(), start_ms));
             let summed = summed.filter(|sum| now < sum.seen_at + window).map_or(0, |sum| sum.milli_units);
             Some((endpoint.endpoint, reported.saturating_add(summed) as f64 / MILLI_UNITS))
         });
         units.filter(|(_, units)| *units > 0.0).collect()
     }
 
-    /// Units a second that others are asked for, by volume, and when the oldest part of it was seen.
+    /// Returns the demand on other initiators in units per second, by volume, and when its oldest part was
+    /// observed.
     fn demand(&self, now: Duration) -> Vec<(VolumeId, f64, Duration)> {
         let reported = self.reported.iter().filter_map(|observation| match observation.claim {
             Claim::Demand { volume, .. } => Some(volume),
@@ -132,7 +135,8 @@
         demand.collect()
     }
 
-    /// Milli-units a second, and the age of the oldest part; `None`: nothing recent is known.
+    /// Returns the demand on other initiators in milli-units per second, and the age of its oldest part;
+    /// `None` if nothing recent is known.
     fn volume_demand(&self, volume: VolumeId, now: Duration) -> Option<(u64, Duration)> {
         let reported = reported_demand(&self.reported, volume, &self.me, now);
         let reported = reported.map(|demand| (demand.milli_units_per_second, demand.age));
