--- a/crates/core/src/broker/endpoints.rs
+++ b/crates/core/src/broker/endpoints.rs
@@ -123,7 +123,7 @@
     pub(super) fn set_stale(&mut self, stale: bool, context: &UpdateContext, step: &mut Step) {
         self.stale = stale;
         let updates = self.states.keys().filter_map(|id| self.scheduler_update(id, context)).collect();
-        step.events.push(Event::EndpointList { kind: EndpointListKind::Delta, lines: updates });
+        step.events.push(Event::EndpointList { kind: EndpointListKind::Delta, updates });
     }
 
     /// Suspends an endpoint, or resumes it in slow start. Does nothing if the endpoint already is in that
@@ -145,7 +145,7 @@
             false => OperatorEvent::EndpointResumed(name),
         });
         let updates = self.scheduler_update(id, context).into_iter().collect();
-        step.events.push(Event::EndpointList { kind: EndpointListKind::Delta, lines: updates });
+        step.events.push(Event::EndpointList { kind: EndpointListKind::Delta, updates });
     }
 
     /// Returns the update that the scheduler receives about one endpoint.
@@ -209,11 +209,11 @@
             updates.extend(self.scheduler_update(&record.id, context));
         }
         if changed > MAX_LOGGED_CHANGES {
-            let (revision, more) = (list.revision, changed - MAX_LOGGED_CHANGES);
-            step.log(OperatorEvent::EndpointsNotListed { revision, more });
+            let (revision, count) = (list.revision, changed - MAX_LOGGED_CHANGES);
+            step.log(OperatorEvent::EndpointChangesNotLogged { revision, count });
         }
         self.forget_removed();
-        Event::EndpointList { kind: list.kind, lines: updates }
+        Event::EndpointList { kind: list.kind, updates }
     }
 
     fn apply_record(&mut self, now: Duration, record: &EndpointRecord) {
--- a/crates/core/src/broker/gossip.rs
+++ b/crates/core/src/broker/gossip.rs
@@ -94,7 +94,7 @@
         let context = UpdateContext::new(self.settings.get(), self.gossip.as_ref());
         let updates =
             changes.iter().filter_map(|change| self.endpoints.scheduler_update(&change.id, &context));
-        step.events.push(Event::EndpointList { kind: EndpointListKind::Delta, lines: updates.collect() });
+        step.events.push(Event::EndpointList { kind: EndpointListKind::Delta, updates: updates.collect() });
         step.events.push(Event::Gossip(for_scheduler));
     }
 
--- a/crates/core/src/broker/mod.rs
+++ b/crates/core/src/broker/mod.rs
@@ -77,7 +77,7 @@
     }
 
     /// Enables the exchange of reports with peers, to which this process is known as `me`.
-    pub fn among_peers(mut self, me: Observer) -> Self {
+    pub fn with_peers(mut self, me: Observer) -> Self {
         self.gossip = Some(GossipState::new(me));
         self
     }
@@ -287,7 +287,7 @@
     }
 
     /// Returns whether the endpoint of that name was ever listed, as far as removed endpoints are remembered.
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn contains_endpoint(&self, id: &str) -> bool {
         self.endpoints.contains(id)
     }
 
--- a/crates/core/src/broker/requests.rs
+++ b/crates/core/src/broker/requests.rs
@@ -193,7 +193,7 @@
                 attempt.deadline = open.deadline;
                 attempt.sent_at = step.now;
                 attempt.body_streaming = streaming;
-                step.events.push(Event::RequestBody { request: id.request, moves: streaming });
+                step.events.push(Event::RequestBody { request: id.request, streaming });
             }
         }
     }
--- a/crates/core/src/broker/step.rs
+++ b/crates/core/src/broker/step.rs
@@ -32,7 +32,7 @@
     /// Returns the endpoint updates that the scheduler is about to receive, in order.
     pub(super) fn endpoint_updates(&self) -> Vec<&EndpointUpdate> {
         let lists = self.events.iter().filter_map(|event| match event {
-            Event::EndpointList { lines, .. } => Some(lines),
+            Event::EndpointList { updates, .. } => Some(updates),
             _ => None,
         });
         lists.flatten().collect()
--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -38,11 +38,11 @@
 
 /// A parsed list, and the errors of entries that were skipped or overridden.
 #[derive(Debug)]
-pub struct ReadList {
+pub struct ParsedList {
     /// The list of valid entries.
     pub list: EndpointList,
     /// The errors of other entries.
-    pub faults: Vec<EntryError>,
+    pub errors: Vec<EntryError>,
 }
 
 /// Why an entry of a list is skipped.
@@ -85,16 +85,16 @@
 }
 
 /// Parses one message about the list; the text's bytes are overwritten.
-pub fn read(text: &mut [u8]) -> Result<ReadList, JsonError> {
+pub fn read(text: &mut [u8]) -> Result<ParsedList, JsonError> {
     let value = json::parse(text)?;
     read_list(JsonField::object(&value, "the list")?)
 }
 
 /// Reads a list from a parsed JSON object.
 ///
-/// An invalid entry is skipped and reported in [`ReadList::faults`], so that it does not prevent the use of
+/// An invalid entry is skipped and reported in [`ParsedList::errors`], so that it does not prevent the use of
 /// the others. Of several entries with the same id the last is used.
-pub fn read_list(object: JsonField) -> Result<ReadList, JsonError> {
+pub fn read_list(object: JsonField) -> Result<ParsedList, JsonError> {
     let complete = object.field("complete").boolean()?;
     let kind = if complete { EndpointListKind::Full } else { EndpointListKind::Delta };
     let (mut entries, mut errors) = (BTreeMap::new(), Vec::new());
@@ -109,7 +109,7 @@
     }
     let revision = object.field("revision").integer()?;
     let list = EndpointList { revision, kind, entries: entries.into_values().collect() };
-    Ok(ReadList { list, faults: errors })
+    Ok(ParsedList { list, errors })
 }
 
 /// Reads one entry. An error names the endpoint, where the entry has an id.
--- a/crates/core/src/gossip/reports.rs
+++ b/crates/core/src/gossip/reports.rs
@@ -44,7 +44,7 @@
     /// Returns this process's contribution to the sums over all initiators.
     pub fn contribution(&self, now: Duration, known: &KnownEndpoints, scheduler: &Scheduler) -> Contribution {
         let demand = demands(now, scheduler).collect();
-        Contribution { demand, spent: self.usage(now, known, scheduler) }
+        Contribution { demand, slow_start_usage: self.usage(now, known, scheduler) }
     }
 
     /// Returns the units that this process sent to each endpoint in slow start within the settings' overload
--- a/crates/core/src/gossip/totals.rs
+++ b/crates/core/src/gossip/totals.rs
@@ -37,7 +37,7 @@
     pub demand: Vec<VolumeDemand>,
     /// The units sent to each endpoint in slow start. Endpoints to which nothing was sent are included, since
     /// only the contributors to a sum receive it.
-    pub spent: Vec<EndpointUsage>,
+    pub slow_start_usage: Vec<EndpointUsage>,
 }
 
 /// A sum, with the age of its oldest part.
@@ -55,7 +55,7 @@
     /// The demand of their clients.
     pub demand: Vec<Aged<VolumeDemand>>,
     /// The units that they sent to endpoints in slow start.
-    pub spent: Vec<Aged<EndpointUsage>>,
+    pub slow_start_usage: Vec<Aged<EndpointUsage>>,
 }
 
 /// A sum in milli-units or milli-units per second, and when its oldest part was observed.
@@ -77,7 +77,7 @@
     pub(super) fn new(now: Duration, totals: PeerTotals) -> Self {
         let sum = |milli_units, age| Sum { milli_units, seen_at: now.saturating_sub(age) };
         let demand = totals.demand.into_iter();
-        let usage = totals.spent.into_iter();
+        let usage = totals.slow_start_usage.into_iter();
         PeerSums {
             demand: demand.map(|total| (total.value.volume, sum(total.value.rate, total.age))).collect(),
             slow_start_usage: usage
--- a/crates/core/src/interface/event.rs
+++ b/crates/core/src/interface/event.rs
@@ -25,7 +25,7 @@
         /// What the message holds.
         kind: EndpointListKind,
         /// Its entries.
-        lines: Vec<EndpointUpdate>,
+        updates: Vec<EndpointUpdate>,
     },
     /// A request arrived.
     Request(Request),
@@ -39,7 +39,7 @@
         /// The request.
         request: RequestId,
         /// Whether the body is still being sent.
-        moves: bool,
+        streaming: bool,
     },
     /// An attempt ended.
     AttemptEnded(EndedAttempt),
--- a/crates/core/src/operator_event.rs
+++ b/crates/core/src/operator_event.rs
@@ -19,11 +19,11 @@
         record: EndpointRecord,
     },
     /// Further entries of the same list changed and are not logged one by one.
-    EndpointsNotListed {
+    EndpointChangesNotLogged {
         /// The list's revision.
         revision: u64,
         /// How many changed entries are not logged.
-        more: usize,
+        count: usize,
     },
     /// The state handed over by a predecessor was restored.
     HandoverRestored {
--- a/crates/core/src/scheduler/arrivals.rs
+++ b/crates/core/src/scheduler/arrivals.rs
@@ -108,10 +108,10 @@
     }
 
     /// A body on its way takes as long as its client does; from its last byte on, time counts as if it came now.
-    pub(super) fn on_request_body(&mut self, id: RequestId, moves: bool) {
+    pub(super) fn on_request_body(&mut self, id: RequestId, streaming: bool) {
         self.free_slot(id);
         let Some(pending) = self.requests.get_mut(&id) else { return };
-        let (objective, remaining) = if moves {
+        let (objective, remaining) = if streaming {
             (FOREVER, FOREVER)
         } else {
             let class = self.settings.class(pending.request.class);
@@ -119,7 +119,7 @@
         };
         pending.objective_at = self.now.saturating_add(objective);
         pending.deadline = self.now.saturating_add(remaining);
-        if !moves {
+        if !streaming {
             self.restart_attempt(id, self.now);
         }
         self.schedule_answer(id);
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -128,11 +128,11 @@
 
     fn absorb(&mut self, event: &Event) {
         match event {
-            Event::EndpointList { kind, lines } => self.on_endpoint_list(*kind, lines),
+            Event::EndpointList { kind, updates } => self.on_endpoint_list(*kind, updates),
             Event::Request(request) => self.on_request(request),
             Event::ResponseStreaming(id) => self.on_response_streaming(*id),
             Event::ResponseStarted(id) => self.free_slot(*id),
-            Event::RequestBody { request, moves } => self.on_request_body(*request, *moves),
+            Event::RequestBody { request, streaming } => self.on_request_body(*request, *streaming),
             Event::AttemptEnded(attempt) => self.on_attempt_ended(attempt),
             Event::Settings(settings) => self.settings = Settings::clone(settings),
             Event::BudgetShare(share) => self.on_budget_share(*share),
--- a/crates/core/src/scheduler/unit_grants.rs
+++ b/crates/core/src/scheduler/unit_grants.rs
@@ -73,15 +73,15 @@
     /// Sends a message, or takes it at once where it is to this initiator itself.
     fn send_units_message(&mut self, to: u16, from: u16, message: UnitsMessage) {
         if to == self.settings.rank as u16 {
-            self.on_peer_message(from, &message.bytes());
+            self.on_peer_message(from, &message.encode());
         } else {
-            self.actions.push(Action::SendPeerMessage { to: Some(to), bytes: message.bytes() });
+            self.actions.push(Action::SendPeerMessage { to: Some(to), bytes: message.encode() });
         }
     }
 
     /// Takes another initiator's question for units, or its grant.
     pub(super) fn on_peer_message(&mut self, from: u16, bytes: &[u8]) {
-        match UnitsMessage::parse(bytes) {
+        match UnitsMessage::decode(bytes) {
             Some(UnitsMessage::Request { volume, plan, units, number }) => {
                 let plans = &self.settings.plans;
                 let Some(plan) = plans.get(plan as usize).filter(|plan| plan.limit > 0.0) else { return };
--- a/crates/core/src/units_message.rs
+++ b/crates/core/src/units_message.rs
@@ -30,7 +30,7 @@
 
 impl UnitsMessage {
     /// Encodes the message in little-endian order: 17 bytes for a grant, 19 for a request.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let (volume, units, number, plan) = match *self {
             UnitsMessage::Request { volume, plan, units, number } => (volume, units, number, Some(plan)),
             UnitsMessage::Grant { volume, units, number } => (volume, units, number, None),
@@ -45,7 +45,7 @@
 
     /// Decodes a message. Returns `None` if the bytes are not a valid message or the amount is not positive
     /// and finite.
-    pub fn parse(bytes: &[u8]) -> Option<UnitsMessage> {
+    pub fn decode(bytes: &[u8]) -> Option<UnitsMessage> {
         let (head, plan) = bytes.split_at_checked(17)?;
         let volume = u64::from_le_bytes(head[1..9].try_into().ok()?);
         let units = f64::from(f32::from_le_bytes(head[9..13].try_into().ok()?));
--- a/crates/core/tests/endpoint_list.rs
+++ b/crates/core/tests/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! Tests of the endpoint list parser: lists with invalid entries, and long lists.
 
-use shaletack_core::endpoint_list::{read, ReadList};
+use shaletack_core::endpoint_list::{read, ParsedList};
 use shaletack_core::interface::Readiness;
 
 fn entry(id: &str, cell: &str, phase: &str) -> String {
@@ -26,7 +26,7 @@
         // A draining endpoint and its replacement hold the same shard.
         entry("s-6", "5", "up"),
     ];
-    let ReadList { list, faults: errors } = read(&mut list(&entries)).unwrap();
+    let ParsedList { list, errors } = read(&mut list(&entries)).unwrap();
     let ids: Vec<&str> = list.entries.iter().map(|entry| entry.id.as_str()).collect();
     assert_eq!(ids, ["s-1", "s-5", "s-6"]);
     assert_eq!(list.entries[1].readiness, Readiness::Draining, "the last entry must be used");
@@ -39,6 +39,6 @@
 fn a_list_of_5000_entries_is_read_completely() {
     let entries: Vec<String> =
         (0..5000).map(|n| entry(&format!("s-{n}"), &(n % 60).to_string(), "up")).collect();
-    let ReadList { list, faults: errors } = read(&mut list(&entries)).unwrap();
+    let ParsedList { list, errors } = read(&mut list(&entries)).unwrap();
     assert_eq!((list.entries.len(), errors.len()), (5000, 0));
 }
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -97,7 +97,7 @@
         let zero = Instant::now();
         let broker = Broker::new(settings(initiators), 5, Clock::new(zero, unix), zero);
         let mut initiator = Initiator {
-            broker: broker.among_peers(observer(name)),
+            broker: broker.with_peers(observer(name)),
             zero,
             now: Duration::ZERO,
             next: 0,
@@ -517,7 +517,7 @@
         let mut settings = settings(2);
         settings.plans[0] = Plan { limit: 40.0, burst: 40.0, tolerance: 6.0, ..settings.plans[0].clone() };
         let zero = Instant::now();
-        let broker = Broker::new(settings, 5, Clock::new(zero, UNIX), zero).among_peers(observer("a"));
+        let broker = Broker::new(settings, 5, Clock::new(zero, UNIX), zero).with_peers(observer("a"));
         let mut initiator =
             Initiator::new("a", 2, EndpointListKind::Full, vec![endpoint_record(1, Readiness::Ready, None)]);
         (initiator.broker, initiator.zero) = (broker, zero);
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -185,7 +185,7 @@
         let now = self.zero + self.now;
         let set = Settings { rank: i as u32, ..settings(&self.shape) };
         let broker = Broker::new(set, self.rng.random(), Clock::new(self.zero, UNIX), now);
-        let broker = if self.shape.peers { broker.among_peers(me.clone()) } else { broker };
+        let broker = if self.shape.peers { broker.with_peers(me.clone()) } else { broker };
         Initiator {
             broker,
             incarnation: Some(me.incarnation),
--- a/crates/lab/src/hollow/initiator.rs
+++ b/crates/lab/src/hollow/initiator.rs
@@ -158,7 +158,7 @@
         udp,
         membership: RefCell::new(Membership::new(peer, set.join.clone(), me.incarnation)),
         spread: RefCell::new(spread),
-        broker: RefCell::new(core.among_peers(me.clone())),
+        broker: RefCell::new(core.with_peers(me.clone())),
         said: RefCell::default(),
         me,
         wakes: Default::default(),
--- a/crates/lab/src/scale/fleet/hollow.rs
+++ b/crates/lab/src/scale/fleet/hollow.rs
@@ -87,7 +87,7 @@
             membership::Member { name: me.name.clone(), incarnation: life, epoch, address: address(i) };
         let set = Settings { rank: i as u32, ..fleet_settings(&self.size) };
         let clock = Clock::new(self.zero, UNIX + self.now);
-        let broker = Broker::new(set, self.rng.random(), clock, self.zero).among_peers(me.clone());
+        let broker = Broker::new(set, self.rng.random(), clock, self.zero).with_peers(me.clone());
         let used = VOLUMES_USED.min(self.size.volumes);
         let from = self.rng.random_range(0..self.size.volumes as u64);
         let place = Place::of(i, self.size.regions, self.size.zones);
--- a/src/app/serve_nbd.rs
+++ b/src/app/serve_nbd.rs
@@ -29,7 +29,7 @@
     let seed = RandomState::new().build_hasher().finish();
     let broker = Broker::new(operator.settings.clone(), seed, fresh_clock(), Instant::now());
     let host = Host::start(match &observer {
-        Some(observer) => broker.among_peers(observer.clone()),
+        Some(observer) => broker.with_peers(observer.clone()),
         None => broker,
     });
     host.feed(Input::EndpointList(operator.endpoints.clone()));
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,7 +1,7 @@
 //! The platform's configuration file: where this initiator listens, where discovery answers, its settings and the endpoint
 //! list it last had.
 
-use crate::endpoint_list::{self, EndpointList, EntryError, ReadList};
+use crate::endpoint_list::{self, EndpointList, EntryError, ParsedList};
 use crate::interface::{EndpointListKind, Settings};
 use crate::json::{self, JsonError, JsonField};
 use crate::settings::{self, SettingsError};
@@ -105,7 +105,7 @@
         return Err(ConfigError::MissingKey(key));
     }
     let mut settings = read_settings(top.field("settings"))?;
-    let ReadList { list: mut known, faults: passed_over } = endpoint_list::read_list(top.field("known"))?;
+    let ParsedList { list: mut known, errors: passed_over } = endpoint_list::read_list(top.field("known"))?;
     known.kind = EndpointListKind::Cached;
     let sockets = read_sockets(top.field("limits"))?;
     if settings.max_open_requests == 0 {
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -159,7 +159,7 @@
             None => self.host.feed(Input::EndpointListCurrent),
             Some(mut text) => {
                 let read = endpoint_list::read(&mut text).map_err(WatchError::Unreadable)?;
-                read.faults.iter().for_each(|why| warn!(%why, "an endpoint list entry is skipped"));
+                read.errors.iter().for_each(|why| warn!(%why, "an endpoint list entry is skipped"));
                 self.take_list(read.list)?;
             }
         }
--- a/src/peers/contributions.rs
+++ b/src/peers/contributions.rs
@@ -26,11 +26,11 @@
 impl SlowStartKeys {
     /// What this process adds, by key. From now on totals are understood of the endpoints in it.
     pub(super) fn assign(&mut self, contribution: Contribution) -> Vec<(Key, u64)> {
-        let Contribution { demand, spent } = contribution;
+        let Contribution { demand, slow_start_usage } = contribution;
         let mut keyed: Vec<(Key, u64)> =
             demand.into_iter().map(|demand| (Key::Demand(demand.volume), demand.rate)).collect();
         self.runs.clear();
-        for usage in spent {
+        for usage in slow_start_usage {
             let key = slow_start_key(&usage.id, usage.start_ms);
             keyed.push((Key::SlowStartSpend(key), usage.milli_units));
             self.runs.insert(key, EndpointRun { endpoint: usage.id, start_ms: usage.start_ms });
@@ -51,7 +51,7 @@
                     let Some(run) = self.runs.get(&key) else { continue };
                     let (id, start_ms) = (run.endpoint.clone(), run.start_ms);
                     let value = EndpointUsage { id, start_ms, milli_units: others };
-                    resolved.spent.push(Aged { value, age });
+                    resolved.slow_start_usage.push(Aged { value, age });
                 }
             }
         }
--- a/src/runtime/host.rs
+++ b/src/runtime/host.rs
@@ -164,7 +164,7 @@
     /// Carries out an operator's command; false where it names an endpoint that was never listed.
     pub fn command(&self, command: OperatorCommand) -> bool {
         if let OperatorCommand::Suspend(id) | OperatorCommand::Resume(id) = &command {
-            if !self.look(|broker| broker.knows(id)) {
+            if !self.look(|broker| broker.contains_endpoint(id)) {
                 return false;
             }
         }
--- a/src/runtime/log.rs
+++ b/src/runtime/log.rs
@@ -106,8 +106,8 @@
             let (readiness, shard) = (record.readiness, record.shard);
             info!(id = record.id, ?readiness, shard, at, up_since, revision, ?kind, "endpoint listed");
         }
-        OperatorEvent::EndpointsNotListed { revision, more } => {
-            info!(more, revision, "more endpoints listed")
+        OperatorEvent::EndpointChangesNotLogged { revision, count } => {
+            info!(more = count, revision, "more endpoints listed")
         }
         OperatorEvent::HandoverRestored { revision, endpoints, suspended, drained } => {
             info!(endpoints, revision, suspended, drained, "hand-over state restored");
--- a/src/simulator/events.rs
+++ b/src/simulator/events.rs
@@ -48,7 +48,9 @@
             units: record.f32(47),
             plan: record.u16(51),
         }),
-        9 => Event::EndpointList { kind: list_kind(record.u8(11))?, lines: endpoint_updates(record, tail)? },
+        9 => {
+            Event::EndpointList { kind: list_kind(record.u8(11))?, updates: endpoint_updates(record, tail)? }
+        }
         10 => Event::ClientLeft(record.u64(3)),
         code => return Err(WireError::UnknownEvent(code)),
     })
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -86,7 +86,7 @@
 }
 
 pub fn list(kind: EndpointListKind, lines: Vec<EndpointUpdate>) -> Event {
-    Event::EndpointList { kind, lines }
+    Event::EndpointList { kind, updates: lines }
 }
 
 pub fn request(id: RequestId) -> Request {
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -44,7 +44,7 @@
         operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)]).settings;
     let now = Instant::now();
     let broker = Broker::new(settings, 7, Clock::new(now, Duration::from_secs(1_000_000)), now);
-    let host = Host::start(broker.among_peers(me.clone()));
+    let host = Host::start(broker.with_peers(me.clone()));
     host.feed(Input::EndpointList(EndpointList {
         revision: 1,
         kind: EndpointListKind::Cached,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -531,7 +531,7 @@
 /// nothing is called off for room.
 #[test]
 fn a_request_being_answered_or_not_yet_complete_takes_no_slot() {
-    for free in [Event::ResponseStarted(1), Event::RequestBody { request: 1, moves: true }] {
+    for free in [Event::ResponseStarted(1), Event::RequestBody { request: 1, streaming: true }] {
         let mut host = Host::new(settings());
         for id in 1..=6 {
             host.at(T0, &[Event::Request(request(id))]);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -566,7 +566,7 @@
         host.at(T0 + 1520 * MS, &[outcome(1, 0, 1, AttemptOutcome::Served)]);
         let tell = |(_, a): &(Duration, Action)| {
             if let Action::SendPeerMessage { bytes, .. } = a {
-                UnitsMessage::parse(bytes)
+                UnitsMessage::decode(bytes)
             } else {
                 None
             }
@@ -575,7 +575,7 @@
         let Some(UnitsMessage::Request { volume, number, .. }) = asked else { panic!("asked {asked:?}") };
         let before = host.sends().len();
         for copy in 0..copies {
-            let give = UnitsMessage::Grant { volume, units: 3.0, number }.bytes();
+            let give = UnitsMessage::Grant { volume, units: 3.0, number }.encode();
             host.at(
                 T0 + 1520 * MS + late + Duration::from_nanos(copy as u64),
                 &[Event::PeerMessage { from: 1, bytes: give }],
