--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -26,7 +26,7 @@
         /// The error of its value.
         source: JsonError,
     },
-    /// A count is not a whole number from 0 to [`MAX_INITIATORS`].
+    /// A count is not a whole number from 0 to 65,536.
     #[error("{key}: {value} is not a whole number from 0 to {max}", max = MAX_INITIATORS)]
     NotACount {
         /// The key.
--- a/crates/core/tests/gossip.rs
+++ b/crates/core/tests/gossip.rs
@@ -27,11 +27,11 @@
         deadline: 1200 * MS,
         late_weight: 0.1,
         priority_weight: 2.0,
-        idempotency: idempotency,
+        idempotency,
         ..RequestClass::default()
     };
     Settings {
-        initiators: initiators,
+        initiators,
         min_batch_interval: MS,
         classes: vec![class("read", Idempotency::Idempotent), class("write", Idempotency::NotIdempotent)],
         plans: vec![Plan { rate: 50.0, reserve: 20.0, weight: 1.0, price: 1.0, ..Plan::default() }],
@@ -138,7 +138,7 @@
         self.next += 1;
         let request = IncomingRequest {
             volume: 1,
-            initiators: initiators,
+            initiators,
             key: self.next,
             shard: Some(0),
             units: 2.0,
