--- a/src/runtime/host.rs
+++ b/src/runtime/host.rs
@@ -186,7 +186,7 @@
     /// Carries out an operator's command. Returns `false` if it names an endpoint that was never listed.
     pub fn apply_command(&self, command: OperatorCommand) -> bool {
         if let OperatorCommand::Suspend(id) | OperatorCommand::Resume(id) = &command {
-            if !self.with_broker(|broker| broker.knows(id)) {
+            if !self.with_broker(|broker| broker.contains_endpoint(id)) {
                 return false;
             }
         }
--- a/src/runtime/log.rs
+++ b/src/runtime/log.rs
@@ -109,8 +109,8 @@
             let (readiness, shard) = (record.readiness, record.shard);
             info!(id = record.id, ?readiness, shard, at, up_since, revision, ?kind, "endpoint listed");
         }
-        OperatorEvent::EndpointsNotListed { revision, more } => {
-            info!(more, revision, "more endpoints listed, not logged one by one")
+        OperatorEvent::EndpointChangesNotLogged { revision, count } => {
+            info!(more = count, revision, "more endpoints listed, not logged one by one")
         }
         OperatorEvent::HandoverRestored { revision, endpoints, suspended, drained } => {
             info!(endpoints, revision, suspended, drained, "hand-over state restored");
