--- a/crates/background/src/lib.rs
+++ b/crates/background/src/lib.rs
@@ -1,12 +1,13 @@
-//! Which background work goes next.
+//! Scheduling of background work.
 //!
-//! Work that no client waits for (write-back, scrubs, moves, compaction) must not slow down the requests of
-//! clients, and must not wait forever either. [`Scheduler`] holds a queue for each class of work and decides by
-//! priorities, a budget of units and of bytes a second, limits on what is in flight, and aging: a resource that
-//! clients need is left alone until work at it is overdue.
+//! Work that no client waits for (write-back, scrubs, moves, compaction) must neither slow down client
+//! requests nor starve. [`Scheduler`] keeps a queue for each class of work and chooses the next task by
+//! priority, by budgets of units and bytes per second, by limits on the tasks in flight, and by age: no task
+//! starts at a resource that clients need until the task is overdue.
 //!
-//! The crate does no work itself, reads no clock, and does not know what a resource is. What it starts still goes
-//! through the request scheduler, which may let it wait. Budgets are whole numbers, so that they add up exactly.
+//! The crate executes no work, reads no clock, and treats resources as opaque numbers. Tasks that it starts
+//! still pass through the request scheduler, which may delay them. Budgets are integers, so they add up
+//! exactly.
 
 mod budget;
 mod class_queue;
--- a/crates/background/src/scheduler.rs
+++ b/crates/background/src/scheduler.rs
@@ -1,25 +1,25 @@
-//! The scheduler: which tasks of all classes start now.
+//! The scheduler: selects the tasks of all classes that start now.
 
 use crate::class_queue::{Candidate, ClassQueue};
 use crate::task::{Task, TaskId, WorkClass};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Whether a task that comes back has used the budget that it took.
+/// Whether a requeued task consumed the budget that it was charged for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BudgetUse {
-    /// Some of it ran.
+    /// The task ran at least in part.
     Spent,
-    /// Nothing of it ran: its budget is given back.
+    /// The task did not run at all; its budget is refunded.
     Unused,
 }
 
-/// How many tasks there are.
+/// The number of tasks by state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskCounts {
-    /// Tasks that wait.
+    /// Tasks that wait to be started.
     pub waiting: usize,
-    /// Tasks that were started and not removed.
+    /// Tasks that were started and not yet removed or requeued.
     pub in_flight: usize,
 }
 
@@ -35,27 +35,27 @@
     state: TaskState,
 }
 
-/// Tasks that are considered in one pass over the classes.
+/// The tasks that one pass over the classes considers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Pass {
-    /// Overdue tasks, oldest first, whatever their resources.
+    /// Overdue tasks of any resource, oldest first.
     Overdue,
-    /// Other tasks, resource by resource, where no client needs the resource.
+    /// All other tasks at resources without client demand, round robin by resource.
     Regular,
 }
 
-/// All background work of one process.
+/// Schedules the background work of one process.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     queues: Vec<ClassQueue>,
     tasks: BTreeMap<TaskId, ScheduledTask>,
-    /// Requests of clients that wait for a resource. Resources without any are not there.
+    /// The number of client requests that wait for each resource. Resources without any have no entry.
     client_demand: BTreeMap<u32, usize>,
     next_start_at: Option<Duration>,
 }
 
 impl Scheduler {
-    /// A scheduler without tasks. Tasks name a class by its index.
+    /// Creates a scheduler without tasks. Tasks refer to a class by its index in `classes`.
     pub fn new(classes: &[WorkClass], now: Duration) -> Self {
         Scheduler {
             queues: classes.iter().map(|class| ClassQueue::new(*class, now)).collect(),
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Takes a task. `false`: its number is in use or its class unknown, and it is not taken.
+    /// Adds a waiting task. Returns `false`, and does not add the task, if its number is in use or its class
+    /// is unknown.
     pub fn add(&mut self, id: TaskId, task: Task) -> bool {
         if self.tasks.contains_key(&id) {
             return false;
@@ -76,7 +77,7 @@
         true
     }
 
-    /// A task is done, or is not to be done any more. What it took of a budget stays taken.
+    /// Removes a task that was completed or cancelled. Its charge to the budgets is not refunded.
     pub fn remove(&mut self, id: TaskId) {
         let Some(ScheduledTask { task, state }) = self.tasks.remove(&id) else { return };
         let queue = &mut self.queues[task.class];
@@ -86,7 +87,7 @@
         }
     }
 
-    /// A task that was started came back undone: it waits again, with the age that it has.
+    /// Returns a started task that was not completed to its queue. The task keeps its age.
     pub fn requeue(&mut self, id: TaskId, budget: BudgetUse) {
         let Some(scheduled) = self.tasks.get_mut(&id) else { return };
         if scheduled.state != TaskState::InFlight {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// How many requests of clients wait for a resource now.
+    /// Sets the number of client requests that currently wait for a resource.
     pub fn set_client_demand(&mut self, resource: u32, requests: usize) {
         if requests == 0 {
             self.client_demand.remove(&resource);
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Starts all tasks that may go now, and returns them in their order. Each is in flight until it is removed
-    /// or requeued.
+    /// Starts all tasks that may start now and returns them in start order. Each stays in flight until it is
+    /// removed or requeued.
     pub fn start_ready(&mut self, now: Duration) -> Vec<TaskId> {
         self.next_start_at = None;
         for queue in &mut self.queues {
@@ -131,33 +132,35 @@
         started
     }
 
-    /// When [`Scheduler::start_ready`] may start more, with nothing else happening. Set by its last call.
+    /// Returns when [`Scheduler::start_ready`] can start more tasks without any further input. Updated by
+    /// each call of that method.
     pub fn next_start_at(&self) -> Option<Duration> {
         self.next_start_at
     }
 
-    /// How many tasks there are.
+    /// Returns the number of tasks by state.
     pub fn counts(&self) -> TaskCounts {
         let in_flight = self.queues.iter().map(ClassQueue::in_flight).sum();
         TaskCounts { waiting: self.tasks.len() - in_flight, in_flight }
     }
 
-    /// How long the oldest waiting task of a class has waited.
+    /// Returns how long the oldest waiting task of a class has waited.
     pub fn oldest_age(&self, class: usize, now: Duration) -> Option<Duration> {
-        let since = self.queues.get(class)?.oldest_since()?;
+        let since = self.queues.get(class)?.oldest_waiting_since()?;
         Some(now.saturating_sub(since))
     }
 
+    /// Starts the next task of a class in a pass, or records when one may start.
     fn start_one(&mut self, class: usize, pass: Pass, now: Duration) -> Option<TaskId> {
         if let Some(at) = self.next_overdue_at(class, now) {
-            self.come_back_at(at);
+            self.schedule_next_start(at);
         }
         let id = self.choose(class, pass, now)?.oldest.id;
         let scheduled = self.tasks.get_mut(&id)?;
         let queue = &mut self.queues[class];
         let at = queue.budget_available_at(&scheduled.task, now);
         if at > now {
-            self.come_back_at(at);
+            self.schedule_next_start(at);
             return None;
         }
         queue.start(id, &scheduled.task);
@@ -165,7 +168,7 @@
         Some(id)
     }
 
-    /// The task of a class that starts next in a pass, if budgets allow it.
+    /// Returns the task of a class that is next to start in a pass, regardless of budgets.
     fn choose(&self, class: usize, pass: Pass, now: Duration) -> Option<Candidate> {
         let queue = &self.queues[class];
         let is_overdue = |candidate: &Candidate| queue.overdue_at(candidate.oldest) <= now;
@@ -176,19 +179,21 @@
             }
             Pass::Regular => {
                 let regular = queue.candidates().filter(|candidate| !is_overdue(candidate));
-                let undisturbed = regular.filter(|c| !self.client_demand.contains_key(&c.resource));
-                undisturbed.min_by_key(|candidate| queue.turn(candidate.resource))
+                let without_demand =
+                    regular.filter(|candidate| !self.client_demand.contains_key(&candidate.resource));
+                without_demand.min_by_key(|candidate| queue.round_robin_key(candidate.resource))
             }
         }
     }
 
-    /// When the next task of a class becomes overdue where one more may start.
+    /// Returns when the next task of a class becomes overdue, among the resources at which one more may
+    /// start.
     fn next_overdue_at(&self, class: usize, now: Duration) -> Option<Duration> {
         let queue = &self.queues[class];
         queue.candidates().map(|candidate| queue.overdue_at(candidate.oldest)).filter(|at| *at > now).min()
     }
 
-    fn come_back_at(&mut self, at: Duration) {
+    fn schedule_next_start(&mut self, at: Duration) {
         self.next_start_at = Some(self.next_start_at.map_or(at, |next| next.min(at)));
     }
 }
--- a/crates/background/src/task.rs
+++ b/crates/background/src/task.rs
@@ -1,41 +1,41 @@
-//! A piece of background work, and the class that it belongs to.
+//! Background tasks and the classes that they belong to.
 
 use std::time::Duration;
 
-/// The number of a task. Given by the caller, and never used twice at a time.
+/// The number of a task. Chosen by the caller and unique among the scheduled tasks.
 pub type TaskId = u64;
 
 /// The limits of one class of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkClass {
-    /// Of two tasks that could start, the one whose class has the lower number does.
+    /// Tasks of the class with the lower number start first.
     pub priority: u8,
-    /// The budget in units a second; 0: no limit.
+    /// The budget in units per second. 0 means no limit.
     pub units_per_second: u64,
-    /// The budget in bytes a second; 0: no limit.
+    /// The budget in bytes per second. 0 means no limit.
     pub bytes_per_second: u64,
-    /// Unused budget is saved up for this long.
+    /// The time over which unused budget accumulates.
     pub burst: Duration,
-    /// The most tasks in flight, over all resources.
+    /// The maximum number of tasks in flight over all resources.
     pub max_in_flight: usize,
-    /// The most tasks in flight at one resource.
+    /// The maximum number of tasks in flight at one resource.
     pub max_in_flight_per_resource: usize,
-    /// A task that has waited this long is overdue: it starts before all others and whether or not clients need
-    /// its resource. Budgets and limits hold all the same.
+    /// The waiting time after which a task is overdue. An overdue task starts before all others, even if
+    /// clients need its resource. Budgets and limits still apply.
     pub max_age: Duration,
 }
 
-/// A piece of work.
+/// A background task, which puts load on one resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Task {
-    /// The index of its class.
+    /// The index of the task's class.
     pub class: usize,
-    /// What it puts load on.
+    /// The resource that the task puts load on.
     pub resource: u32,
-    /// Its size in units.
+    /// The task's size in units.
     pub units: u64,
-    /// Its size in bytes.
+    /// The task's size in bytes.
     pub bytes: u64,
-    /// Since when it waits.
+    /// When the task began to wait.
     pub since: Duration,
 }
