--- a/crates/observations/src/advice.rs
+++ b/crates/observations/src/advice.rs
@@ -1,88 +1,92 @@
-//! What the observations of other initiators mean for one endpoint, weighed against what this process knows itself.
+//! Derives advice on one endpoint from the observations of other initiators and from what this process knows
+//! itself.
 //!
-//! Each part of the advice only restricts: a wrong report can keep an endpoint from being used for a bounded time, but
-//! cannot make it receive more than without it.
+//! Every part of the advice only restricts. A wrong report can keep an endpoint from being used for a bounded
+//! time, but can never cause the endpoint to receive more requests than it would without the report.
 
 use crate::{
     Claim, EndpointHealth, Observation, ObservationStore, ReportedReadiness, Subject, FAILURE_HOLD_DURATION,
-    STOP_DURATION,
+    STOP_SENDING_DURATION,
 };
 use std::time::Duration;
 
-/// What this process knows of an endpoint by itself.
+/// What this process knows of an endpoint without other initiators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LocalView {
-    /// The run of the endpoint that the own endpoint list names.
+    /// The run of the endpoint in this process's endpoint list; see [`Observation::endpoint_incarnation`].
     pub endpoint_incarnation: u64,
-    /// When the own list was last confirmed by its source; `None`: never, it is cached and may be of any age.
+    /// When the source of the endpoint list last confirmed it. `None` if it never did: the list is cached and
+    /// may be of any age.
     pub list_confirmed_at: Option<Duration>,
-    /// When this process first knew of that run.
+    /// When this process first learned of that run.
     pub incarnation_known_since: Duration,
-    /// When an attempt last succeeded.
+    /// When the last successful attempt ended.
     pub last_success: Option<Duration>,
-    /// When attempts last failed, where several failed in a row.
+    /// When the last attempt failed, if several failed in a row.
     pub failing_at: Option<Duration>,
-    /// Whether another endpoint can serve what this one does.
+    /// Whether another endpoint can serve the same requests.
     pub has_alternative: bool,
 }
 
-/// What to do about an endpoint. The default restricts nothing.
+/// Restrictions on the use of an endpoint. The default restricts nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Advice {
-    /// Until then it is treated as draining: nothing new is sent to it.
+    /// Until this time the endpoint is treated as draining: no new requests are sent to it.
     pub stop_until: Option<Duration>,
-    /// Until then it is held back, since attempts at it fail.
+    /// Until this time the endpoint is held back, because attempts at it fail.
     pub hold_until: Option<Duration>,
-    /// It started then: it is in slow start, if the own list does not say so.
+    /// When the endpoint started. It is in slow start even if this process's endpoint list does not say so.
     pub started_at: Option<Duration>,
 }
 
 impl Advice {
-    /// Weighs the observations of an endpoint against the own view of it.
+    /// Derives the advice on an endpoint from the observations in a store and the local view of the endpoint.
     pub fn from_observations(
         store: &ObservationStore,
         endpoint: &str,
         local: &LocalView,
         now: Duration,
     ) -> Advice {
-        // What was observed of an earlier run says nothing of the process that runs now.
+        // Observations of an earlier run do not apply to the current one.
         let of_this_run = |subject: Subject| {
             store.get(&subject).filter(|o| o.endpoint_incarnation >= local.endpoint_incarnation)
         };
         let readiness = of_this_run(Subject::Readiness(endpoint.to_owned()));
         let health = of_this_run(Subject::Health(endpoint.to_owned()));
         let start = of_this_run(Subject::Start(endpoint.to_owned()));
-        let is_ahead = |until: &Duration| *until > now;
+        let is_in_future = |until: &Duration| *until > now;
         Advice {
-            stop_until: stop_until(readiness, local).filter(is_ahead),
-            hold_until: hold_until(health, local).filter(is_ahead),
+            stop_until: stop_until(readiness, local).filter(is_in_future),
+            hold_until: hold_until(health, local).filter(is_in_future),
             started_at: started_at(start, local),
         }
     }
 
-    /// When the advice changes by the passing of time alone.
+    /// Returns the next time at which the advice changes without any further input.
     pub fn next_change(&self) -> Option<Duration> {
         self.stop_until.into_iter().chain(self.hold_until).min()
     }
 }
 
-/// A drain or a removal stops sending, unless the own list was confirmed since: then that one counts.
+/// Stops sending after a drain or a removal, unless the local endpoint list was confirmed at or after the
+/// observation. In that case the local list takes precedence.
 fn stop_until(readiness: Option<&Observation>, local: &LocalView) -> Option<Duration> {
-    let readiness = readiness.filter(|observation| takes_no_requests(&observation.claim))?;
+    let readiness = readiness.filter(|observation| rejects_new_requests(&observation.claim))?;
     let observed_at = readiness.observed_at;
     let is_newer_than_list = local.list_confirmed_at.is_none_or(|confirmed_at| observed_at > confirmed_at);
-    is_newer_than_list.then(|| observed_at + STOP_DURATION)
+    is_newer_than_list.then(|| observed_at + STOP_SENDING_DURATION)
 }
 
-fn takes_no_requests(claim: &Claim) -> bool {
+fn rejects_new_requests(claim: &Claim) -> bool {
     matches!(
         claim,
         Claim::Readiness { readiness: ReportedReadiness::Draining | ReportedReadiness::Removed, .. }
     )
 }
 
-/// A failure, reported or own, holds an endpoint back; a later success here voids a report. Where no other endpoint
-/// serves the same, an attempt that may fail is better than a rejection.
+/// Holds an endpoint back after a reported or a local failure. A later local success overrides a reported
+/// failure. An endpoint without an alternative is never held back: an attempt that may fail is better than a
+/// rejection.
 fn hold_until(health: Option<&Observation>, local: &LocalView) -> Option<Duration> {
     if !local.has_alternative {
         return None;
@@ -98,7 +102,8 @@
     Some(failed_at + FAILURE_HOLD_DURATION)
 }
 
-/// The reported start of the endpoint. A run that this process knows cannot have started after it became known.
+/// Returns the reported start of the endpoint. A run that this process already knows cannot have started
+/// after the time at which this process learned of it.
 fn started_at(start: Option<&Observation>, local: &LocalView) -> Option<Duration> {
     let start = start?;
     let started_at = start.endpoint_started_at()?;
--- a/crates/observations/src/attempts.rs
+++ b/crates/observations/src/attempts.rs
@@ -1,12 +1,13 @@
-//! What a process's own attempts say of the health of one endpoint.
+//! Derives the health of one endpoint from the outcomes of this process's own attempts.
 
 use crate::EndpointHealth;
 use std::time::Duration;
 
-/// This many failures in a row make an endpoint a failing one: a single one may be chance.
-const FAILING_AFTER: u32 = 2;
+/// The number of consecutive failures after which an endpoint counts as failing. A single failure may be
+/// chance.
+const FAILURE_THRESHOLD: u32 = 2;
 
-/// How recent attempts at one endpoint ended.
+/// The outcomes of recent attempts at one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptHistory {
     last_success: Option<Duration>,
@@ -14,41 +15,43 @@
     consecutive_failures: u32,
 }
 
-/// What the attempts at an endpoint show, for other initiators.
+/// The health of an endpoint as reported to other initiators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HealthVerdict {
-    /// How the attempts go.
+    /// Whether attempts succeed or fail.
     pub health: EndpointHealth,
-    /// When the attempt that shows it ended.
+    /// When the attempt that established this health ended.
     pub observed_at: Duration,
 }
 
 impl AttemptHistory {
-    /// An attempt succeeded.
+    /// Records a successful attempt.
     pub fn record_success(&mut self, now: Duration) {
         self.last_success = Some(now);
         self.consecutive_failures = 0;
     }
 
-    /// An attempt failed in a way that speaks against the endpoint. Returns whether the endpoint counts as failing now.
+    /// Records an attempt that failed through a fault of the endpoint. Returns whether the endpoint now
+    /// counts as failing.
     pub fn record_failure(&mut self, now: Duration) -> bool {
         self.last_failure = Some(now);
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.is_failing()
     }
 
-    /// When the last attempt that succeeded ended.
+    /// Returns when the last successful attempt ended.
     pub fn last_success(&self) -> Option<Duration> {
         self.last_success
     }
 
-    /// When the last of several failures in a row happened; `None`: the endpoint does not count as failing.
+    /// Returns when the last of several consecutive failures occurred, or `None` if the endpoint does not
+    /// count as failing.
     pub fn failing_at(&self) -> Option<Duration> {
         self.last_failure.filter(|_| self.is_failing())
     }
 
-    /// What there is to report. That an endpoint is healthy is reported only after a failure: before, no other
-    /// initiator holds it back.
+    /// Returns the health to report, or `None` if there is nothing to report. An endpoint is reported as
+    /// healthy only after a failure: without one, no other initiator holds it back.
     pub fn verdict(&self) -> Option<HealthVerdict> {
         let failed_at = self.last_failure?;
         if self.is_failing() {
@@ -59,6 +62,6 @@
     }
 
     fn is_failing(&self) -> bool {
-        self.consecutive_failures >= FAILING_AFTER
+        self.consecutive_failures >= FAILURE_THRESHOLD
     }
 }
--- a/crates/observations/src/claim.rs
+++ b/crates/observations/src/claim.rs
@@ -1,78 +1,79 @@
-//! What an observation says, and what it is about.
+//! The content of an observation and its subject.
 
 use crate::Observer;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Whether an endpoint takes requests, from best to worst.
+/// Whether an endpoint accepts requests, from best to worst.
 ///
-/// Sent by position: the order of the variants is part of the wire format.
+/// Encoded by position: the order of the variants is part of the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ReportedReadiness {
-    /// Takes requests.
+    /// The endpoint accepts requests.
     #[default]
     Ready,
-    /// Finishes what it has; nothing new may be sent.
+    /// The endpoint completes its requests in flight; no new ones may be sent.
     Draining,
-    /// No longer listed.
+    /// The endpoint is no longer listed.
     Removed,
 }
 
-/// How the attempts of one observer at an endpoint go.
+/// The outcome of one observer's attempts at an endpoint.
 ///
-/// Sent by position: the order of the variants is part of the wire format.
+/// Encoded by position: the order of the variants is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EndpointHealth {
-    /// They succeed again.
+    /// Attempts succeed again.
     Healthy,
-    /// They fail.
+    /// Attempts fail.
     Failing,
 }
 
-/// What an observer says. Amounts are whole thousandths of a unit, so that claims have a total order.
+/// A fact that an observer states. Amounts are whole thousandths of a unit, so that claims have a total
+/// order.
 ///
-/// Sent by position: the order of variants and fields is part of the wire format, and of the order by which a store
-/// decides between two observations.
+/// Encoded by position: the order of variants and fields is part of the wire format. The same order decides
+/// which of two otherwise equal observations a store keeps.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Claim {
-    /// The observer's endpoint list, or its operator, says so.
+    /// The readiness of an endpoint according to the observer's endpoint list or its operator.
     Readiness {
-        /// The endpoint's name.
+        /// The name of the endpoint.
         endpoint: String,
-        /// Whether it takes requests.
+        /// Whether the endpoint accepts requests.
         readiness: ReportedReadiness,
     },
-    /// The observer's own attempts say so.
+    /// The health of an endpoint according to the observer's own attempts.
     Health {
-        /// The endpoint's name.
+        /// The name of the endpoint.
         endpoint: String,
-        /// How the attempts go.
+        /// Whether attempts succeed or fail.
         health: EndpointHealth,
     },
     /// The endpoint has just started. Reported only during its slow start.
     Started {
-        /// The endpoint's name.
+        /// The name of the endpoint.
         endpoint: String,
-        /// How long before the observation it started.
+        /// The time from the start of the endpoint to the observation.
         uptime: Duration,
     },
-    /// What the observer sent an endpoint in slow start within the overload window.
+    /// The units that the observer sent to an endpoint in slow start within the overload window.
     SlowStartUnits {
-        /// The endpoint's name.
+        /// The name of the endpoint.
         endpoint: String,
-        /// Thousandths of a unit.
+        /// Amount in thousandths of a unit.
         milli_units: u64,
     },
-    /// How much the observer's clients ask of a volume.
+    /// The demand of the observer's clients for a volume.
     Demand {
-        /// The volume's number.
+        /// The number of the volume.
         volume: u64,
-        /// Thousandths of a unit a second.
+        /// Demand in thousandths of a unit per second.
         milli_units_per_second: u64,
     },
 }
 
-/// What a claim is about. A store keeps one observation for each subject.
+/// What a claim is about. A store keeps one observation per subject.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
     /// The readiness of an endpoint.
@@ -81,24 +82,24 @@
     Health(String),
     /// The start of an endpoint.
     Start(String),
-    /// What one observer sent an endpoint in slow start.
+    /// The units that one observer sent to an endpoint in slow start.
     SlowStartUnits {
-        /// The endpoint's name.
+        /// The name of the endpoint.
         endpoint: String,
-        /// Who sent it.
+        /// The process that sent the units.
         observer: Observer,
     },
-    /// What one observer is asked for.
+    /// The demand of one observer's clients for a volume.
     Demand {
-        /// The volume's number.
+        /// The number of the volume.
         volume: u64,
-        /// Whose clients ask.
+        /// The process whose clients have the demand.
         observer: Observer,
     },
 }
 
 impl Claim {
-    /// The endpoint that it is about; `None`: it is about a volume.
+    /// Returns the endpoint that the claim is about, or `None` if it is about a volume.
     pub fn endpoint(&self) -> Option<&str> {
         match self {
             Claim::Readiness { endpoint, .. }
@@ -109,7 +110,7 @@
         }
     }
 
-    /// What it is about, where `observer` claims it.
+    /// Returns the subject of the claim when stated by `observer`.
     pub fn subject(&self, observer: &Observer) -> Subject {
         match self {
             Claim::Readiness { endpoint, .. } => Subject::Readiness(endpoint.clone()),
@@ -122,8 +123,10 @@
         }
     }
 
-    /// Its place where not all can be sent: the smallest goes first. What protects a starting endpoint comes before
-    /// what protects a request, and demand comes last, the greatest first.
+    /// Returns the sort key by which claims are sent when not all of them fit; the smallest is sent first.
+    ///
+    /// Claims that protect a starting endpoint precede those that protect requests. Demand is last, the
+    /// greatest first.
     pub fn send_order(&self) -> u64 {
         match self {
             Claim::SlowStartUnits { .. } => 0,
@@ -138,8 +141,8 @@
         }
     }
 
-    /// Whether it is one observer's part of a sum. Such a claim counts only from that observer: forwarded, it would be
-    /// counted twice.
+    /// Returns whether the claim is one observer's contribution to a sum. Such a claim is accepted only from
+    /// its observer: if it were forwarded, it could be counted twice.
     pub fn is_contribution(&self) -> bool {
         matches!(self, Claim::SlowStartUnits { .. } | Claim::Demand { .. })
     }
--- a/crates/observations/src/contributions.rs
+++ b/crates/observations/src/contributions.rs
@@ -1,20 +1,24 @@
-//! Sums over what other initiators report of themselves. Each observer's part counts once, since each is a subject of
-//! its own.
+//! Sums of the contributions that other initiators report about themselves.
+//!
+//! The contribution of each observer is a separate [`Subject`](crate::Subject), so each counts exactly once.
 
-use crate::{Claim, ObservationStore, Observer, DEMAND_LIFETIME};
+use crate::{Claim, Observation, ObservationStore, Observer, DEMAND_LIFETIME};
 use std::time::Duration;
 
-/// What the clients of other initiators ask of a volume.
+/// The total demand for a volume by the clients of other initiators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedDemand {
-    /// Thousandths of a unit a second.
+    /// Demand in thousandths of a unit per second.
     pub milli_units_per_second: u64,
-    /// How old the oldest part of the sum is.
+    /// The age of the oldest contribution to the sum.
     pub age: Duration,
 }
 
-/// What other initiators report to have sent an endpoint in slow start within `window`, which ends now, in thousandths
-/// of a unit. Reports of an earlier run than `endpoint_incarnation` do not count.
+/// Returns the units that other initiators report to have sent to an endpoint in slow start, in thousandths
+/// of a unit.
+///
+/// The sum covers reports that are younger than `window` and excludes those about a run of the endpoint that
+/// is earlier than `endpoint_incarnation`.
 pub fn reported_slow_start_units(
     store: &ObservationStore,
     endpoint: &str,
@@ -22,17 +26,19 @@
     window: Duration,
     now: Duration,
 ) -> u64 {
-    let counts =
-        store.iter().filter(|o| o.endpoint_incarnation >= endpoint_incarnation && o.age(now) < window);
-    let parts = counts.filter_map(|observation| match &observation.claim {
-        Claim::SlowStartUnits { endpoint: of, milli_units } if of == endpoint => Some(*milli_units),
+    let is_current = |o: &&Observation| o.endpoint_incarnation >= endpoint_incarnation && o.age(now) < window;
+    let contributions = store.iter().filter(is_current).filter_map(|observation| match &observation.claim {
+        Claim::SlowStartUnits { endpoint: reported, milli_units } if reported == endpoint => {
+            Some(*milli_units)
+        }
         _ => None,
     });
-    parts.fold(0, u64::saturating_add)
+    contributions.fold(0, u64::saturating_add)
 }
 
-/// What other initiators report to be asked of a volume; `None`: there is no recent report. An earlier process under
-/// the name of `me` is no other initiator.
+/// Returns the demand for a volume that other initiators report, or `None` without a recent report.
+///
+/// Reports of an earlier process with the name of `me` are excluded: that process is not another initiator.
 pub fn reported_demand(
     store: &ObservationStore,
     volume: u64,
@@ -41,15 +47,15 @@
 ) -> Option<ReportedDemand> {
     let mut sum: Option<ReportedDemand> = None;
     for observation in store.iter() {
-        let Claim::Demand { volume: of, milli_units_per_second } = observation.claim else { continue };
+        let Claim::Demand { volume: reported, milli_units_per_second } = observation.claim else { continue };
         let age = observation.age(now);
-        if of != volume || observation.observer.name == me.name || age > DEMAND_LIFETIME {
+        if reported != volume || observation.observer.name == me.name || age > DEMAND_LIFETIME {
             continue;
         }
-        let before = sum.unwrap_or(ReportedDemand { milli_units_per_second: 0, age: Duration::ZERO });
+        let previous = sum.unwrap_or(ReportedDemand { milli_units_per_second: 0, age: Duration::ZERO });
         sum = Some(ReportedDemand {
-            milli_units_per_second: before.milli_units_per_second.saturating_add(milli_units_per_second),
-            age: before.age.max(age),
+            milli_units_per_second: previous.milli_units_per_second.saturating_add(milli_units_per_second),
+            age: previous.age.max(age),
         });
     }
     sum
--- a/crates/observations/src/observation.rs
+++ b/crates/observations/src/observation.rs
@@ -1,11 +1,12 @@
-//! An observation as the process that holds it dates it, and which of two observations counts.
+//! An observation, dated on the clock of the process that holds it, and the order in which observations
+//! supersede each other.
 
 use crate::{Claim, Report, Subject, MAX_HOPS, OBSERVATION_LIFETIME};
 use serde::{Deserialize, Serialize};
 use std::cmp::{Ordering, Reverse};
 use std::time::Duration;
 
-/// A process that observes. A restart under the same name is another observer.
+/// The identity of an observing process. A restarted process with the same name is a different observer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Observer {
     /// The initiator's name.
@@ -14,29 +15,30 @@
     pub incarnation: u64,
 }
 
-/// A claim, who made it, and when by the clock of the process that holds it.
+/// A claim, its observer, and its time on the clock of the process that holds it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// What was observed.
+    /// The observed fact.
     pub claim: Claim,
-    /// Who observed it.
+    /// The process that made the observation.
     pub observer: Observer,
-    /// The run of the endpoint that the claim is about: the start time in the endpoint list, the same number at every
-    /// initiator whatever its clock says. A later run has a greater one; 0 where none is listed, or for a volume.
+    /// The run of the endpoint that the claim is about. The value is the start time in the endpoint list,
+    /// which is the same at every initiator regardless of its clock. A later run has a greater value. 0 if
+    /// the list states no start time, and for claims about a volume.
     pub endpoint_incarnation: u64,
-    /// How often it was forwarded; 0: by its observer itself.
+    /// How many times the observation was forwarded. 0 if it came from its observer directly.
     pub hops: u8,
-    /// When it was observed.
+    /// When the observation was made.
     pub observed_at: Duration,
 }
 
 impl Observation {
-    /// What it is about.
+    /// Returns what the observation is about.
     pub fn subject(&self) -> Subject {
         self.claim.subject(&self.observer)
     }
 
-    /// When the endpoint started; `None`: the observation is not about that.
+    /// Returns when the endpoint started, or `None` if the observation is not about its start.
     pub fn endpoint_started_at(&self) -> Option<Duration> {
         match self.claim {
             Claim::Started { uptime, .. } => Some(self.observed_at.saturating_sub(uptime)),
@@ -44,12 +46,13 @@
         }
     }
 
-    /// How long ago it was made.
+    /// Returns the time since the observation was made.
     pub fn age(&self, now: Duration) -> Duration {
         now.saturating_sub(self.observed_at)
     }
 
-    /// The report that `me` sends of it; `None`: it goes no further.
+    /// Returns the report that `me` sends of this observation, or `None` if it must not be sent: it is too
+    /// old, was forwarded too often, or is another observer's contribution.
     pub fn to_report(&self, now: Duration, me: &Observer) -> Option<Report> {
         let hops = if self.observer == *me { 0 } else { self.hops + 1 };
         let may_forward = hops <= MAX_HOPS && !self.claim.is_contribution();
@@ -67,9 +70,12 @@
     }
 }
 
-/// Of two observations of one subject the greater counts: of the later run of the endpoint, then the later one, then
-/// the one that was forwarded less often. Of two claims about the start of one run the later start counts, so that no
-/// early one ends a slow start. The order is total, so that all initiators decide alike in whatever order reports come.
+/// Orders the observations of one subject; the greater one supersedes the other.
+///
+/// The later run of the endpoint is greater, then the later observation, then the one that was forwarded
+/// fewer times. Of two claims about the start of the same run, the later start is greater, so that an earlier
+/// one cannot end a slow start. The order is total, so all initiators agree regardless of the order in which
+/// reports arrive.
 impl Ord for Observation {
     fn cmp(&self, other: &Self) -> Ordering {
         let rank = |observation: &Observation| {
--- a/crates/observations/src/store.rs
+++ b/crates/observations/src/store.rs
@@ -1,4 +1,4 @@
-//! What one process knows: for each subject the observation that counts.
+//! The observations that one process holds: the newest one for each subject.
 
 use crate::{
     Observation, Observer, Report, Subject, MAX_EXCHANGE_HOPS, MAX_HOPS, MAX_OBSERVATIONS,
@@ -7,35 +7,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How many of a peer's reports were not merged, by reason.
+/// The number of a peer's reports that were not merged, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectedReports {
-    /// Out of range, or first-hand in another observer's name.
+    /// Reports with values out of range, and reports whose hop count contradicts their observer.
     pub invalid: usize,
-    /// This process's own observations, returned by others.
+    /// This process's own observations, sent back by a peer.
     pub own: usize,
 }
 
-/// What merging the reports of one peer brought.
+/// The result of merging the reports of one peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MergeResult {
-    /// The endpoints of which there is a newer observation than before.
+    /// The endpoints for which a newer observation was stored.
     pub changed_endpoints: BTreeSet<String>,
-    /// What was not merged.
+    /// The reports that were not merged.
     pub rejected: RejectedReports,
 }
 
-/// Observations by subject.
+/// A set of observations with one observation per subject.
 ///
-/// Merging keeps the greater observation of each subject, a join: commutative, associative and idempotent. So it does
-/// not matter in which order, how often and over whom reports arrive.
+/// Merging keeps the greater observation of each subject. This is a join: commutative, associative and
+/// idempotent. The result does not depend on the order in which reports arrive, on how often, or on the
+/// processes that forwarded them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ObservationStore {
     observations: BTreeMap<Subject, Observation>,
 }
 
 impl ObservationStore {
-    /// Takes one observation. Returns whether it is the one that counts now, and was not known before.
+    /// Merges one observation. Returns `true` if it was stored because it supersedes the known one of its
+    /// subject.
     pub fn merge(&mut self, observation: Observation) -> bool {
         let subject = observation.subject();
         match self.observations.get(&subject) {
@@ -47,14 +49,16 @@
         }
     }
 
-    /// Takes all observations of another store that is dated by the same clock.
+    /// Merges all observations of another store whose times are on the same clock.
     pub fn merge_store(&mut self, other: ObservationStore) {
         for observation in other.observations.into_values() {
             self.merge(observation);
         }
     }
 
-    /// Takes the reports that a process `from` sent to this one, `me`, over an exchange that took `round_trip`.
+    /// Merges the reports that the process `from` sent to this one, `me`.
+    ///
+    /// The reports are taken to be half of `round_trip` older on arrival than their stated ages.
     pub fn merge_reports(
         &mut self,
         now: Duration,
@@ -81,54 +85,57 @@
         result
     }
 
-    /// Drops what is older than [`OBSERVATION_LIFETIME`]. Where more than [`MAX_OBSERVATIONS`] remain, drops those of
-    /// endpoints that are not `is_listed` first, then the oldest.
+    /// Drops observations that are older than [`OBSERVATION_LIFETIME`]. If more than [`MAX_OBSERVATIONS`]
+    /// remain, drops those of endpoints for which `is_listed` is false first, then the oldest.
     pub fn expire(&mut self, now: Duration, is_listed: impl Fn(&str) -> bool) {
         self.observations.retain(|_, observation| observation.age(now) <= OBSERVATION_LIFETIME);
         let excess = self.observations.len().saturating_sub(MAX_OBSERVATIONS);
         if excess > 0 {
-            self.drop_least_useful(excess, is_listed);
+            self.evict(excess, is_listed);
         }
     }
 
-    fn drop_least_useful(&mut self, count: usize, is_listed: impl Fn(&str) -> bool) {
-        let usefulness = |observation: &Observation| {
-            let is_of_use = observation.claim.endpoint().is_none_or(&is_listed);
-            (is_of_use, observation.observed_at)
+    /// Drops `count` observations: those of unlisted endpoints first, then the oldest.
+    fn evict(&mut self, count: usize, is_listed: impl Fn(&str) -> bool) {
+        let eviction_key = |observation: &Observation| {
+            let is_relevant = observation.claim.endpoint().is_none_or(&is_listed);
+            (is_relevant, observation.observed_at)
         };
-        let mut ranked: Vec<_> = self
+        let mut by_eviction_order: Vec<_> = self
             .observations
             .iter()
-            .map(|(subject, observation)| (usefulness(observation), subject.clone()))
+            .map(|(subject, observation)| (eviction_key(observation), subject.clone()))
             .collect();
-        ranked.sort_unstable();
-        for (_, subject) in ranked.into_iter().take(count) {
+        by_eviction_order.sort_unstable();
+        for (_, subject) in by_eviction_order.into_iter().take(count) {
             self.observations.remove(&subject);
         }
     }
 
-    /// The observation of a subject.
+    /// Returns the observation of a subject.
     pub fn get(&self, subject: &Subject) -> Option<&Observation> {
         self.observations.get(subject)
     }
 
-    /// All observations, by subject.
+    /// Returns all observations, ordered by subject.
     pub fn iter(&self) -> impl Iterator<Item = &Observation> {
         self.observations.values()
     }
 
-    /// How many observations there are.
+    /// Returns the number of observations.
     pub fn len(&self) -> usize {
         self.observations.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether the store holds no observation.
     pub fn is_empty(&self) -> bool {
         self.observations.is_empty()
     }
 
-    /// What `me` sends to a peer in an exchange over TCP, the most needed first: its `own` observations, and those of
-    /// others. Of an own and another's observation of one subject the one that counts is sent.
+    /// Returns the reports that `me` sends to a peer in an exchange over TCP, the most important first.
+    ///
+    /// The reports cover the `own` observations and those of other processes. Of two observations of one
+    /// subject, the greater one is sent.
     pub fn reports_for_exchange(&self, now: Duration, me: &Observer, own: Vec<Observation>) -> Vec<Report> {
         let mut sent = ObservationStore::default();
         let may_forward = |o: &&Observation| o.hops < MAX_HOPS && o.observer != *me;
--- a/crates/observations/tests/fixtures.rs
+++ b/crates/observations/tests/fixtures.rs
@@ -1,5 +1,7 @@
-//! What initiators send each other of endpoints and volumes, as the release of 2 December 2026 wrote it. Two releases
-//! run side by side in one installation, so each has to read these bytes and to write the same ones.
+//! Compatibility with reports on endpoints and volumes as the release of 2 December 2026 encoded them.
+//!
+//! Two releases run side by side in one installation, so each release has to decode these bytes and encode
+//! the same ones.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -12,7 +14,7 @@
     Observer { name: "n1".into(), incarnation: u64::MAX - 7 }
 }
 
-fn standings() -> Vec<(&'static str, ReportedReadiness)> {
+fn readinesses() -> Vec<(&'static str, ReportedReadiness)> {
     vec![
         ("standing.ready", ReportedReadiness::Ready),
         ("standing.draining", ReportedReadiness::Draining),
@@ -35,13 +37,13 @@
 }
 
 fn reports() -> Vec<(String, Report)> {
-    let report = |(number, (name, what)): (usize, (&str, Claim))| {
-        let hops = if what.is_contribution() { 0 } else { number as u8 * 7 };
+    let report = |(number, (name, claim)): (usize, (&str, Claim))| {
+        let hops = if claim.is_contribution() { 0 } else { number as u8 * 7 };
         let age = Duration::new(number as u64, 500_000_000 + number as u32);
         let start = 1_700_000_000_000 * number as u64;
         (
             name.replace("claim", "report"),
-            Report { claim: what, observer: observer(), endpoint_incarnation: start, hops, age },
+            Report { claim, observer: observer(), endpoint_incarnation: start, hops, age },
         )
     };
     claims().into_iter().enumerate().map(report).collect()
@@ -51,8 +53,8 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The kept bytes by name.
-fn kept() -> BTreeMap<String, Vec<u8>> {
+/// Parses the fixture file: the recorded bytes by name.
+fn parse_fixture() -> BTreeMap<String, Vec<u8>> {
     let line = |line: &str| {
         let (name, digits) = line.split_once(' ').unwrap();
         let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).unwrap();
@@ -61,29 +63,30 @@
     include_str!("fixtures/reports.hex").lines().map(line).collect()
 }
 
-fn is_read_and_written<T: Serialize + DeserializeOwned + PartialEq + Debug>(
-    kept: &mut BTreeMap<String, Vec<u8>>,
+/// Asserts that `value` is decoded from the recorded bytes and encoded to the same bytes.
+fn assert_round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    recorded: &mut BTreeMap<String, Vec<u8>>,
     name: &str,
     value: &T,
 ) {
-    let bytes = kept.remove(name).unwrap_or_else(|| panic!("{name} is not among the kept"));
+    let bytes = recorded.remove(name).unwrap_or_else(|| panic!("the fixture has no entry {name}"));
     let read: T = postcard::from_bytes(&bytes).unwrap();
     assert_eq!(read, *value, "{name}");
     assert_eq!(hex(&postcard::to_allocvec(&read).unwrap()), hex(&bytes), "{name}");
 }
 
 #[test]
-fn what_the_release_before_sent_is_read_and_written_the_same() {
-    let mut kept = kept();
-    is_read_and_written(&mut kept, "observer", &observer());
-    for (name, standing) in standings() {
-        is_read_and_written(&mut kept, name, &standing);
+fn reports_of_the_previous_release_round_trip() {
+    let mut recorded = parse_fixture();
+    assert_round_trip(&mut recorded, "observer", &observer());
+    for (name, readiness) in readinesses() {
+        assert_round_trip(&mut recorded, name, &readiness);
     }
     for (name, claim) in claims() {
-        is_read_and_written(&mut kept, name, &claim);
+        assert_round_trip(&mut recorded, name, &claim);
     }
     for (name, report) in reports() {
-        is_read_and_written(&mut kept, &name, &report);
+        assert_round_trip(&mut recorded, &name, &report);
     }
-    assert!(kept.is_empty(), "kept, but read by nothing: {:?}", kept.keys());
+    assert!(recorded.is_empty(), "fixture entries that no case uses: {:?}", recorded.keys());
 }
