--- a/crates/membership/src/frame.rs
+++ b/crates/membership/src/frame.rs
@@ -1,69 +1,75 @@
-//! One frame of an exchange over TCP: a magic number, a version, a length, a checksum, and a message in postcard. Nothing
-//! of a frame counts before its last byte has come and its checksum fits.
+//! The frames of an exchange over TCP.
+//!
+//! A frame consists of a magic number, a version, a length, a CRC-32 checksum and a message in postcard
+//! encoding. A frame is applied only as a whole: after its last byte has arrived and its checksum was
+//! verified.
 
 use serde::{Deserialize, Serialize};
 use shaletack_observations::{Observer, Report};
 use std::time::Duration;
 
-/// The version of frames that this program speaks.
+/// The frame version that this program speaks.
 pub const FRAME_VERSION: u16 = 1;
-/// In place of a version, with nothing after the header: the peer is asked for its status. It answers with JSON, up to the
-/// end of the connection. The release before names it an unknown version and closes.
+/// Marks a status request when sent in place of a version; no message follows the header. The peer answers
+/// with JSON and closes the connection. A peer of the previous release treats the value as an unsupported
+/// version and closes the connection.
 pub const STATUS_REQUEST_VERSION: u16 = 0x5354;
-/// The longest message, in bytes.
+/// The maximum size of a message in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 64 << 10;
-/// The bytes before a message.
+/// The size of the header in bytes.
 pub const HEADER_BYTES: usize = 14;
-/// What an answer says for its round trip, which its sender did not measure: the sender speaks the gossip datagrams of
-/// `shaletack-spread`. The release before says zero.
+/// The value of [`Message::round_trip`] in an answer, whose sender measures no round trip. The value tells
+/// that the sender supports the gossip datagrams of `shaletack-gossip`. The previous release sends zero.
 pub const GOSSIP_CAPABLE: Duration = Duration::from_nanos(1);
 const MAGIC: [u8; 4] = *b"STPX";
-/// Bytes of a message that are kept for what is not a report: the sender, the round trip and the count.
+/// Bytes of a message that are reserved for all fields but the reports: the sender, the round trip and the
+/// report count.
 const ENVELOPE_BYTES: usize = 256;
 
-/// What one process sends another in an exchange.
+/// The message that each side of an exchange sends.
 ///
-/// Sent by position: the order of the fields is part of the wire format.
+/// Encoded by position: the order of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who sends it.
+    /// The sender.
     pub from: Observer,
-    /// The round trip that the sender measured to the receiver; zero, or [`GOSSIP_CAPABLE`], where it measured none.
+    /// The round trip that the sender measured to the receiver. Zero or [`GOSSIP_CAPABLE`] if it measured
+    /// none.
     pub round_trip: Duration,
-    /// What it reports, the most needed first.
+    /// The sender's reports, the most important first.
     pub reports: Vec<Report>,
 }
 
-/// Why a frame was not accepted. Nothing of it counts; the connection is of no further use.
+/// Why a frame was rejected. No part of the frame is applied, and the connection cannot be used any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// It does not begin as a frame does: the other side is no initiator.
-    #[error("not a peer's frame")]
+    /// The bytes do not begin with the magic number: the other side is not an initiator.
+    #[error("not a frame of a peer: wrong magic number")]
     NotAFrame,
-    /// It is of a version that this program does not speak: bring both initiators to one release.
-    #[error("version {theirs}, where this program speaks {FRAME_VERSION}")]
+    /// The sender speaks another frame version. Both initiators have to run the same release.
+    #[error("unsupported frame version {theirs}, expected {FRAME_VERSION}")]
     UnsupportedVersion {
         /// The version of the sender.
         theirs: u16,
     },
-    /// Its message would be longer than any is.
-    #[error("{length} bytes, where {MAX_MESSAGE_BYTES} are the most")]
+    /// The stated length of the message exceeds [`MAX_MESSAGE_BYTES`].
+    #[error("message of {length} bytes exceeds the maximum of {MAX_MESSAGE_BYTES} bytes")]
     TooLong {
-        /// The length that the frame states, in bytes.
+        /// The length stated in the header, in bytes.
         length: u32,
     },
-    /// It ended early: the connection was closed or cut.
-    #[error("truncated")]
+    /// The frame ended early: the connection was closed or lost.
+    #[error("truncated frame")]
     Truncated,
-    /// Its checksum is another one: it was altered on the way.
-    #[error("checksum mismatch")]
+    /// The checksum does not match the message: the frame was altered in transit.
+    #[error("frame checksum mismatch")]
     ChecksumMismatch,
-    /// Its message cannot be decoded: the other side is broken or no initiator.
-    #[error("unreadable")]
+    /// The checksum matches, but the message cannot be decoded: the other side is faulty or not an initiator.
+    #[error("malformed message")]
     Malformed,
 }
 
-/// What the header of a frame says.
+/// The decoded header of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
     /// The length of the message that follows, in bytes.
@@ -71,7 +77,8 @@
     checksum: u32,
 }
 
-/// A whole frame. Reports that do not fit are left out, from the last on.
+/// Encodes a whole frame. Reports that do not fit into [`MAX_MESSAGE_BYTES`] are dropped from the end of the
+/// list.
 pub fn encode(from: &Observer, round_trip: Duration, mut reports: Vec<Report>) -> Vec<u8> {
     reports.truncate(count_that_fits(&reports));
     let message = Message { from: from.clone(), round_trip, reports };
@@ -85,7 +92,7 @@
     frame
 }
 
-/// How many reports, from the first on, fit into one message.
+/// Returns how many reports, counted from the first, fit into one message.
 fn count_that_fits(reports: &[Report]) -> usize {
     let mut bytes_left = MAX_MESSAGE_BYTES - ENVELOPE_BYTES;
     let fits = |report: &&Report| {
@@ -99,7 +106,7 @@
     reports.iter().take_while(fits).count()
 }
 
-/// The request for a process's status.
+/// Encodes a status request; see [`STATUS_REQUEST_VERSION`].
 pub fn status_request() -> [u8; HEADER_BYTES] {
     let mut bytes = [0; HEADER_BYTES];
     bytes[..4].copy_from_slice(&MAGIC);
@@ -107,11 +114,11 @@
     bytes
 }
 
-/// Reads the header of a frame.
+/// Decodes the header of a frame.
 ///
 /// # Errors
 ///
-/// Says why the frame is not accepted; a request for the status is [`FrameError::UnsupportedVersion`] with
+/// Returns why the frame is rejected. A status request is reported as [`FrameError::UnsupportedVersion`] with
 /// [`STATUS_REQUEST_VERSION`].
 pub fn decode_header(bytes: &[u8; HEADER_BYTES]) -> Result<Header, FrameError> {
     let [m0, m1, m2, m3, v0, v1, l0, l1, l2, l3, c0, c1, c2, c3] = *bytes;
@@ -129,11 +136,11 @@
     Ok(Header { message_bytes: length as usize, checksum: u32::from_be_bytes([c0, c1, c2, c3]) })
 }
 
-/// Reads the message that follows a header.
+/// Decodes the message that follows a header and verifies its checksum.
 ///
 /// # Errors
 ///
-/// Says why the frame is not accepted.
+/// Returns why the frame is rejected.
 pub fn decode_message(header: Header, bytes: &[u8]) -> Result<Message, FrameError> {
     if bytes.len() < header.message_bytes {
         return Err(FrameError::Truncated);
@@ -147,11 +154,11 @@
     }
 }
 
-/// Reads a whole frame.
+/// Decodes a whole frame.
 ///
 /// # Errors
 ///
-/// Says why the frame is not accepted.
+/// Returns why the frame is rejected.
 pub fn decode(bytes: &[u8]) -> Result<Message, FrameError> {
     let (header, message) = bytes.split_first_chunk::<HEADER_BYTES>().ok_or(FrameError::Truncated)?;
     decode_message(decode_header(header)?, message)
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,13 +1,14 @@
-//! How initiators find each other and exchange what they know, without the sockets.
+//! Group membership of the initiators and the format of their exchanges, without the sockets.
 //!
-//! An installation lists a few addresses of its initiators; each initiator has to learn of all others, and to notice
-//! within seconds when one is gone, at a constant load each. [`Membership`] does that by SWIM ("Scalable
-//! Weakly-consistent Infection-style Process Group Membership Protocol", Das, Gupta and Motivala, 2002) on the `foca`
-//! crate. [`frame`] is the format of an exchange over TCP, by which an initiator asks another at its start.
+//! The configuration lists the addresses of a few initiators. From these each initiator has to discover all
+//! others, and has to notice within seconds when one of them fails, at a constant load per initiator.
+//! [`Membership`] implements this with SWIM ("SWIM: Scalable Weakly-consistent Infection-style Process Group
+//! Membership Protocol", Das, Gupta and Motivala, 2002) on the `foca` crate. [`frame`] is the format of an
+//! exchange over TCP, in which a starting initiator asks another one what it knows.
 //!
-//! Both are state machines: bytes and times come in, bytes and timers go out. The crate opens no socket, reads no clock and
-//! draws no seed. What the exchanged reports mean is `shaletack-observations`' to say. Whatever bytes come in, the answer
-//! is a value or an error, never a panic.
+//! The crate performs no I/O: bytes and times are its input, bytes and timers its output. It opens no socket,
+//! reads no clock and draws no random seed; callers pass these in. Input of any kind yields a value or an
+//! error, never a panic. The meaning of the exchanged reports is defined in `shaletack-observations`.
 
 mod datagram;
 pub mod frame;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,32 +1,32 @@
-//! Who a process is among the others.
+//! The identity of a process in the membership protocol.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How much later the epoch of a renewed identity is than that of the one which was declared down: more than clocks are
-/// set back, so that a process whose clock was set back is not kept out.
+/// Added to the epoch when a process that was declared down renews its identity. Clocks are set back by less
+/// than this, so a process that restarted after its clock was set back can still rejoin.
 const RENEWAL_STEP: Duration = Duration::from_secs(3600);
 
 /// One process among its peers, as SWIM identifies it.
 ///
-/// Sent by position: the order of the fields is part of the wire format.
+/// Encoded by position: the order of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The initiator's name.
     pub name: String,
     /// A random number, drawn when the process starts.
     pub incarnation: u64,
-    /// When the process started, in Unix milliseconds. Of two processes at one address the one with the later epoch
-    /// counts.
+    /// When the process started, in Unix milliseconds. Of two processes at one address, the one with the
+    /// later epoch replaces the other.
     pub epoch: u64,
-    /// Where it receives datagrams and accepts exchanges.
+    /// The address where the process receives datagrams and accepts exchanges.
     pub address: SocketAddr,
 }
 
 impl Member {
-    /// Whoever listens at an address: a process announces itself there before it knows who that is.
+    /// A placeholder for the unknown process at an address, to which a joining process announces itself.
     pub(crate) fn unknown_at(address: SocketAddr) -> Self {
         Member { name: String::new(), incarnation: 0, epoch: 0, address }
     }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,7 +1,8 @@
-//! Which processes are alive: SWIM as a reducer.
+//! Detects which processes are alive: the SWIM protocol as a reducer.
 //!
-//! A member that does not answer is suspected before it is declared down, and may refute the suspicion; one listed
-//! address that answers is enough to join all; a planned stop is announced.
+//! A member that does not answer is suspected before it is declared down, and can refute the suspicion. One
+//! listed address that answers is enough to join the whole group. A process that stops as planned announces
+//! its departure.
 
 use crate::datagram::{self, DatagramError};
 use crate::swim_config::swim_config;
@@ -14,48 +15,48 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often a process announces itself at the listed addresses where no member is known.
+/// The interval between announcements to the listed addresses at which no member is known.
 const JOIN_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What happened.
+/// An event that [`Membership::step`] processes.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A datagram arrived.
     DatagramReceived(Bytes),
-    /// The time of the last [`Effect::SetTimer`] has come.
+    /// The timer of the last [`Effect::SetTimer`] expired.
     TimerExpired,
-    /// This process stops as planned; the others are told.
+    /// This process stops as planned. The other members are notified, and all later inputs are ignored.
     Leave,
 }
 
-/// What is to be done.
+/// An action that the caller has to carry out.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// Send a datagram. It may be lost.
+    /// Send a datagram. The protocol tolerates its loss.
     Send {
-        /// To whom.
+        /// The receiver's address.
         to: SocketAddr,
-        /// The bytes.
+        /// The encoded datagram.
         datagram: Bytes,
     },
     /// A member was found to be alive.
     MemberUp(Member),
     /// A member left, or was declared down.
     MemberDown(Member),
-    /// Two processes have one name.
+    /// Two processes have the same name.
     DuplicateName {
-        /// The one that was known.
+        /// The process that was already known; it may be this one.
         known: Member,
-        /// The one that came.
+        /// The process that joined.
         joined: Member,
     },
-    /// A datagram was not accepted, or not made.
+    /// A received datagram was rejected, or one could not be encoded.
     DatagramFailed(DatagramError),
-    /// Come back with [`Input::TimerExpired`] at this time; earlier timers are void.
+    /// Deliver [`Input::TimerExpired`] at this time. Replaces the timer that was set before.
     SetTimer(Duration),
 }
 
-/// The members as one process sees them.
+/// The group membership as one process sees it.
 pub struct Membership {
     foca: Foca<Member, PostcardCodec, StdRng, NoCustomBroadcast>,
     timers: Timers<Timer<Member>>,
@@ -65,8 +66,9 @@
 }
 
 impl Membership {
-    /// A process that knows no other one yet. It announces itself at the listed addresses from the first
-    /// [`Input::TimerExpired`] on. `seed` is for the protocol's random choices.
+    /// Creates the state of a process that knows no other member yet. The process announces itself at the
+    /// listed addresses from the first [`Input::TimerExpired`] on. `seed` initialises the protocol's random
+    /// number generator.
     pub fn new(me: Member, listed_addresses: Vec<SocketAddr>, seed: u64) -> Self {
         let others = listed_addresses.into_iter().filter(|address| *address != me.address).collect();
         Membership {
@@ -78,17 +80,18 @@
         }
     }
 
-    /// This process.
+    /// Returns the identity of this process.
     pub fn me(&self) -> &Member {
         self.foca.identity()
     }
 
-    /// The other members that are alive or suspected.
+    /// Returns the other members that are alive or suspected.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.foca.iter_members().map(|member| member.id())
     }
 
-    /// Takes one input. `now` is on the process's monotonic clock.
+    /// Processes one input and returns the resulting effects. `now` is a time on the process's monotonic
+    /// clock.
     pub fn step(&mut self, now: Duration, input: Input) -> Vec<Effect> {
         if self.has_left {
             return Vec::new();
@@ -125,7 +128,7 @@
         runtime: &mut AccumulatingRuntime<Member>,
     ) -> Result<(), DatagramError> {
         while let Some(timer) = self.timers.pop_expired(now) {
-            // A timer of an earlier identity is void, which foca says by an error.
+            // foca returns an error for a timer of an earlier identity. Such a timer has no effect.
             let _ = self.foca.handle_timer(timer, &mut *runtime);
         }
         match self.next_join_at <= now {
@@ -134,7 +137,9 @@
         }
     }
 
-    /// Announces this process at all listed addresses where no member is known. Returns the first error.
+    /// Announces this process at all listed addresses where no member is known.
+    ///
+    /// Every address is tried; the first error is returned.
     fn join(
         &mut self,
         now: Duration,
@@ -149,7 +154,7 @@
         announced
     }
 
-    /// The listed addresses where no member is known.
+    /// Returns the listed addresses where no member is known.
     fn addresses_to_join(&self) -> Vec<SocketAddr> {
         let is_known = |address: &SocketAddr| self.others().any(|member| member.address == *address);
         self.listed_addresses.iter().filter(|address| !is_known(address)).copied().collect()
@@ -163,7 +168,7 @@
         self.timers.next_expiry().into_iter().chain(join_at).min()
     }
 
-    /// Carries out what the protocol asked for: datagrams, then timers, then notifications.
+    /// Translates the output of foca: datagrams first, then timers, then notifications.
     fn apply(&mut self, now: Duration, mut runtime: AccumulatingRuntime<Member>, effects: &mut Vec<Effect>) {
         while let Some((to, message)) = runtime.to_send() {
             effects.push(Effect::Send { to: to.address, datagram: datagram::encode(&message) });
@@ -190,10 +195,11 @@
         }
     }
 
-    /// The processes elsewhere, this one among them, that have the name of one that joined.
+    /// Returns an effect for each known process, this one included, that has the name of `joined` at another
+    /// address.
     fn duplicates_of<'a>(&'a self, joined: &'a Member) -> impl Iterator<Item = Effect> + 'a {
-        let has_its_name = |known: &&Member| known.name == joined.name && known.address != joined.address;
-        let known = self.others().chain([self.me()]).filter(has_its_name);
+        let has_same_name = |known: &&Member| known.name == joined.name && known.address != joined.address;
+        let known = self.others().chain([self.me()]).filter(has_same_name);
         known.map(|known| Effect::DuplicateName { known: known.clone(), joined: joined.clone() })
     }
 }
--- a/crates/membership/src/swim_config.rs
+++ b/crates/membership/src/swim_config.rs
@@ -1,9 +1,12 @@
-//! The periods and counts of the protocol.
+//! The periods and counts of the SWIM protocol.
 //!
-//! A silent member is suspected within 3 s and declared down 3.5 s later; a healed partition is noticed within 10 s.
-//! Networks lose datagrams: where a twentieth of them is lost, one probe in ten gets no answer. So more members are asked
-//! to probe in place of the first one than the paper's default, and updates, suspicions and refutations among them, are
-//! gossiped often enough that a refutation reaches all before the suspicion runs out.
+//! A silent member is suspected within 3 s and declared down 3.5 s later; a healed partition is noticed
+//! within 10 s.
+//!
+//! Networks lose datagrams: at 5 % loss, one probe in ten gets no answer. For this reason more members than
+//! the paper's default are asked for an indirect probe, and updates, which include suspicions and
+//! refutations, are gossiped often enough for a refutation to reach all members before the suspicion times
+//! out.
 
 use crate::datagram::MAX_MESSAGE_BYTES;
 use std::num::{NonZeroU8, NonZeroUsize};
@@ -11,21 +14,22 @@
 
 /// One member is probed in each period (SWIM, section 3.1).
 const PROBE_PERIOD: Duration = Duration::from_millis(1500);
-/// How long the answer to a direct probe may take before others are asked to probe.
+/// How long to wait for the answer to a direct probe before other members are asked for an indirect one.
 const PROBE_ROUND_TRIP: Duration = Duration::from_millis(300);
-/// How many members are asked to probe one that did not answer (SWIM, section 3.1).
+/// The number of members that are asked to probe a member that did not answer (SWIM, section 3.1).
 const INDIRECT_PROBES: usize = 4;
-/// How long a suspected member may refute the suspicion (SWIM, section 4.2).
+/// How long a suspected member has to refute the suspicion (SWIM, section 4.2).
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(3500);
-/// How often each member passes on one update (SWIM, section 4.1).
+/// How many times each member retransmits one update (SWIM, section 4.1).
 const MAX_TRANSMISSIONS: u8 = 20;
-/// How often updates go out beside those that travel with probes, and to how many members.
+/// Updates sent in addition to those piggybacked on probes.
 const GOSSIP: Periodic = Periodic { every: Duration::from_millis(250), members: 3 };
-/// How often a member asks another one for all that it knows.
+/// Requests to a member for all members that it knows.
 const ANNOUNCE: Periodic = Periodic { every: Duration::from_secs(60), members: 1 };
-/// How often members that are down are asked whether they are back, which joins the two sides of a healed partition.
+/// Announcements to members that were declared down. They rejoin the two sides of a healed partition.
 const ANNOUNCE_TO_DOWN: Periodic = Periodic { every: Duration::from_secs(5), members: 3 };
 
+/// A message that is sent at a fixed interval to a number of randomly chosen members.
 struct Periodic {
     every: Duration,
     members: usize,
--- a/crates/membership/tests/fixtures.rs
+++ b/crates/membership/tests/fixtures.rs
@@ -1,5 +1,7 @@
-//! What initiators send each other, frames and datagrams of membership, as the release of 2 December 2026 wrote them.
-//! Two releases run side by side in one installation, so each has to read these bytes and to write the same ones.
+//! Compatibility with frames and membership datagrams as the release of 2 December 2026 encoded them.
+//!
+//! Two releases run side by side in one installation, so each release has to decode these bytes and encode
+//! the same ones.
 
 use foca::{Codec, Header, Message, PostcardCodec};
 use shaletack_membership::frame::{decode, encode, status_request, GOSSIP_CAPABLE};
@@ -8,14 +10,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-const MARK: u8 = 0xd7;
+const MAGIC: u8 = 0xd7;
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The kept bytes by name.
-fn kept(text: &str) -> BTreeMap<String, Vec<u8>> {
+/// Parses a fixture file: the recorded bytes by name.
+fn parse_fixture(text: &str) -> BTreeMap<String, Vec<u8>> {
     let line = |line: &str| {
         let (name, digits) = line.split_once(' ').unwrap();
         let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).unwrap();
@@ -40,59 +42,59 @@
         ("spent", Claim::SlowStartUnits { endpoint: id(), milli_units: 1_234_567 }),
         ("demand", Claim::Demand { volume: 4_242, milli_units_per_second: u64::MAX }),
     ];
-    let report = |(name, what): (&'static str, Claim)| {
-        let hops = if what.is_contribution() { 0 } else { 3 };
-        let told = Report {
-            claim: what,
+    let report = |(name, claim): (&'static str, Claim)| {
+        let hops = if claim.is_contribution() { 0 } else { 3 };
+        let report = Report {
+            claim,
             observer: observer(),
             endpoint_incarnation: 1_700_000_000_000,
             hops,
             age: Duration::from_millis(2500),
         };
-        (name, told)
+        (name, report)
     };
     claims.into_iter().map(report).collect()
 }
 
-/// Each frame's name, the round trip that it says, and its reports.
+/// Returns the name, the round trip and the reports of each recorded frame.
 fn frames() -> Vec<(String, Duration, Vec<Report>)> {
-    let trip = Duration::new(0, 1_250_000);
-    let mut frames = vec![("empty".to_owned(), trip, Vec::new())];
+    let round_trip = Duration::new(0, 1_250_000);
+    let mut frames = vec![("empty".to_owned(), round_trip, Vec::new())];
     for (name, report) in reports() {
-        frames.push((name.to_owned(), trip, vec![report]));
+        frames.push((name.to_owned(), round_trip, vec![report]));
     }
     let all: Vec<Report> = reports().into_iter().map(|(_, report)| report).collect();
-    frames.push(("all".to_owned(), trip, all.clone()));
+    frames.push(("all".to_owned(), round_trip, all.clone()));
     frames.push(("answer".to_owned(), GOSSIP_CAPABLE, all));
     frames
 }
 
 #[test]
-fn frames_of_the_release_before_are_read_and_written_the_same() {
-    let mut kept = kept(include_str!("fixtures/frames.hex"));
-    assert_eq!(hex(&kept.remove("status").unwrap()), hex(&status_request()));
-    for (name, trip, facts) in frames() {
-        let bytes = kept.remove(&name).unwrap_or_else(|| panic!("{name} is not among the kept"));
+fn frames_of_the_previous_release_round_trip() {
+    let mut recorded = parse_fixture(include_str!("fixtures/frames.hex"));
+    assert_eq!(hex(&recorded.remove("status").unwrap()), hex(&status_request()));
+    for (name, round_trip, reports) in frames() {
+        let bytes = recorded.remove(&name).unwrap_or_else(|| panic!("the fixture has no frame {name}"));
         let message = decode(&bytes).unwrap();
         assert_eq!(
             (&message.from, message.round_trip, &message.reports),
-            (&observer(), trip, &facts),
+            (&observer(), round_trip, &reports),
             "{name}"
         );
         assert_eq!(hex(&encode(&message.from, message.round_trip, message.reports)), hex(&bytes), "{name}");
     }
-    assert!(kept.is_empty(), "kept, but read by nothing: {:?}", kept.keys());
+    assert!(recorded.is_empty(), "fixture entries that no case uses: {:?}", recorded.keys());
 }
 
-/// A datagram of membership: its header, and what it says of members.
+/// A decoded membership datagram: its header and its member updates.
 struct Datagram {
     header: Header<Member>,
     members: Option<Vec<foca::Member<Member>>>,
 }
 
-/// By foca's description of a packet: a header, the number of updates, and the updates.
+/// Decodes a datagram by foca's packet format: a header, the number of updates, and the updates.
 fn read_datagram(bytes: &[u8]) -> Datagram {
-    assert_eq!(bytes[..2], [MARK, DATAGRAM_VERSION]);
+    assert_eq!(bytes[..2], [MAGIC, DATAGRAM_VERSION]);
     let mut rest = &bytes[2..];
     let header = PostcardCodec.decode_header(&mut rest).unwrap();
     if rest.is_empty() {
@@ -106,7 +108,7 @@
 }
 
 fn write_datagram(datagram: &Datagram) -> Vec<u8> {
-    let mut bytes = vec![MARK, DATAGRAM_VERSION];
+    let mut bytes = vec![MAGIC, DATAGRAM_VERSION];
     PostcardCodec.encode_header(&datagram.header, &mut bytes).unwrap();
     if let Some(members) = &datagram.members {
         bytes.extend((members.len() as u16).to_be_bytes());
@@ -134,15 +136,15 @@
 }
 
 #[test]
-fn membership_datagrams_of_the_release_before_are_read_and_written_the_same() {
-    let kept = kept(include_str!("fixtures/membership.hex"));
+fn membership_datagrams_of_the_previous_release_round_trip() {
+    let recorded = parse_fixture(include_str!("fixtures/membership.hex"));
     let mut kinds = BTreeSet::new();
-    for (name, bytes) in kept {
+    for (name, bytes) in recorded {
         let datagram = read_datagram(&bytes);
         assert_eq!(name.split('.').next(), Some(kind(&datagram.header.message)));
         kinds.insert(kind(&datagram.header.message));
         assert_eq!(hex(&write_datagram(&datagram)), hex(&bytes), "{name}");
-        // Whom it was sent to takes it as it is.
+        // The receiver accepts the datagram unchanged.
         let mut receiver = Membership::new(datagram.header.dst, Vec::new(), 1);
         let effects = receiver.step(Duration::from_secs(1), Input::DatagramReceived(bytes.into()));
         assert!(
@@ -155,6 +157,6 @@
     assert_eq!(
         kinds.into_iter().collect::<Vec<_>>().join(" "),
         all,
-        "all but custom broadcasts, of which there are none"
+        "every kind of message except custom broadcasts, which are not used"
     );
 }
--- a/crates/membership/tests/frame.rs
+++ b/crates/membership/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: a complete one is decoded as it was encoded, any other is rejected with its reason.
+//! Encoding and decoding of frames, and the reasons for which invalid frames are rejected.
 
 use proptest::prelude::*;
 use shaletack_membership::frame::{
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_frame_is_decoded_as_it_was_encoded_and_leaves_out_the_last_reports_where_not_all_fit() {
+fn a_frame_round_trips_and_drops_the_last_reports_if_not_all_fit() {
     let message = decode(&frame(100)).unwrap();
     assert_eq!(
         (message.from, message.round_trip, message.reports),
@@ -42,13 +42,14 @@
         "{}",
         large.len()
     );
-    let kept = decode(&large).unwrap().reports;
-    assert!(kept.len() > 1000 && kept[..] == reports(50_000)[..kept.len()]);
+    let decoded = decode(&large).unwrap().reports;
+    assert!(decoded.len() > 1000 && decoded[..] == reports(50_000)[..decoded.len()]);
 }
 
-/// The release before reads these very bytes: to it, the mark of an answer is a round trip of no time.
+/// The previous release decodes exactly these bytes. It takes the marker [`GOSSIP_CAPABLE`] of an answer for
+/// a negligible round trip.
 #[test]
-fn a_frame_has_the_bytes_that_the_release_before_reads() {
+fn a_frame_has_the_bytes_that_the_previous_release_reads() {
     let report = Report {
         claim: Claim::Health { endpoint: "s-1".into(), health: EndpointHealth::Failing },
         observer: me(),
@@ -59,30 +60,31 @@
     let bytes = encode(&me(), GOSSIP_CAPABLE, vec![report]);
     let head = [b'S', b'T', b'P', b'X', 0, 1, 0, 0, 0, 24];
     assert_eq!(bytes[..10], head);
-    // Name and incarnation; seconds and nanoseconds; one report: its claim, observer, endpoint incarnation, hops and age.
+    // Name and incarnation; seconds and nanoseconds; one report: its claim, observer, endpoint incarnation,
+    // hops and age.
     let message =
         [1, b'a', 9, 0, 1, 1, 1, 3, b's', b'-', b'1', 1, 1, b'a', 9, 172, 2, 1, 1, 128, 202, 181, 238, 1];
     assert_eq!(bytes[HEADER_BYTES..], message);
 }
 
 #[test]
-fn what_is_no_complete_frame_of_this_version_is_rejected_with_its_reason() {
-    let good = frame(3);
-    let with = |at: usize, bytes: &[u8]| {
-        let mut frame = good.clone();
+fn an_incomplete_altered_or_foreign_frame_is_rejected_with_its_reason() {
+    let valid = frame(3);
+    let error_with = |at: usize, bytes: &[u8]| {
+        let mut frame = valid.clone();
         frame[at..at + bytes.len()].copy_from_slice(bytes);
         decode(&frame).unwrap_err()
     };
-    assert_eq!(with(0, b"HTTP"), FrameError::NotAFrame);
-    assert_eq!(with(4, &[0, 2]), FrameError::UnsupportedVersion { theirs: 2 });
-    assert_eq!(with(6, &[0xff; 4]), FrameError::TooLong { length: u32::MAX });
-    assert_eq!(with(10, &[0; 4]), FrameError::ChecksumMismatch);
-    assert_eq!(with(good.len() - 1, &[0xee]), FrameError::ChecksumMismatch);
-    assert_eq!(decode(&good[..HEADER_BYTES - 1]).unwrap_err(), FrameError::Truncated);
-    assert_eq!(decode(&good[..good.len() - 1]).unwrap_err(), FrameError::Truncated);
-    assert_eq!(decode(&[&good[..], &[0]].concat()).unwrap_err(), FrameError::ChecksumMismatch);
-    // A matching checksum over what is no message.
-    let mut empty = good[..HEADER_BYTES].to_vec();
+    assert_eq!(error_with(0, b"HTTP"), FrameError::NotAFrame);
+    assert_eq!(error_with(4, &[0, 2]), FrameError::UnsupportedVersion { theirs: 2 });
+    assert_eq!(error_with(6, &[0xff; 4]), FrameError::TooLong { length: u32::MAX });
+    assert_eq!(error_with(10, &[0; 4]), FrameError::ChecksumMismatch);
+    assert_eq!(error_with(valid.len() - 1, &[0xee]), FrameError::ChecksumMismatch);
+    assert_eq!(decode(&valid[..HEADER_BYTES - 1]).unwrap_err(), FrameError::Truncated);
+    assert_eq!(decode(&valid[..valid.len() - 1]).unwrap_err(), FrameError::Truncated);
+    assert_eq!(decode(&[&valid[..], &[0]].concat()).unwrap_err(), FrameError::ChecksumMismatch);
+    // The checksum matches, but the bytes are not a message.
+    let mut empty = valid[..HEADER_BYTES].to_vec();
     empty[6..14].fill(0);
     assert_eq!(decode(&empty).unwrap_err(), FrameError::Malformed);
 }
@@ -97,9 +99,9 @@
         flip in 1u8..=255,
     ) {
         prop_assert!(decode(&noise).is_err());
-        let mut bent = frame(4);
-        let at = at % bent.len();
-        bent[at] ^= flip;
-        prop_assert!(decode(&bent).is_err(), "byte {} of a frame", at);
+        let mut altered = frame(4);
+        let at = at % altered.len();
+        altered[at] ^= flip;
+        prop_assert!(decode(&altered).is_err(), "byte {} of a frame", at);
     }
 }
--- a/src/peers/context.rs
+++ b/src/peers/context.rs
@@ -1,4 +1,4 @@
-//! What all tasks of this process's part among the peers share.
+//! State that all peer tasks of this process share.
 
 use crate::runtime::host::Host;
 use shaletack_observations::{Observer, Report};
@@ -6,30 +6,30 @@
 use std::time::{Duration, Instant};
 use tokio::net::UdpSocket;
 
-/// The core, this process's identity, the clock that the state machines use, and the socket for datagrams.
+/// The core, this process's identity, the clock of the state machines, and the datagram socket.
 pub(super) struct Context {
-    /// The core and its loop.
+    /// The core and its event loop.
     pub(super) host: Host,
-    /// This process.
+    /// The identity of this process.
     pub(super) me: Observer,
-    /// For membership and gossip alike.
+    /// The UDP socket that membership and gossip share.
     pub(super) socket: UdpSocket,
-    /// The origin of the clock.
+    /// The origin of the state machines' clock.
     pub(super) started_at: Instant,
 }
 
 impl Context {
-    /// How long this process has been among the peers.
+    /// Returns the current time of the state machines: the time since `started_at`.
     pub(super) fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// Sends a datagram. Whatever becomes of it, the protocols notice what was lost.
+    /// Sends a datagram. Errors are ignored: both protocols tolerate lost datagrams.
     pub(super) async fn send(&self, to: SocketAddr, datagram: &[u8]) {
         let _ = self.socket.send_to(datagram, to).await;
     }
 
-    /// What this process reports in an exchange.
+    /// Returns the reports that this process sends in an exchange.
     pub(super) fn reports(&self) -> Vec<Report> {
         let now = Instant::now();
         self.host.look(|broker| broker.peer_reports(now))
--- a/src/peers/contributions.rs
+++ b/src/peers/contributions.rs
@@ -1,31 +1,36 @@
-//! What this process adds to the sums over all initiators, and what comes back, under the keys that the sums use.
+//! Maps this process's contributions to the keys of the sums over all initiators, and the resulting totals
+//! back.
+//!
+//! Aggregation identifies each sum by a number, whereas the core identifies an endpoint by its name and start
+//! time.
 
 use crate::gossip::{Aged, Contribution, EndpointUsage, PeerTotals, VolumeDemand};
 use shaletack_gossip::aggregation::{Key, Total};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// One run of an endpoint that is in slow start.
+/// One run of an endpoint in slow start.
 struct EndpointRun {
     endpoint: String,
-    /// When it started, in Unix milliseconds.
+    /// When the run started, in Unix milliseconds.
     start_ms: u64,
 }
 
-/// The keys of endpoints in slow start: a sum has a number for a key.
+/// The runs of endpoints in slow start by the key of their sum.
 #[derive(Default)]
 pub(super) struct SlowStartKeys {
     runs: BTreeMap<u64, EndpointRun>,
 }
 
-/// The key of one run of an endpoint, the same at every initiator.
+/// Returns the key of one run of an endpoint. The key is the same at every initiator.
 fn slow_start_key(endpoint: &str, start_ms: u64) -> u64 {
     xxh3_64(format!("{start_ms} {endpoint}").as_bytes())
 }
 
 impl SlowStartKeys {
-    /// What this process adds, by key. From now on totals are understood of the endpoints in it.
-    pub(super) fn assign(&mut self, contribution: Contribution) -> Vec<(Key, u64)> {
+    /// Returns the contribution of this process by key, and replaces the endpoint runs that
+    /// [`resolve`](SlowStartKeys::resolve) recognises with those of the contribution.
+    pub(super) fn assign_keys(&mut self, contribution: Contribution) -> Vec<(Key, u64)> {
         let Contribution { demand, spent } = contribution;
         let mut keyed: Vec<(Key, u64)> =
             demand.into_iter().map(|demand| (Key::Demand(demand.volume), demand.rate)).collect();
@@ -38,7 +43,8 @@
         keyed
     }
 
-    /// What all others add, by volume and endpoint.
+    /// Returns the totals of all other initiators by volume and endpoint. Totals of unknown endpoint runs are
+    /// left out.
     pub(super) fn resolve(&self, totals: Vec<(Key, Total)>) -> PeerTotals {
         let mut resolved = PeerTotals::default();
         for (key, Total { others, age, .. }) in totals {
--- a/src/peers/exchange/client.rs
+++ b/src/peers/exchange/client.rs
@@ -1,4 +1,4 @@
-//! The side of an exchange that connects.
+//! The connecting side of an exchange.
 
 use super::{read_frame, within_timeout, ExchangeError};
 use crate::peers::context::Context;
@@ -8,24 +8,29 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The longest status of a process, in bytes: each member of the release before takes some twenty.
+/// The maximum size of a status reply in bytes. Each member of the previous release takes about twenty bytes.
 const MAX_STATUS_BYTES: u64 = 256 << 10;
 
-/// What a peer answered.
+/// A peer's answer to an exchange.
 pub(in crate::peers) struct Answer {
-    /// What it reports.
+    /// The message with the peer's reports.
     pub(in crate::peers) message: Message,
-    /// How long it took to come.
+    /// The time from the start of the request to the answer.
     pub(in crate::peers) round_trip: Duration,
 }
 
-/// Reports to a peer what this process knows, and reads what the peer knows.
+/// Sends this process's reports to a peer and returns the peer's answer.
+///
+/// # Errors
+///
+/// Returns an error if the exchange takes longer than [`EXCHANGE_TIMEOUT`](super::EXCHANGE_TIMEOUT), if the
+/// connection or the frame is faulty, or if the peer is this process.
 pub(in crate::peers) async fn exchange(context: &Context, peer: SocketAddr) -> Result<Answer, ExchangeError> {
     within_timeout(async {
         let connect_started = Instant::now();
         let mut stream = TcpStream::connect(peer).await?;
         let connect_time = connect_started.elapsed();
-        // Without it the answer comes later, and still comes.
+        // A failure only delays the answer, so it is ignored.
         let _ = stream.set_nodelay(true);
         let sent_at = Instant::now();
         stream.write_all(&frame::encode(&context.me, connect_time, context.reports())).await?;
@@ -38,11 +43,11 @@
     .await
 }
 
-/// The status of the process that listens for its peers at an address, as JSON.
+/// Fetches the status, as JSON, of the process that listens for peers at an address.
 ///
 /// # Errors
 ///
-/// Says why there was no answer.
+/// Returns an error if the process does not answer in time or the connection fails.
 pub async fn status(address: SocketAddr) -> Result<String, ExchangeError> {
     within_timeout(async {
         let mut stream = TcpStream::connect(address).await?;
--- a/src/peers/exchange/mod.rs
+++ b/src/peers/exchange/mod.rs
@@ -1,5 +1,7 @@
-//! Exchanges over TCP: a frame each way, within a bounded time. An initiator asks its peers so at its start, and members
-//! of the release before, which do not gossip, for as long as they are there.
+//! Exchanges of reports over TCP: one frame in each direction, within a bounded time.
+//!
+//! An initiator exchanges reports with its listed peers when it starts. Members of the previous release,
+//! which do not support gossip, are polled by exchanges for as long as they are members.
 
 mod client;
 mod poll;
@@ -7,7 +9,7 @@
 
 pub(super) use client::exchange;
 pub use client::status;
-pub(super) use poll::poll_without_gossip;
+pub(super) use poll::poll_members_without_gossip;
 pub(super) use server::serve;
 
 use shaletack_membership::frame::{self, FrameError, Message, HEADER_BYTES};
@@ -17,23 +19,23 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// The longest time that an exchange takes, its connection included.
+/// The maximum duration of an exchange, including the connection setup.
 pub(super) const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Why an exchange failed. Nothing was learnt of the peer; the next exchange may succeed.
+/// Why an exchange failed. No report was merged; the next exchange may succeed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
     /// The connection was refused or lost.
     #[error("{0}")]
     Connection(#[source] io::Error),
-    /// The peer sent no frame that this program accepts.
+    /// The peer's frame was rejected.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// It took longer than `EXCHANGE_TIMEOUT`.
+    /// The exchange took longer than `EXCHANGE_TIMEOUT`.
     #[error("no answer within {} ms", EXCHANGE_TIMEOUT.as_millis())]
     TimedOut,
-    /// The address is this process's own.
-    #[error("it is this process")]
+    /// The peer is this process.
+    #[error("the peer is this process itself")]
     OwnAddress,
 }
 
@@ -52,7 +54,7 @@
     tokio::time::timeout(EXCHANGE_TIMEOUT, exchange).await.unwrap_or(Err(ExchangeError::TimedOut))
 }
 
-/// Reads one frame. It ends where its header says; what follows it is not read.
+/// Reads one frame, up to the length in its header. Later bytes are not read.
 async fn read_frame(stream: &mut TcpStream) -> Result<Message, ExchangeError> {
     let mut header = [0; HEADER_BYTES];
     stream.read_exact(&mut header).await?;
--- a/src/peers/exchange/poll.rs
+++ b/src/peers/exchange/poll.rs
@@ -1,14 +1,17 @@
-//! Members of the release before do not gossip. They are polled by exchanges, which also finds out who is one.
+//! Polls members that are not known to gossip.
+//!
+//! Members of the previous release do not support gossip, so their reports are fetched by exchanges over TCP.
+//! The answer also shows whether the member supports gossip.
 
 use crate::peers::Peers;
 use rand::seq::IteratorRandom;
 use std::time::Duration;
 
-/// How often one of them, drawn at random, is polled.
+/// The interval at which one of these members, chosen at random, is polled.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Polls for as long as the process runs.
-pub(in crate::peers) async fn poll_without_gossip(peers: Peers) {
+/// Polls members without gossip for as long as the process runs.
+pub(in crate::peers) async fn poll_members_without_gossip(peers: Peers) {
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
         if let Some(address) = peers.members_to_poll().into_iter().choose(&mut rand::rng()) {
--- a/src/peers/exchange/server.rs
+++ b/src/peers/exchange/server.rs
@@ -1,4 +1,4 @@
-//! The side of an exchange that accepts.
+//! The accepting side of an exchange.
 
 use super::{read_frame, within_timeout, ExchangeError};
 use crate::peers::Peers;
@@ -11,12 +11,12 @@
 use tokio::sync::Semaphore;
 use tracing::warn;
 
-/// Exchanges that are served at a time; more wait in the listener's backlog.
+/// The maximum number of exchanges served at a time. Further ones wait in the listener's backlog.
 const MAX_CONCURRENT_EXCHANGES: usize = 8;
-/// The pause after a failed accept, so that an error which persists does not take the core's time.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// The pause after a failed accept, so that a persistent error does not keep the core's thread busy.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Answers exchanges for as long as the process runs.
+/// Accepts and answers exchanges for as long as the process runs.
 pub(in crate::peers) async fn serve(peers: Peers, listener: TcpListener) {
     let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_EXCHANGES));
     loop {
@@ -31,7 +31,7 @@
             }
             Err(why) => {
                 warn!(%why, "a peer's connection could not be accepted");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
@@ -48,16 +48,16 @@
     }
 }
 
-/// What was asked for, and answered.
+/// A request that was answered.
 enum Request {
-    /// An operator was shown the status.
+    /// An operator's request for the status.
     Status,
-    /// A peer reported this.
+    /// A peer's message, not yet merged.
     Exchange(Message),
 }
 
 async fn answer(peers: &Peers, mut stream: TcpStream) -> Result<Request, ExchangeError> {
-    // Without it the answer comes later, and still comes.
+    // A failure only delays the answer, so it is ignored.
     let _ = stream.set_nodelay(true);
     let message = match read_frame(&mut stream).await {
         Err(ExchangeError::Frame(FrameError::UnsupportedVersion { theirs: STATUS_REQUEST_VERSION })) => {
@@ -66,7 +66,7 @@
         }
         read => read?,
     };
-    // The answer goes before the report is merged: neither side waits for the other's review.
+    // The answer is sent before the peer's reports are merged, so that the peer does not wait for the merge.
     let context = peers.context();
     stream.write_all(&frame::encode(&context.me, GOSSIP_CAPABLE, context.reports())).await?;
     if message.from == context.me {
--- a/src/peers/gossip.rs
+++ b/src/peers/gossip.rs
@@ -1,5 +1,5 @@
-//! Runs gossip: carries out what its state machine asks for, passes on what the core sees and adds, and tells it when its
-//! timer expires.
+//! Drives the gossip state machine: carries out its effects, feeds it the observations and contributions of
+//! the core, and reports when its timer expires.
 
 use super::context::Context;
 use super::contributions::SlowStartKeys;
@@ -15,10 +15,10 @@
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-/// How often this process renews what it adds to the sums.
+/// The interval at which this process refreshes its contribution to the sums.
 const CONTRIBUTION_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The gossip of this process.
+/// The gossip state machine of this process and its timer.
 pub(super) struct GossipTask {
     context: Rc<Context>,
     gossip: RefCell<Gossip>,
@@ -32,20 +32,20 @@
         GossipTask { context, gossip: RefCell::new(gossip), timer, slow_start_keys: RefCell::default() }
     }
 
-    /// Looks at the state machine.
-    pub(super) fn look<T>(&self, look: impl FnOnce(&Gossip) -> T) -> T {
-        look(&self.gossip.borrow())
+    /// Calls `read` with the state machine and returns its result.
+    pub(super) fn read<T>(&self, read: impl FnOnce(&Gossip) -> T) -> T {
+        read(&self.gossip.borrow())
     }
 
-    /// Gives the state machine an input and carries out what it asks for.
+    /// Passes an input to the state machine and carries out the resulting effects.
     pub(super) async fn step(&self, input: Input) {
         let effects = self.gossip.borrow_mut().step(self.context.now(), input);
         for effect in effects {
-            self.carry_out(effect).await;
+            self.apply(effect).await;
         }
     }
 
-    async fn carry_out(&self, effect: Effect) {
+    async fn apply(&self, effect: Effect) {
         match effect {
             Effect::Send { to, bytes } => self.context.send(to, &bytes).await,
             Effect::WakeAt(at) => self.timer.set(at),
@@ -56,7 +56,7 @@
             }
             Effect::ConfigRollout(rollout) => log_rollout(rollout),
             Effect::DatagramRejected { from, error: why } => {
-                warn!(%from, %why, "a peer's datagram was rejected")
+                warn!(%from, %why, "a peer's gossip datagram was rejected")
             }
             Effect::InvalidItems { from, count: invalid } => {
                 warn!(from, invalid, "a peer sent invalid reports");
@@ -64,49 +64,50 @@
         }
     }
 
-    /// Takes a datagram of the protocol.
+    /// Processes a received gossip datagram.
     pub(super) async fn receive(&self, from: SocketAddr, datagram: &[u8]) {
         self.step(Input::Datagram { from, bytes: datagram.to_vec() }).await;
     }
 
-    /// Takes what an exchange over TCP brought. What a peer that gossips is asked for and sends to endpoints in slow
-    /// start is in the sums: counted from the exchange too, it would count twice.
+    /// Merges the message that a peer sent in an exchange over TCP.
+    ///
+    /// The contributions of a peer that gossips are dropped from the message: the aggregated sums already
+    /// include them, so they would be counted twice.
     pub(super) async fn merge_exchange(&self, message: Message, round_trip: Duration) {
         let Message { from, mut reports, .. } = message;
-        if message.round_trip == GOSSIP_CAPABLE || self.gossips(&from) {
+        if message.round_trip == GOSSIP_CAPABLE || self.is_gossip_member(&from) {
             reports.retain(|report| !report.claim.is_contribution());
         }
-        let for_core =
-            broker::Input::PeerReports { from: from.clone(), round_trip, reports: reports.clone() };
-        self.context.host.feed(for_core);
+        let input = broker::Input::PeerReports { from: from.clone(), round_trip, reports: reports.clone() };
+        self.context.host.feed(input);
         self.step(Input::Exchanged { from, round_trip, reports }).await;
     }
 
-    fn gossips(&self, peer: &Observer) -> bool {
-        self.look(|gossip| gossip.membership_records().any(|record| record.process == *peer))
+    fn is_gossip_member(&self, peer: &Observer) -> bool {
+        self.read(|gossip| gossip.membership_records().any(|record| record.process == *peer))
     }
 
-    /// Sends what the core observes, renews what this process adds to the sums and keeps the protocol's time, for as long
-    /// as the core runs.
+    /// Forwards the core's observations, refreshes this process's contribution and fires the protocol's
+    /// timer. Returns when the core stops.
     pub(super) async fn run(self: Rc<Self>, mut observed: mpsc::Receiver<Vec<Report>>) {
         self.step(Input::TimerFired).await;
-        let mut contributions_due = tokio::time::interval(CONTRIBUTION_INTERVAL);
+        let mut contribution_interval = tokio::time::interval(CONTRIBUTION_INTERVAL);
         loop {
             tokio::select! {
                 reports = observed.recv() => match reports {
                     Some(reports) => self.step(Input::LocalObservations(reports)).await,
                     None => return,
                 },
-                _ = contributions_due.tick() => self.contribute().await,
+                _ = contribution_interval.tick() => self.refresh_contribution().await,
                 () = self.timer.expired() => self.step(Input::TimerFired).await,
             }
         }
     }
 
-    async fn contribute(&self) {
+    async fn refresh_contribution(&self) {
         let now = Instant::now();
         let contribution = self.context.host.look(|broker| broker.contribution(now));
-        let amounts = self.slow_start_keys.borrow_mut().assign(contribution);
+        let amounts = self.slow_start_keys.borrow_mut().assign_keys(contribution);
         self.step(Input::LocalAmounts(amounts)).await;
     }
 }
--- a/src/peers/membership.rs
+++ b/src/peers/membership.rs
@@ -1,4 +1,4 @@
-//! Runs the membership protocol: carries out what its state machine asks for, and tells it when its timer expires.
+//! Drives the membership state machine: carries out its effects and reports when its timer expires.
 
 use super::context::Context;
 use super::gossip::GossipTask;
@@ -12,13 +12,13 @@
 use std::rc::Rc;
 use tracing::{error, info, warn};
 
-/// The membership protocol of this process.
+/// The membership state machine of this process and its timer.
 pub(super) struct MembershipTask {
     context: Rc<Context>,
     gossip: Rc<GossipTask>,
     membership: RefCell<Membership>,
     timer: ResettableTimer,
-    /// The addresses of processes with one name that the log has.
+    /// The address pairs of processes with the same name that were already logged.
     reported_duplicates: RefCell<BTreeSet<[String; 2]>>,
 }
 
@@ -29,17 +29,17 @@
         MembershipTask { context, gossip, membership, timer, reported_duplicates: RefCell::default() }
     }
 
-    /// Where this process is reached.
+    /// Returns the address at which peers reach this process.
     pub(super) fn address(&self) -> SocketAddr {
         self.membership.borrow().me().address
     }
 
-    /// The names of the others that are alive.
+    /// Returns the names of the other members that are alive or suspected.
     pub(super) fn names(&self) -> Vec<String> {
         self.membership.borrow().others().map(|member| member.name.clone()).collect()
     }
 
-    /// How many others are alive.
+    /// Returns the number of other members that are alive or suspected.
     pub(super) fn count(&self) -> usize {
         self.membership.borrow().others().count()
     }
@@ -49,17 +49,17 @@
         self.step(Input::TimerExpired).await;
     }
 
-    /// Tells the others that this process stops.
+    /// Announces to the other members that this process stops.
     pub(super) async fn leave(&self) {
         self.step(Input::Leave).await;
     }
 
-    /// Takes a datagram of the protocol.
+    /// Processes a received membership datagram.
     pub(super) async fn receive(&self, datagram: &[u8]) {
         self.step(Input::DatagramReceived(Bytes::copy_from_slice(datagram))).await;
     }
 
-    /// Keeps the protocol's time for as long as the process runs.
+    /// Fires the protocol's timer for as long as the process runs.
     pub(super) async fn run_timer(self: Rc<Self>) {
         loop {
             self.timer.expired().await;
@@ -70,11 +70,11 @@
     async fn step(&self, input: Input) {
         let effects = self.membership.borrow_mut().step(self.context.now(), input);
         for effect in effects {
-            self.carry_out(effect).await;
+            self.apply(effect).await;
         }
     }
 
-    async fn carry_out(&self, effect: Effect) {
+    async fn apply(&self, effect: Effect) {
         match effect {
             Effect::Send { to, datagram } => self.context.send(to, &datagram).await,
             Effect::SetTimer(at) => self.timer.set(at),
@@ -89,11 +89,11 @@
                 self.gossip.step(gossip::Input::MemberDown { address, incarnation }).await;
             }
             Effect::DuplicateName { known, joined } => self.report_duplicate(&known, &joined),
-            Effect::DatagramFailed(why) => warn!(%why, "a peer's datagram was rejected"),
+            Effect::DatagramFailed(why) => warn!(%why, "a membership datagram was rejected or not sent"),
         }
     }
 
-    /// Once for each pair of addresses.
+    /// Logs two processes with the same name, once per pair of addresses.
     fn report_duplicate(&self, known: &Member, joined: &Member) {
         let mut addresses = [known.address.to_string(), joined.address.to_string()];
         addresses.sort();
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,10 +1,11 @@
-//! This process's part among the initiators of one installation: the sockets and tasks around
+//! Communication with the other initiators of an installation: the sockets and tasks around
 //! `shaletack-membership` and `shaletack-gossip`.
 //!
-//! A new initiator knows only the endpoint list that it was started with, which may be hours old, and none knows what
-//! the others' attempts meet. So initiators tell each other. This module owns the peers' address: UDP for membership and
-//! gossip, TCP for exchanges. It decides nothing: what is accepted goes to the core, what is rejected is one line in the
-//! log. It is off unless the operator's file has `peers`, and never on the platform.
+//! A new initiator knows only the endpoint list that it was started with, which may be hours old, and no
+//! initiator sees the outcomes of the others' attempts. Initiators therefore share their observations. This
+//! module owns the peer address: UDP for membership and gossip, TCP for exchanges. It takes no decisions:
+//! accepted reports go to the core, and each rejection is one line in the log. The module is used only if the
+//! operator's file has a `peers` section, and never on the platform.
 
 mod context;
 mod contributions;
@@ -21,7 +22,7 @@
 use crate::runtime::host::Host;
 use crate::runtime::sockets;
 use context::Context;
-use exchange::{exchange, poll_without_gossip, serve, EXCHANGE_TIMEOUT};
+use exchange::{exchange, poll_members_without_gossip, serve, EXCHANGE_TIMEOUT};
 use futures_util::future::join_all;
 use gossip::GossipTask;
 use membership::MembershipTask;
@@ -42,16 +43,16 @@
 use tokio::task::AbortHandle;
 use tracing::{info, warn};
 
-/// How many batches of what the core observes may wait for gossip. Each says all, so one that finds no place is not
-/// missed.
-const OBSERVATION_QUEUE: usize = 16;
+/// The number of batches of the core's observations that can wait for gossip. Each batch contains all current
+/// observations, so a batch that is dropped because the queue is full is not missed.
+const OBSERVATION_QUEUE_LENGTH: usize = 16;
 
-/// What this process is to its peers: another one with each start.
+/// Returns the identity of this process among its peers. Each call draws a new incarnation.
 pub fn observer(settings: &operator::Peers) -> Observer {
     Observer { name: settings.name.clone(), incarnation: random_number() }
 }
 
-/// A number that no other process draws.
+/// Returns a random number. No other process is expected to draw the same one.
 fn random_number() -> u64 {
     RandomState::new().build_hasher().finish()
 }
@@ -63,27 +64,29 @@
     tasks: RefCell<Vec<AbortHandle>>,
 }
 
-/// This process among its peers.
+/// The communication of this process with its peers. Clones share the same state.
 #[derive(Clone)]
 pub struct Peers(Rc<Inner>);
 
 impl Peers {
-    /// Takes the peers' address, asks all listed peers what they know, and stays in touch from then on. It takes 300 ms
-    /// at most, whatever they do. The core must be one that is among peers as `me`.
+    /// Binds the peer address, exchanges reports with all listed peers, and starts the tasks that keep up the
+    /// communication. The exchanges take at most 300 ms, whether or not the peers answer.
+    ///
+    /// The core behind `host` must identify itself to peers as `me`.
     ///
     /// # Errors
     ///
-    /// The address cannot be taken.
+    /// Returns an error if the address cannot be bound.
     pub async fn start(host: Host, settings: &operator::Peers, me: Observer) -> io::Result<Self> {
         let listener = sockets::listen(settings.listen).await?;
         let address = listener.local_addr()?;
         let socket = sockets::retry_while_short(|| UdpSocket::bind(address)).await?;
         info!(at = %address, name = me.name, listed = settings.join.len(), "listens for peers");
-        let (observations, observed) = mpsc::channel(OBSERVATION_QUEUE);
+        let (observations, observed) = mpsc::channel(OBSERVATION_QUEUE_LENGTH);
         host.say_to(observations);
         let context = Rc::new(Context { host, me, socket, started_at: Instant::now() });
         let peers = Peers::new(context, address, settings);
-        peers.ask_listed(&settings.join, address).await;
+        peers.exchange_with_listed(&settings.join, address).await;
         peers.0.membership.join().await;
         peers.spawn_tasks(listener, observed);
         Ok(peers)
@@ -100,13 +103,14 @@
         Peers(Rc::new(Inner { context, membership, gossip, tasks: RefCell::default() }))
     }
 
-    /// Asks all listed peers at once: each exchange is bounded, and so are all together.
-    async fn ask_listed(&self, listed: &[SocketAddr], own_address: SocketAddr) {
+    /// Exchanges reports with all listed peers concurrently. The timeout of one exchange therefore bounds
+    /// them all.
+    async fn exchange_with_listed(&self, listed: &[SocketAddr], own_address: SocketAddr) {
         let others = listed.iter().filter(|address| **address != own_address);
         let exchanges = join_all(others.map(|address| self.exchange(*address))).await;
         let answered = exchanges.into_iter().filter(|answered| *answered).count();
         let took_ms = self.0.context.now().as_millis() as u64;
-        info!(answered, listed = listed.len(), took_ms, "asked peers before the start");
+        info!(answered, listed = listed.len(), took_ms, "exchanged reports with listed peers at startup");
     }
 
     fn spawn_tasks(&self, listener: tokio::net::TcpListener, observed: mpsc::Receiver<Vec<Report>>) {
@@ -114,7 +118,7 @@
         self.spawn(datagrams::receive(context.clone(), membership.clone(), gossip.clone()));
         self.spawn(membership.clone().run_timer());
         self.spawn(gossip.clone().run(observed));
-        self.spawn(poll_without_gossip(self.clone()));
+        self.spawn(poll_members_without_gossip(self.clone()));
         self.spawn(serve(self.clone(), listener));
     }
 
@@ -122,23 +126,25 @@
         self.0.tasks.borrow_mut().push(actix_rt::spawn(task).abort_handle());
     }
 
-    /// A planned stop: the others are told, and nothing more is sent or received.
+    /// Announces a planned stop to the other members and aborts all tasks. Nothing is sent or received
+    /// afterwards.
     pub async fn leave(&self) {
         self.0.membership.leave().await;
         self.0.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
     }
 
-    /// Where this process listens for its peers.
+    /// Returns the address at which this process listens for its peers.
     pub fn address(&self) -> SocketAddr {
         self.0.membership.address()
     }
 
-    /// The names of the others that are alive, as this process sees them.
+    /// Returns the names of the other members that this process considers alive or suspects.
     pub fn names(&self) -> Vec<String> {
         self.0.membership.names()
     }
 
-    /// The version of the configuration that is in force here from now on; `None`: it names none.
+    /// Sets the version of the configuration that is in force in this process. `None` if the configuration
+    /// states no version.
     pub async fn set_configuration_version(&self, version: Option<u64>) {
         self.0.gossip.step(Input::ConfigVersion(version)).await;
     }
@@ -151,13 +157,13 @@
         operator_status::status(self)
     }
 
-    /// Members that were there for long enough to have shown that they gossip, and have not.
+    /// Returns the members that have been known long enough to have shown support for gossip, but have not.
     fn members_to_poll(&self) -> Vec<SocketAddr> {
         let now = self.0.context.now();
-        self.0.gossip.look(|gossip| gossip.members_to_ask(now).collect())
+        self.0.gossip.read(|gossip| gossip.members_to_ask(now).collect())
     }
 
-    /// Exchanges reports with a peer. Returns whether it answered.
+    /// Exchanges reports with a peer. Returns whether the peer answered.
     async fn exchange(&self, address: SocketAddr) -> bool {
         match exchange(&self.0.context, address).await {
             Ok(answer) => {
@@ -175,12 +181,12 @@
     }
 
     async fn merge_exchange(&self, message: Message, round_trip: Duration) {
-        // A peer may say any round trip; no exchange takes longer than its timeout.
+        // The peer may state any round trip, but no exchange takes longer than its timeout.
         self.0.gossip.merge_exchange(message, round_trip.min(EXCHANGE_TIMEOUT)).await;
     }
 }
 
-/// The time of day, in Unix milliseconds.
+/// Returns the current time in Unix milliseconds.
 fn unix_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     since_epoch.as_millis() as u64
--- a/src/peers/operator_status.rs
+++ b/src/peers/operator_status.rs
@@ -1,14 +1,15 @@
-//! What an operator is shown of this process's part among the peers.
+//! The peer status that `shaletack peers` shows to an operator.
 
 use super::Peers;
 use serde_json::{json, Value};
 use shaletack_gossip::Gossip;
 use std::time::Duration;
 
-/// Who is there, what is known, and how far the configuration is in force, as JSON.
+/// Returns the number of members, the number of known observations and the rollout of the configuration, as
+/// JSON.
 pub(super) fn status(peers: &Peers) -> Value {
     let now = peers.0.context.now();
-    peers.0.gossip.look(|gossip| {
+    peers.0.gossip.read(|gossip| {
         let without_gossip: Vec<String> =
             gossip.unconfirmed_members().map(|address| address.to_string()).collect();
         json!({
--- a/src/peers/timer.rs
+++ b/src/peers/timer.rs
@@ -1,10 +1,10 @@
-//! A timer whose time a state machine sets anew with each step.
+//! A timer that a state machine can reset with each step.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// One pending time; setting another replaces it.
+/// A timer with at most one pending expiry. Setting another expiry replaces the pending one.
 pub(super) struct ResettableTimer {
     origin: Instant,
     expires_at: Cell<Option<Duration>>,
@@ -12,20 +12,22 @@
 }
 
 impl ResettableTimer {
-    /// Not set. Times count from `origin`.
+    /// Creates a timer that is not set. Expiry times are relative to `origin`.
     pub(super) fn new(origin: Instant) -> Self {
         ResettableTimer { origin, expires_at: Cell::new(None), changed: Notify::new() }
     }
 
-    /// Expires at this time and at no other.
+    /// Sets the expiry, replacing any pending one.
     pub(super) fn set(&self, at: Duration) {
         if self.expires_at.replace(Some(at)) != Some(at) {
             self.changed.notify_one();
         }
     }
 
-    /// Waits until the timer expires, however often it is set meanwhile; then it is not set. Dropping the future loses
-    /// nothing.
+    /// Waits until the timer expires, and then leaves it unset. The timer may be set again while this method
+    /// waits.
+    ///
+    /// This method is cancel safe: the timer stays set if the future is dropped.
     pub(super) async fn expired(&self) {
         loop {
             match self.expires_at.get() {
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,4 +1,5 @@
-//! Initiators that talk to each other, on loopback: exchanges, bad peers, and two processes, one restarted.
+//! Communication between initiators over loopback: exchanges, gossip, faulty peers, and processes that are
+//! stopped or restarted.
 
 mod common;
 use base64::engine::general_purpose::STANDARD;
@@ -25,21 +26,26 @@
 use tokio::net::TcpStream;
 use tracing::level_filters::LevelFilter;
 
-fn member(id: &str, readiness: Readiness) -> EndpointRecord {
+fn endpoint(id: &str, readiness: Readiness) -> EndpointRecord {
     let address = Some("127.0.0.1:9".parse().unwrap());
     EndpointRecord { id: id.into(), address, zone: String::new(), shard: 0, readiness, up_since: None }
 }
 
-/// One initiator in this process, whose list is old unless it says otherwise.
-async fn initiator(name: &str, join: &[SocketAddr], boxes: Vec<EndpointRecord>) -> (Host, Peers, Duration) {
-    let set = operator::Peers {
+/// Starts an initiator in this process with a cached endpoint list. Returns also how long its peers took to
+/// start.
+async fn initiator(
+    name: &str,
+    join: &[SocketAddr],
+    endpoints: Vec<EndpointRecord>,
+) -> (Host, Peers, Duration) {
+    let peer_settings = operator::Peers {
         name: name.into(),
         listen: "127.0.0.1:0".parse().unwrap(),
         join: join.to_vec(),
         region: String::new(),
         zone: String::new(),
     };
-    let me = observer(&set);
+    let me = observer(&peer_settings);
     let settings =
         operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)]).settings;
     let now = Instant::now();
@@ -48,11 +54,11 @@
     host.feed(Input::EndpointList(EndpointList {
         revision: 1,
         kind: EndpointListKind::Cached,
-        entries: boxes,
+        entries: endpoints,
     }));
-    let start = Instant::now();
-    let peers = Peers::start(host.clone(), &set, me).await.unwrap();
-    (host, peers, start.elapsed())
+    let started_at = Instant::now();
+    let peers = Peers::start(host.clone(), &peer_settings, me).await.unwrap();
+    (host, peers, started_at.elapsed())
 }
 
 async fn until(mut done: impl FnMut() -> bool) {
@@ -62,79 +68,85 @@
 }
 
 #[test]
-fn an_initiator_learns_at_its_start_what_its_peer_knows_and_later_changes_by_gossip() {
+fn an_initiator_learns_from_its_peer_at_startup_and_later_by_gossip() {
     story(async {
         let (log, _guard) = Kept::start(Form::Text, LevelFilter::INFO);
-        let boxes = || vec![member("s-1", Readiness::Ready), member("s-2", Readiness::Ready)];
-        let (a, a_peers, _) = initiator("a", &[], boxes()).await;
-        let news = |id, readiness| {
+        let endpoints = || vec![endpoint("s-1", Readiness::Ready), endpoint("s-2", Readiness::Ready)];
+        let (a, a_peers, _) = initiator("a", &[], endpoints()).await;
+        let list_update = |id, readiness| {
             Input::EndpointList(EndpointList {
                 revision: 2,
                 kind: EndpointListKind::Delta,
-                entries: vec![member(id, readiness)],
+                entries: vec![endpoint(id, readiness)],
             })
         };
-        a.feed(news("s-1", Readiness::Removed));
-        let (_b, b_peers, took) = initiator("b", &[a_peers.address()], boxes()).await;
+        a.feed(list_update("s-1", Readiness::Removed));
+        let (_b, b_peers, took) = initiator("b", &[a_peers.address()], endpoints()).await;
         assert!(took < Duration::from_secs(1), "{took:?}");
-        let told = |id: &str| log.lines(&format!("advice on an endpoint id=\"{id}\" stopped=true")).len();
-        assert_eq!((told("s-1"), told("s-2")), (1, 0), "known before clients come");
+        let advice_count =
+            |id: &str| log.lines(&format!("advice on an endpoint id=\"{id}\" stopped=true")).len();
+        assert_eq!(
+            (advice_count("s-1"), advice_count("s-2")),
+            (1, 0),
+            "only s-1 is known to be removed at startup"
+        );
         until(|| a_peers.names() == ["b"] && b_peers.names() == ["a"]).await;
-        a.feed(news("s-2", Readiness::Draining));
-        until(|| told("s-2") == 1).await;
+        a.feed(list_update("s-2", Readiness::Draining));
+        until(|| advice_count("s-2") == 1).await;
         b_peers.leave().await;
         until(|| a_peers.names().is_empty()).await;
     });
 }
 
-/// Six of one installation: news of one is with all in moments, what all are asked for is summed, and one call shows
-/// the members and that a configuration is in force at all but one.
+/// In an installation of six initiators, an update at one of them reaches all within 3 s, and one status
+/// request shows the members and that a configuration is in force on all of them but one.
 #[test]
-fn gossip_reaches_all_by_datagrams_and_one_call_shows_the_members() {
+fn gossip_reaches_all_initiators_and_the_status_shows_the_members() {
     story(async {
         let (log, _guard) = Kept::start(Form::Text, LevelFilter::INFO);
-        let boxes = || vec![member("s-1", Readiness::Ready), member("s-2", Readiness::Ready)];
-        let (first, first_peers, _) = initiator("n0", &[], boxes()).await;
+        let endpoints = || vec![endpoint("s-1", Readiness::Ready), endpoint("s-2", Readiness::Ready)];
+        let (first, first_peers, _) = initiator("n0", &[], endpoints()).await;
         let mut all = vec![(first, first_peers)];
         for n in 1..6 {
-            let (host, peers, _) = initiator(&format!("n{n}"), &[all[0].1.address()], boxes()).await;
+            let (host, peers, _) = initiator(&format!("n{n}"), &[all[0].1.address()], endpoints()).await;
             all.push((host, peers));
         }
         until(|| all.iter().all(|(_, peers)| peers.names().len() == 5)).await;
-        let shown = || async {
+        let fetch_status = || async {
             let text = status(all[3].1.address()).await.unwrap();
             serde_json::from_str::<serde_json::Value>(&text).unwrap()
         };
-        while shown().await["of_the_release_before"] != serde_json::json!([]) {
+        while fetch_status().await["of_the_release_before"] != serde_json::json!([]) {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        // Nobody asks anybody over TCP any more: what comes now comes by datagrams.
-        let news = Input::EndpointList(EndpointList {
+        // No member is polled over TCP any more, so the update can only arrive in datagrams.
+        let list_update = Input::EndpointList(EndpointList {
             revision: 2,
             kind: EndpointListKind::Delta,
-            entries: vec![member("s-1", Readiness::Draining)],
+            entries: vec![endpoint("s-1", Readiness::Draining)],
         });
-        let said = Instant::now();
-        all[5].0.feed(news);
-        // What a core has taken it passes on; the log is cut to 50 lines a second, and so many start here at once.
-        let drains = Claim::Readiness { endpoint: "s-1".into(), readiness: ReportedReadiness::Draining };
+        let sent_at = Instant::now();
+        all[5].0.feed(list_update);
+        // The core reports what it has learned. The log cannot be used instead: it is limited to 50 lines a
+        // second, and six initiators start here at once.
+        let drain = Claim::Readiness { endpoint: "s-1".into(), readiness: ReportedReadiness::Draining };
         let knows = |host: &Host| {
-            let told = host.look(|broker| broker.peer_reports(Instant::now()));
-            told.iter().any(|told| told.claim == drains)
+            let reports = host.look(|broker| broker.peer_reports(Instant::now()));
+            reports.iter().any(|report| report.claim == drain)
         };
         until(|| all.iter().all(|(host, _)| knows(host))).await;
-        assert!(said.elapsed() < Duration::from_secs(3), "{:?}", said.elapsed());
+        assert!(sent_at.elapsed() < Duration::from_secs(3), "{:?}", sent_at.elapsed());
         for (_, peers) in &all[..5] {
             peers.set_configuration_version(Some(12)).await;
         }
-        while shown().await["configuration"]["have"] != 5 {
+        while fetch_status().await["configuration"]["have"] != 5 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        let seen = shown().await;
-        assert_eq!(seen["name"], "n3");
-        assert_eq!((&seen["members"], &seen["configuration"]["of"]), (&5.into(), &6.into()));
+        let status = fetch_status().await;
+        assert_eq!(status["name"], "n3");
+        assert_eq!((&status["members"], &status["configuration"]["of"]), (&5.into(), &6.into()));
         assert_eq!(
-            (&seen["configuration"]["version"], &seen["configuration"]["everywhere"]),
+            (&status["configuration"]["version"], &status["configuration"]["everywhere"]),
             (&12.into(), &false.into())
         );
         all[5].1.set_configuration_version(Some(12)).await;
@@ -143,36 +155,37 @@
     });
 }
 
-/// Each of them costs one line and no more, and none keeps a start waiting.
+/// Each faulty peer causes exactly one log line, and none delays the start of an initiator beyond the
+/// exchange timeout.
 #[test]
-fn bad_peers_cost_one_line_each_and_teach_nothing() {
+fn faulty_peers_cost_one_log_line_each_and_their_reports_are_ignored() {
     story(async {
         let (log, _guard) = Kept::start(Form::Text, LevelFilter::INFO);
-        let lie = Report {
+        let false_report = Report {
             claim: Claim::Readiness { endpoint: "s-1".into(), readiness: ReportedReadiness::Removed },
             observer: Observer { name: "x".into(), incarnation: 1 },
             endpoint_incarnation: 0,
             hops: 0,
             age: Duration::ZERO,
         };
-        let good = frame::encode(&lie.observer, Duration::ZERO, vec![lie.clone()]);
-        let with = |at: usize, bytes: &[u8]| {
-            let mut frame = good.clone();
+        let valid = frame::encode(&false_report.observer, Duration::ZERO, vec![false_report.clone()]);
+        let altered = |at: usize, bytes: &[u8]| {
+            let mut frame = valid.clone();
             frame[at..at + bytes.len()].copy_from_slice(bytes);
             frame
         };
         let answers: Vec<(Vec<u8>, &str)> = vec![
-            (b"HTTP/1.1 400 Bad Request\r\n\r\n".to_vec(), "not a peer's frame"),
-            (with(4, &[0, 9]), "version 9, where this program speaks 1"),
-            (with(6, &[0x7f; 4]), "2139062143 bytes, where 65536 are the most"),
-            (good[..good.len() - 3].to_vec(), "truncated"),
-            (with(12, &[1, 2]), "checksum mismatch"),
+            (b"HTTP/1.1 400 Bad Request\r\n\r\n".to_vec(), "not a frame of a peer: wrong magic number"),
+            (altered(4, &[0, 9]), "unsupported frame version 9, expected 1"),
+            (altered(6, &[0x7f; 4]), "message of 2139062143 bytes exceeds the maximum of 65536 bytes"),
+            (valid[..valid.len() - 3].to_vec(), "truncated frame"),
+            (altered(12, &[1, 2]), "frame checksum mismatch"),
             (Vec::new(), "no answer within 300 ms"),
         ];
-        let mut bad = Vec::new();
+        let mut faulty_peers = Vec::new();
         for (bytes, _) in answers.clone() {
             let silent = bytes.is_empty();
-            bad.push(
+            faulty_peers.push(
                 peer(move |mut stream, _| {
                     let bytes = bytes.clone();
                     async move {
@@ -180,7 +193,8 @@
                         if silent {
                             std::future::pending::<()>().await;
                         }
-                        // The asker's own frame is read, so that closing does not reset what was said.
+                        // Reads the initiator's frame, so that closing the connection does not reset the
+                        // answer.
                         let _ = stream.shutdown().await;
                         let _ = stream.read_to_end(&mut Vec::new()).await;
                     }
@@ -188,56 +202,57 @@
                 .await,
             );
         }
-        let (_, gone) = loopback().await;
-        bad.push(gone);
-        let (host, peers, took) = initiator("a", &bad, vec![member("s-1", Readiness::Ready)]).await;
-        assert!(took < Duration::from_secs(1), "all of them together: {took:?}");
+        let (_, closed) = loopback().await;
+        faulty_peers.push(closed);
+        let (host, peers, took) =
+            initiator("a", &faulty_peers, vec![endpoint("s-1", Readiness::Ready)]).await;
+        assert!(took < Duration::from_secs(1), "all exchanges together took {took:?}");
         for (_, why) in &answers {
             assert_eq!(log.lines(why).len(), 1, "{why}");
         }
         assert_eq!(log.lines("an exchange with a peer failed").len(), 7);
         assert!(log.lines("advice on").is_empty() && host.is_ready());
-        // The same from those that ask.
+        // The same bytes from connecting peers.
         for (bytes, why) in answers {
             let mut stream = TcpStream::connect(peers.address()).await.unwrap();
             stream.write_all(&bytes).await.unwrap();
             if !bytes.is_empty() {
                 stream.shutdown().await.unwrap();
             }
-            let mut back = Vec::new();
-            let _ = stream.read_to_end(&mut back).await;
-            assert!(back.is_empty(), "{why}");
+            let mut answer = Vec::new();
+            let _ = stream.read_to_end(&mut answer).await;
+            assert!(answer.is_empty(), "{why}");
             until(|| log.lines(why).len() == 2).await;
         }
         assert!(log.lines("advice on").is_empty());
-        // A whole frame is answered, and believed.
+        // A valid frame is answered and its report is merged.
         let mut stream = TcpStream::connect(peers.address()).await.unwrap();
-        stream.write_all(&good).await.unwrap();
-        let mut back = Vec::new();
-        stream.read_to_end(&mut back).await.unwrap();
-        assert_eq!(frame::decode(&back).unwrap().from.name, "a");
+        stream.write_all(&valid).await.unwrap();
+        let mut answer = Vec::new();
+        stream.read_to_end(&mut answer).await.unwrap();
+        assert_eq!(frame::decode(&answer).unwrap().from.name, "a");
         until(|| log.lines("advice on").len() == 1).await;
     });
 }
 
 #[test]
-fn two_processes_of_one_name_are_reported_once_and_both_keep_serving() {
+fn two_processes_with_the_same_name_are_logged_once_by_each_of_them() {
     story(async {
         let (log, _guard) = Kept::start(Form::Text, LevelFilter::INFO);
-        let boxes = || vec![member("s-1", Readiness::Ready)];
-        let (_a, a, _) = initiator("a", &[], boxes()).await;
-        let (_b, b, _) = initiator("a", &[a.address()], boxes()).await;
+        let endpoints = || vec![endpoint("s-1", Readiness::Ready)];
+        let (_a, a, _) = initiator("a", &[], endpoints()).await;
+        let (_b, b, _) = initiator("a", &[a.address()], endpoints()).await;
         until(|| a.names() == ["a"] && b.names() == ["a"]).await;
-        let told = || log.lines("two peers have the same name").len();
-        until(|| told() == 2).await;
+        let duplicate_count = || log.lines("two peers have the same name").len();
+        until(|| duplicate_count() == 2).await;
         tokio::time::sleep(Duration::from_millis(1500)).await;
-        assert_eq!(told(), 2, "each of them once");
+        assert_eq!(duplicate_count(), 2, "each of the two logs it once");
     });
 }
 
-/// An operator's file of one shard that two boxes hold.
-fn file(
-    boxes: [SocketAddr; 2],
+/// Returns an operator's file with one shard on two endpoints.
+fn operator_file(
+    endpoints: [SocketAddr; 2],
     etcd: Option<SocketAddr>,
     peers: Option<(&str, SocketAddr, SocketAddr)>,
 ) -> String {
@@ -262,14 +277,14 @@
         "settings":{{"balancers":2,"step":1000000,"lanes":[{}],
             "limits":{{"connect-timeout":200000000,"try-limit":1,"cancelling":true}},
             "domain":{{"units-top":8,"unit-mean":2}}}}}}"#,
-        entry(boxes[0], "s-1"),
-        entry(boxes[1], "s-2"),
+        entry(endpoints[0], "s-1"),
+        entry(endpoints[1], "s-2"),
         lanes.join(",")
     )
 }
 
-/// Reads four at a time, so that both boxes are wanted; how many failed.
-async fn read(front: SocketAddr, rounds: u64) -> usize {
+/// Sends reads four at a time, so that both endpoints are used. Returns how many failed.
+async fn count_failed_reads(front: SocketAddr, rounds: u64) -> usize {
     let mut client = NbdClient::go(front).await;
     let mut failed = 0;
     for _ in 0..rounds {
@@ -283,9 +298,10 @@
     failed
 }
 
-/// etcd's stand-in, whose list has `s-2` and says that `s-1` is there, or gone; its watches say nothing.
-async fn etcd_agent(serves: SocketAddr, gone: Rc<Cell<bool>>) -> HttpBox {
-    let entry = |id: &str| format!(r#"{{"id":"{id}","host_port":"{serves}","cell":0,"phase":"up"}}"#);
+/// Starts a fake etcd, whose list contains `s-2`, and `s-1` as up or as removed. Its watches never deliver an
+/// event.
+async fn fake_etcd(serving: SocketAddr, is_removed: Rc<Cell<bool>>) -> HttpBox {
+    let entry = |id: &str| format!(r#"{{"id":"{id}","host_port":"{serving}","cell":0,"phase":"up"}}"#);
     let kv = |id: &str, value: &str| {
         let (key, value) = (STANDARD.encode(format!("/boxes/{id}")), STANDARD.encode(value));
         format!(r#"{{"key":"{key}","value":"{value}"}}"#)
@@ -295,8 +311,8 @@
     HttpBox::start(move |_, head| {
         let list = format!(
             r#"{{"header":{{"revision":"{}"}},"kvs":[{second},{}]}}"#,
-            7 + u8::from(gone.get()),
-            first[usize::from(gone.get())]
+            7 + u8::from(is_removed.get()),
+            first[usize::from(is_removed.get())]
         );
         Some(match head.contains("/v3/kv/range") {
             true => (answer("200 OK", list.as_bytes(), 0), false),
@@ -315,21 +331,23 @@
     assert!(sent.success());
 }
 
-/// Three real processes. One is stopped for longer than a silence may take, and misses a removal that the list of one other
-/// alone tells: it is taken for dead, and when it goes on it is there again and knows, with no start of its own.
+/// One of three processes is stopped with SIGSTOP for longer than the failure detector tolerates, and misses
+/// a removal that only one other process's endpoint list contains. The others declare it down. After SIGCONT
+/// it rejoins and learns of the removal, without a restart.
 #[test]
-fn a_process_that_stood_still_is_there_again_and_makes_up_for_what_it_missed() {
+fn a_stopped_process_that_continues_rejoins_and_learns_what_it_missed() {
     story(async {
-        let stands = NbdBox::start(Script::Silent, 1 << 16).await;
-        let serves = NbdBox::start(Script::Serve, 1 << 16).await;
-        let gone = Rc::new(Cell::new(false));
-        let agent = etcd_agent(serves.address, gone.clone()).await;
+        let unresponsive = NbdBox::start(Script::Silent, 1 << 16).await;
+        let serving = NbdBox::start(Script::Serve, 1 << 16).await;
+        let is_removed = Rc::new(Cell::new(false));
+        let etcd = fake_etcd(serving.address, is_removed.clone()).await;
         let [at_a, at_b, at_c] = [place_for_peers(), place_for_peers(), place_for_peers()];
-        let boxes = [stands.address, serves.address];
+        let endpoints = [unresponsive.address, serving.address];
         let peers = |name, at| Some((name, at, at_a));
-        let mut a = Process::start("stood-a.json", &file(boxes, Some(agent.address), peers("a", at_a)));
-        let mut b = Process::start("stood-b.json", &file(boxes, None, peers("b", at_b)));
-        let mut c = Process::start("stood-c.json", &file(boxes, None, peers("c", at_c)));
+        let mut a =
+            Process::start("stopped-a.json", &operator_file(endpoints, Some(etcd.address), peers("a", at_a)));
+        let mut b = Process::start("stopped-b.json", &operator_file(endpoints, None, peers("b", at_b)));
+        let mut c = Process::start("stopped-c.json", &operator_file(endpoints, None, peers("c", at_c)));
         for process in [&mut a, &mut b, &mut c] {
             let _ = process.place().await;
         }
@@ -337,58 +355,74 @@
         c.says("a peer is up").await;
         signal(&c, "-STOP");
         b.says(r#"a peer is down name="c""#).await;
-        gone.set(true);
-        let told = b.says("advice on an endpoint").await;
-        assert!(told.contains(r#"id="s-1" stopped=true"#), "{told}");
+        is_removed.set(true);
+        let line = b.says("advice on an endpoint").await;
+        assert!(line.contains(r#"id="s-1" stopped=true"#), "{line}");
         signal(&c, "-CONT");
-        let told = c.says("advice on an endpoint").await;
-        assert!(told.contains(r#"id="s-1" stopped=true"#), "{told}");
+        let line = c.says("advice on an endpoint").await;
+        assert!(line.contains(r#"id="s-1" stopped=true"#), "{line}");
         b.says(r#"a peer is up name="c""#).await;
-        // One that is killed is gone, and its next life is somebody else at its place.
+        // A killed process is declared down, and its successor at the same address joins as another
+        // incarnation.
         signal(&c, "-KILL");
         b.says(r#"a peer is down name="c""#).await;
         drop(c);
-        let mut c = Process::start("stood-c.json", &file(boxes, None, peers("c", at_c)));
+        let mut c = Process::start("stopped-c.json", &operator_file(endpoints, None, peers("c", at_c)));
         c.says("advice on an endpoint").await;
         b.says(r#"a peer is up name="c""#).await;
     });
 }
 
-/// The measured need: a stale list names a box that stands still. A peer that runs has heard that it is gone.
+/// A restarted process has a stale endpoint list, which names an endpoint that does not respond. A running
+/// peer knows that this endpoint was removed.
 #[test]
-fn a_process_that_is_killed_and_comes_back_with_a_stale_list_asks_a_running_one() {
+fn a_killed_process_that_restarts_with_a_stale_list_learns_from_a_running_peer() {
     story(async {
-        let (stands, serves) =
+        let (unresponsive, serving) =
             (NbdBox::start(Script::Silent, 1 << 16).await, NbdBox::start(Script::Serve, 1 << 16).await);
-        let boxes = [stands.address, serves.address];
-        let agent = etcd_agent(serves.address, Rc::new(Cell::new(true))).await;
+        let endpoints = [unresponsive.address, serving.address];
+        let etcd = fake_etcd(serving.address, Rc::new(Cell::new(true))).await;
         let (at_a, at_b) = (place_for_peers(), place_for_peers());
-        let stale = file(boxes, None, Some(("b", at_b, at_a)));
-        // Without a peer, what the list says is tried.
-        let mut alone = Process::start("peers-alone.json", &file(boxes, None, None));
+        let stale = operator_file(endpoints, None, Some(("b", at_b, at_a)));
+        // Without a peer, the process sends requests to all endpoints of its list.
+        let mut alone = Process::start("peers-alone.json", &operator_file(endpoints, None, None));
         let front = alone.place().await;
-        let cold = read(front, 2).await;
-        assert!(cold > 0, "the case must arise");
+        let failed_without_peer = count_failed_reads(front, 2).await;
+        assert!(failed_without_peer > 0, "reads must fail without a peer for this test to be meaningful");
         drop(alone);
-        let mut running =
-            Process::start("peers-a.json", &file(boxes, Some(agent.address), Some(("a", at_a, at_b))));
+        let mut running = Process::start(
+            "peers-a.json",
+            &operator_file(endpoints, Some(etcd.address), Some(("a", at_a, at_b))),
+        );
         let _ = running.place().await;
         running.says(r#"endpoint listed id="s-1" readiness=Removed"#).await;
-        let mut first = Process::start("peers-b.json", &stale);
-        let _ = first.place().await;
-        first.says("a peer is up").await;
-        first.0.kill().unwrap();
-        drop(first);
-        let tried = stands.seen.borrow().len();
-        let mut again = Process::start("peers-b.json", &stale);
-        let told = again.says("advice on an endpoint").await;
-        assert!(told.contains(r#"id="s-1" stopped=true"#), "{told}");
-        let front = again.place().await;
-        assert_eq!(read(front, 6).await, 0, "{cold} of 8 failed without a peer");
-        assert_eq!(stands.seen.borrow().len(), tried, "nothing goes to a box that is gone");
-        // A planned stop is told.
+        let mut killed = Process::start("peers-b.json", &stale);
+        let _ = killed.place().await;
+        killed.says("a peer is up").await;
+        killed.0.kill().unwrap();
+        drop(killed);
+        let requests_before = unresponsive.seen.borrow().len();
+        let mut restarted = Process::start("peers-b.json", &stale);
+        let line = restarted.says("advice on an endpoint").await;
+        assert!(line.contains(r#"id="s-1" stopped=true"#), "{line}");
+        let front = restarted.place().await;
+        assert_eq!(
+            count_failed_reads(front, 6).await,
+            0,
+            "{failed_without_peer} of 8 reads failed without a peer"
+        );
+        assert_eq!(
+            unresponsive.seen.borrow().len(),
+            requests_before,
+            "no request is sent to the removed endpoint"
+        );
+        // A planned stop is announced to the peers.
         running.says("a peer is up").await;
-        assert!(Command::new("kill").args(["-TERM", &again.0.id().to_string()]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args(["-TERM", &restarted.0.id().to_string()])
+            .status()
+            .unwrap()
+            .success());
         running.says("a peer is down").await;
     });
 }
