--- a/src/bin/simulator_adapter.rs
+++ b/src/bin/simulator_adapter.rs
@@ -1,4 +1,4 @@
-//! Hosts many schedulers behind the simulator's wire on standard input and output.
+//! Runs the simulator adapter on standard input and output. One process hosts many schedulers.
 
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,4 +1,4 @@
-//! Why the simulator's frames could not be followed. Each is the end of the adapter.
+//! The errors that end the simulator adapter.
 
 use crate::settings::SettingsError;
 use std::io;
@@ -7,43 +7,43 @@
 /// Why the adapter ends before its input does.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// A field names bytes that the frame does not have.
-    #[error("a field points outside the frame's tail")]
+    /// A field refers to bytes outside the tail of the frame.
+    #[error("a field refers to bytes outside the frame's tail")]
     OutsideTail,
-    /// A frame's header names another length.
-    #[error("a frame's length does not fit its header")]
+    /// A frame's length differs from the length in its header, or the frame is shorter than a header.
+    #[error("frame length does not match the frame header")]
     LengthMismatch,
-    /// A frame is too short for its records.
-    #[error("a frame ends inside its records")]
+    /// A frame is too short for the number of records in its header.
+    #[error("frame ends inside its records")]
     TruncatedRecords,
-    /// A length that no frame has.
-    #[error("a frame's length is not one a frame can have")]
+    /// A length field is truncated, less than the size of a header, or greater than the maximum frame size.
+    #[error("invalid frame length")]
     BadLength,
-    /// The input ends too early.
-    #[error("the input ends inside a frame")]
+    /// The input ends inside a frame.
+    #[error("input ends inside a frame")]
     TruncatedFrame,
     /// The code of an event is unknown.
-    #[error("{0} is not the code of an event")]
+    #[error("unknown event code {0}")]
     UnknownEvent(u8),
     /// The code of an attempt's outcome is unknown.
-    #[error("{0} is not the code of an outcome")]
+    #[error("unknown attempt outcome code {0}")]
     UnknownOutcome(u8),
-    /// The code of a kind of endpoint list is unknown.
-    #[error("{0} is not a kind of list")]
+    /// The code of an endpoint list kind is unknown.
+    #[error("unknown endpoint list kind {0}")]
     UnknownListKind(u8),
     /// The code of an endpoint's readiness is unknown.
-    #[error("{0} is not a node's readiness")]
+    #[error("unknown endpoint readiness code {0}")]
     UnknownReadiness(u8),
-    /// A load report holds too many values.
-    #[error("a load report holds more than four values")]
+    /// A load report has too many values.
+    #[error("a load report has more than four values")]
     LongLoadReport,
-    /// An instance's settings can't be read.
+    /// The settings of an instance are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The input can't be read.
-    #[error("the input could not be read: {0}")]
+    /// Reading the input failed.
+    #[error("could not read the input: {0}")]
     Input(io::Error),
-    /// A reply can't be written.
-    #[error("the reply could not be written: {0}")]
+    /// Writing a reply failed.
+    #[error("could not write the reply: {0}")]
     Output(io::Error),
 }
--- a/src/simulator/events.rs
+++ b/src/simulator/events.rs
@@ -1,4 +1,4 @@
-//! Records of a frame as events of a scheduler.
+//! Converts the records of a frame to scheduler events.
 
 use super::record::RecordBytes;
 use super::WireError;
@@ -6,10 +6,13 @@
     AttemptOutcome, EndedAttempt, EndpointListKind, EndpointUpdate, Event, LoadReport, Readiness, Request,
 };
 
-/// The size of one endpoint's entry in the tail, in bytes.
+/// The size of an endpoint entry in the tail, in bytes.
 const ENDPOINT_BYTES: usize = 23;
+/// The maximum number of values in a load report.
+const MAX_LOAD_REPORT_VALUES: usize = 4;
 
-/// The event of a record; `fields` are the names of the load figures that the instance is sent.
+/// Converts a record to an event. `fields` are the names of the load report's values, in the order in which
+/// they are sent.
 pub(super) fn event(
     code: u8,
     record: RecordBytes,
@@ -35,7 +38,7 @@
             ok: record.u8(7) == 0,
             load: load_report(record, 16, fields)?,
         },
-        6 => Event::PeerMessage { from: record.u16(3), bytes: record.part(5, tail, 1)?.to_vec() },
+        6 => Event::PeerMessage { from: record.u16(3), bytes: record.tail_slice(5, tail, 1)?.to_vec() },
         7 => Event::Request(Request {
             id: record.u64(3),
             initiators: record.f32(11),
@@ -83,29 +86,29 @@
 }
 
 fn endpoint_updates(record: RecordBytes, tail: &[u8]) -> Result<Vec<EndpointUpdate>, WireError> {
-    let part = record.part(12, tail, ENDPOINT_BYTES)?;
-    part.chunks_exact(ENDPOINT_BYTES).map(|line| endpoint_update(RecordBytes(line))).collect()
+    let entries = record.tail_slice(12, tail, ENDPOINT_BYTES)?;
+    entries.chunks_exact(ENDPOINT_BYTES).map(|entry| endpoint_update(RecordBytes(entry))).collect()
 }
 
-fn endpoint_update(line: RecordBytes) -> Result<EndpointUpdate, WireError> {
+fn endpoint_update(entry: RecordBytes) -> Result<EndpointUpdate, WireError> {
     Ok(EndpointUpdate {
-        endpoint: line.u32(0),
-        zone: line.u16(4),
-        shard: line.u16(8),
-        readiness: match line.u8(10) {
+        endpoint: entry.u32(0),
+        zone: entry.u16(4),
+        shard: entry.u16(8),
+        readiness: match entry.u8(10) {
             0 => Readiness::Removed,
             1 => Readiness::Ready,
             2 => Readiness::Draining,
             code => return Err(WireError::UnknownReadiness(code)),
         },
-        started_at: line.duration(15),
+        started_at: entry.duration(15),
         start_id: 0,
     })
 }
 
 fn load_report(record: RecordBytes, at: usize, fields: &[String]) -> Result<LoadReport, WireError> {
     let count = record.u8(at) as usize;
-    if count > 4 {
+    if count > MAX_LOAD_REPORT_VALUES {
         return Err(WireError::LongLoadReport);
     }
     let mut load = LoadReport::default();
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,9 +1,10 @@
-//! The simulator's adapter: hosts many schedulers in one process, so that the simulator plays the decisions that the program
-//! takes. Frames become events, and actions become frames; nothing is decided here.
+//! Adapter for the simulator: hosts many schedulers in one process, so that the simulator runs on the
+//! decisions of the real scheduler. The adapter only converts frames to events and actions to frames; it
+//! takes no decisions.
 //!
-//! The layout of frames is the simulator's. All numbers are little-endian, and times are in nanoseconds.
+//! The simulator defines the layout of frames. All numbers are little-endian, and times are in nanoseconds.
 //!
-//! Reading is total: a frame that does not follow the layout ends [`serve`] with a [`WireError`], before
+//! Decoding never panics: a frame that does not follow the layout ends [`serve`] with a [`WireError`], before
 //! any action of that frame is written.
 
 mod error;
@@ -23,26 +24,29 @@
 
 pub use error::WireError;
 
-/// The size of a frame's header, in bytes.
+/// The size of a frame header in bytes.
 const HEADER_BYTES: usize = 16;
-/// The size of an event's record, in bytes.
+/// The size of an event record in bytes.
 const EVENT_BYTES: usize = 56;
-/// The largest frame that is read, in bytes.
+/// The maximum size of a frame that is read, in bytes.
 const MAX_FRAME_BYTES: usize = 1 << 30;
-/// Codes of the records that are no events: an instance ends, or begins with new settings.
-const RETIRE: u8 = 1;
-const PROVISION: u8 = 8;
+/// The code of a record that removes an instance.
+const REMOVE_INSTANCE: u8 = 1;
+/// The code of a record that creates an instance with new settings, replacing an existing one of the same
+/// number.
+const CREATE_INSTANCE: u8 = 8;
 
-/// One instance: its scheduler, and the names of the load figures it will be sent.
+/// One instance: its scheduler and the names of the values in its load reports.
 struct Instance {
     scheduler: Scheduler,
-    fields: Vec<String>,
+    load_report_fields: Vec<String>,
 }
 
-/// The events of one frame for each instance, in the order in which the instances had their first one.
+/// The events of one frame, grouped by instance. Instances are in the order of their first event.
 #[derive(Default)]
 struct Batches {
     batches: Vec<Batch>,
+    /// The position of each instance's batch in `batches`.
     index: BTreeMap<u16, usize>,
 }
 
@@ -60,7 +64,7 @@
         self.batches[index].events.push(event);
     }
 
-    /// The instance that the events were for is no more.
+    /// Drops the events of an instance that was removed or replaced.
     fn clear(&mut self, instance: u16) {
         if let Some(index) = self.index.remove(&instance) {
             self.batches[index].events.clear();
@@ -68,22 +72,23 @@
     }
 }
 
-/// All instances that one process hosts, by number.
+/// The instances that one process hosts, by number.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u16, Instance>,
 }
 
 impl Adapter {
-    /// An adapter without instances.
+    /// Creates an adapter without instances.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Answers one whole frame, its length field included.
+    /// Processes one whole frame, including its length field, and returns the reply frame.
     ///
     /// # Errors
-    /// The frame does not follow the layout.
+    ///
+    /// Returns an error if the frame does not follow the layout.
     pub fn answer(&mut self, frame: &[u8]) -> Result<Vec<u8>, WireError> {
         let header = RecordBytes(frame);
         if frame.len() < HEADER_BYTES || header.u32(0) as usize != frame.len() {
@@ -97,22 +102,24 @@
         Ok(self.step(now, batches))
     }
 
+    /// Applies the records that create or remove instances and groups the events of the others by instance.
+    /// Events of unknown instances are dropped.
     fn read_records(&mut self, records: &[u8], tail: &[u8], now: Duration) -> Result<Batches, WireError> {
         let mut batches = Batches::default();
         for record in records.chunks_exact(EVENT_BYTES).map(RecordBytes) {
             let id = record.u16(1);
             match record.u8(0) {
-                PROVISION => {
-                    self.instances.insert(id, provision(record, tail, now)?);
+                CREATE_INSTANCE => {
+                    self.instances.insert(id, create_instance(record, tail, now)?);
                     batches.clear(id);
                 }
-                RETIRE => {
+                REMOVE_INSTANCE => {
                     self.instances.remove(&id);
                     batches.clear(id);
                 }
                 code => {
                     let instance = self.instances.get(&id);
-                    let fields = instance.map_or(&[][..], |instance| &instance.fields);
+                    let fields = instance.map_or(&[][..], |instance| &instance.load_report_fields);
                     let event = event(code, record, tail, fields)?;
                     if instance.is_some() {
                         batches.add(id, event);
@@ -139,10 +146,11 @@
     }
 }
 
-/// Reads frames until the input ends, and answers each.
+/// Reads frames until the input ends and writes a reply to each.
 ///
 /// # Errors
-/// A frame does not follow the layout, or input or output fails.
+///
+/// Returns an error if a frame does not follow the layout, or if reading or writing fails.
 pub fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), WireError> {
     let mut adapter = Adapter::new();
     let mut frame = Vec::new();
@@ -154,6 +162,7 @@
     Ok(())
 }
 
+/// Reads the next frame into `frame`. Returns `false` at the end of the input.
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, WireError> {
     frame.clear();
     input.by_ref().take(4).read_to_end(frame).map_err(WireError::Input)?;
@@ -171,9 +180,10 @@
     Ok(true)
 }
 
-fn provision(record: RecordBytes, tail: &[u8], now: Duration) -> Result<Instance, WireError> {
-    let text = record.part(11, tail, 1)?;
+/// Creates an instance from the settings that its record refers to.
+fn create_instance(record: RecordBytes, tail: &[u8], now: Duration) -> Result<Instance, WireError> {
+    let text = record.tail_slice(11, tail, 1)?;
     let settings = settings::read(&mut text.to_vec())?;
-    let fields = settings.load_report_fields.clone();
-    Ok(Instance { scheduler: Scheduler::new(settings, record.u64(3), now), fields })
+    let load_report_fields = settings.load_report_fields.clone();
+    Ok(Instance { scheduler: Scheduler::new(settings, record.u64(3), now), load_report_fields })
 }
--- a/src/simulator/record.rs
+++ b/src/simulator/record.rs
@@ -1,17 +1,18 @@
-//! Reading numbers from a record of a frame. What lies beyond its end reads as 0.
+//! Reads little-endian numbers from a record of a frame. A field that is not entirely within the record reads
+//! as 0.
 
 use super::WireError;
 use std::time::Duration;
 
-/// One record or entry of a frame.
+/// The bytes of one record or tail entry of a frame.
 #[derive(Clone, Copy)]
 pub(super) struct RecordBytes<'a>(pub &'a [u8]);
 
 impl<'a> RecordBytes<'a> {
     pub fn bytes<const N: usize>(self, at: usize) -> [u8; N] {
         let mut out = [0; N];
-        if let Some(part) = self.0.get(at..at + N) {
-            out.copy_from_slice(part);
+        if let Some(field) = self.0.get(at..at + N) {
+            out.copy_from_slice(field);
         }
         out
     }
@@ -33,12 +34,17 @@
     pub fn f32(self, at: usize) -> f64 {
         f64::from(f32::from_le_bytes(self.bytes(at)))
     }
-    /// The part of the tail that the field at `at` names, of `each` bytes an element.
-    pub fn part(self, at: usize, tail: &'a [u8], each: usize) -> Result<&'a [u8], WireError> {
-        let (from, count) = (self.u32(at) as usize, self.u32(at + 4) as usize);
-        let end = count.checked_mul(each).and_then(|n| n.checked_add(from));
-        match end.and_then(|end| tail.get(from..end)) {
-            Some(part) => Ok(part),
+    /// Returns the slice of the tail that the field at `at` refers to. The field holds an offset and a count
+    /// of elements of `element_bytes` each.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the slice is not within the tail, unless it is empty.
+    pub fn tail_slice(self, at: usize, tail: &'a [u8], element_bytes: usize) -> Result<&'a [u8], WireError> {
+        let (start, count) = (self.u32(at) as usize, self.u32(at + 4) as usize);
+        let end = count.checked_mul(element_bytes).and_then(|n| n.checked_add(start));
+        match end.and_then(|end| tail.get(start..end)) {
+            Some(slice) => Ok(slice),
             None if count == 0 => Ok(&[]),
             None => Err(WireError::OutsideTail),
         }
--- a/src/simulator/reply.rs
+++ b/src/simulator/reply.rs
@@ -1,12 +1,14 @@
-//! Actions of schedulers as the records of a reply.
+//! Converts scheduler actions to the records of a reply frame.
 
 use crate::interface::Action;
 use std::time::Duration;
 
-/// The size of an action's record, in bytes.
+/// The size of an action record in bytes.
 const ACTION_BYTES: usize = 24;
+/// The size of a reply frame's header in bytes: the record count and the frame length.
+const HEADER_BYTES: usize = 8;
 
-/// A reply being written.
+/// A reply frame under construction.
 #[derive(Default)]
 pub(super) struct ReplyFrame {
     records: Vec<u8>,
@@ -14,10 +16,10 @@
 }
 
 impl ReplyFrame {
-    /// Adds an action of an instance.
+    /// Appends an action of an instance.
     pub fn push(&mut self, instance: u16, action: &Action) {
-        let mut cell = [0u8; ACTION_BYTES];
-        let mut put = |at: usize, bytes: &[u8]| cell[at..at + bytes.len()].copy_from_slice(bytes);
+        let mut record = [0u8; ACTION_BYTES];
+        let mut put = |at: usize, bytes: &[u8]| record[at..at + bytes.len()].copy_from_slice(bytes);
         put(1, &instance.to_le_bytes());
         match action {
             Action::Send { request, endpoint, timeout } => {
@@ -67,12 +69,12 @@
             }
             Action::FetchEndpointList => put(0, &[12]),
         }
-        self.records.extend_from_slice(&cell);
+        self.records.extend_from_slice(&record);
     }
 
-    /// The whole frame.
+    /// Returns the complete frame: the record count, the length, the records and the tail.
     pub fn finish(self) -> Vec<u8> {
-        let length = 8 + self.records.len() + self.tail.len();
+        let length = HEADER_BYTES + self.records.len() + self.tail.len();
         let mut out = Vec::with_capacity(length);
         out.extend_from_slice(&((self.records.len() / ACTION_BYTES) as u32).to_le_bytes());
         out.extend_from_slice(&(length as u32).to_le_bytes());
@@ -82,10 +84,12 @@
     }
 }
 
-fn nanos(span: Duration) -> [u8; 8] {
-    u64::try_from(span.as_nanos()).unwrap_or(u64::MAX).to_le_bytes()
+/// Encodes a duration in nanoseconds. Durations that do not fit are encoded as `u64::MAX`.
+fn nanos(duration: Duration) -> [u8; 8] {
+    u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX).to_le_bytes()
 }
 
+/// Appends bytes to the tail. Returns the field that refers to them: their offset and length.
 fn append(tail: &mut Vec<u8>, bytes: &[u8]) -> [u8; 8] {
     let mut field = [0; 8];
     field[..4].copy_from_slice(&(tail.len() as u32).to_le_bytes());
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The wire's layout, by its worked frames, and what is malformed.
+//! The frame layout of the simulator, by its documented example frames, and the rejection of malformed
+//! frames.
 
 use shaletack::simulator::{serve, Adapter};
 
@@ -7,6 +8,7 @@
     digits.chunks(2).map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap()).collect()
 }
 
+/// An event record that begins with these bytes; the rest is zero.
 fn padded(text: &str) -> Vec<u8> {
     let mut record = hex(text);
     record.resize(56, 0);
@@ -28,16 +30,16 @@
  "limits": {"try-limit": 3}, "membership-mode": "on_request", "report": {"fields": ["recent_ms"]}}"#;
 const CLOCK: u64 = 8_418_000_784;
 
-/// Instance 3 comes up with the two nodes of the wire's example list.
+/// Creates instance 3 and lists the two endpoints of the documented example list.
 fn start() -> (Vec<Vec<u8>>, Vec<u8>) {
-    let lines = hex("074a1203 0000 0000 0000 01 0000803f 0000000000000000
+    let endpoints = hex("074a1203 0000 0000 0000 01 0000803f 0000000000000000
                      f211902c 0000 0000 0100 01 0000c03f 009d966b01000000");
-    let mut provision = padded("08 0300 2a00000000000000");
-    provision[15..19].copy_from_slice(&(CONFIG.len() as u32).to_le_bytes());
-    let mut view = padded("09 0300 2900000000000000 02");
-    view[12..16].copy_from_slice(&(CONFIG.len() as u32).to_le_bytes());
-    view[16] = 2;
-    (vec![provision, view], [CONFIG.as_bytes(), &lines].concat())
+    let mut create = padded("08 0300 2a00000000000000");
+    create[15..19].copy_from_slice(&(CONFIG.len() as u32).to_le_bytes());
+    let mut list = padded("09 0300 2900000000000000 02");
+    list[12..16].copy_from_slice(&(CONFIG.len() as u32).to_le_bytes());
+    list[16] = 2;
+    (vec![create, list], [CONFIG.as_bytes(), &endpoints].concat())
 }
 
 fn submit() -> Vec<u8> {
@@ -54,73 +56,83 @@
 }
 
 #[test]
-fn the_example_request_is_sent_to_the_node_with_its_shard() {
+fn the_example_request_is_sent_to_the_endpoint_with_its_shard() {
     let (mut records, tail) = start();
     records.push(submit());
     let reply = Adapter::new().answer(&frame(CLOCK, &records, &tail)).unwrap();
     assert_eq!(reply.len() as u32, u32::from_le_bytes(reply[4..8].try_into().unwrap()));
-    let cells: Vec<&[u8]> = reply[8..].chunks(24).collect();
+    let actions: Vec<&[u8]> = reply[8..].chunks(24).collect();
     let sent = hex("01 0300 c4913a5d83e30b00 0000000000000000 074a1203 00");
-    assert!(cells.iter().any(|c| *c == sent), "{cells:?}");
-    assert!(cells.iter().any(|c| c[..4] == hex("0b 0300 01")[..]), "the list is asked for");
+    assert!(actions.iter().any(|action| *action == sent), "{actions:?}");
+    assert!(
+        actions.iter().any(|action| action[..4] == hex("0b 0300 01")[..]),
+        "the endpoint list is watched"
+    );
 }
 
 #[test]
 fn the_example_outcome_ends_the_request() {
     let (mut records, tail) = start();
     records.push(submit());
-    let mut wire = Adapter::new();
-    wire.answer(&frame(CLOCK, &records, &tail)).unwrap();
+    let mut adapter = Adapter::new();
+    adapter.answer(&frame(CLOCK, &records, &tail)).unwrap();
     let outcome = padded("03 0300 c4913a5d83e30b00 00 074a1203 00 a0491a0100000000 01 5600 0300 01 00006841");
-    wire.answer(&frame(CLOCK + 1, &[outcome], &[])).unwrap();
+    adapter.answer(&frame(CLOCK + 1, &[outcome], &[])).unwrap();
     let late = frame(CLOCK + 4_000_000_000, &[padded("04 0300")], &[]);
-    let reply = wire.answer(&late).unwrap();
-    assert!(!reply[8..].chunks(24).any(|c| matches!(c[0], 2 | 3)), "answered again");
+    let reply = adapter.answer(&late).unwrap();
+    assert!(
+        !reply[8..].chunks(24).any(|action| matches!(action[0], 2 | 3)),
+        "the request was answered twice"
+    );
 }
 
 #[test]
-fn retire_and_provision_in_one_batch_leave_an_empty_instance() {
+fn removing_and_creating_an_instance_in_one_batch_leaves_it_empty() {
     let (records, tail) = start();
-    let mut wire = Adapter::new();
-    wire.answer(&frame(CLOCK, &[&records[..], &[submit()]].concat(), &tail)).unwrap();
-    let reborn = [&[padded("01 0300")], &records[..], &[padded("0a 0300 c4913a5d83e30b00")]].concat();
-    wire.answer(&frame(CLOCK + 1, &reborn, &tail)).unwrap();
-    let reply = wire.answer(&frame(CLOCK + 4_000_000_000, &[padded("04 0300")], &[])).unwrap();
-    assert!(!reply[8..].chunks(24).any(|c| matches!(c[0], 2 | 3)), "the old life's request was answered");
+    let mut adapter = Adapter::new();
+    adapter.answer(&frame(CLOCK, &[&records[..], &[submit()]].concat(), &tail)).unwrap();
+    let recreate = [&[padded("01 0300")], &records[..], &[padded("0a 0300 c4913a5d83e30b00")]].concat();
+    adapter.answer(&frame(CLOCK + 1, &recreate, &tail)).unwrap();
+    let reply = adapter.answer(&frame(CLOCK + 4_000_000_000, &[padded("04 0300")], &[])).unwrap();
+    assert!(
+        !reply[8..].chunks(24).any(|action| matches!(action[0], 2 | 3)),
+        "a request of the removed instance was answered"
+    );
 }
 
 #[test]
-fn events_of_unknown_or_retired_instances_are_passed_over() {
-    let mut wire = Adapter::new();
-    let reply = wire.answer(&frame(CLOCK, &[submit(), padded("01 0300"), padded("04 0300")], &[])).unwrap();
+fn events_of_unknown_or_removed_instances_are_ignored() {
+    let mut adapter = Adapter::new();
+    let reply =
+        adapter.answer(&frame(CLOCK, &[submit(), padded("01 0300"), padded("04 0300")], &[])).unwrap();
     assert_eq!(reply, hex("00000000 08000000"));
 }
 
 #[test]
-fn what_is_malformed_is_a_plain_fault() {
+fn malformed_frames_are_rejected_with_a_one_line_error() {
     let (records, tail) = start();
     let good = frame(CLOCK, &records, &tail);
     let mut short = good.clone();
     short[12] = 200;
-    let mut far = records.clone();
-    far[1][12..16].copy_from_slice(&u32::MAX.to_le_bytes());
-    let unknown_node_state = [&tail[..CONFIG.len() + 10], &[9], &tail[CONFIG.len() + 11..]].concat();
+    let mut outside_tail = records.clone();
+    outside_tail[1][12..16].copy_from_slice(&u32::MAX.to_le_bytes());
+    let unknown_readiness = [&tail[..CONFIG.len() + 10], &[9], &tail[CONFIG.len() + 11..]].concat();
     for bad in [
         short,
-        frame(CLOCK, &far, &tail),
+        frame(CLOCK, &outside_tail, &tail),
         frame(CLOCK, &[padded("63 0300")], &[]),
         frame(CLOCK, &[padded("03 0300 c4913a5d83e30b00 00 074a1203 07")], &[]),
         frame(CLOCK, &records, &[b'x'; 900]),
-        frame(CLOCK, &records, &unknown_node_state),
+        frame(CLOCK, &records, &unknown_readiness),
         good[..good.len() - 1].to_vec(),
     ] {
-        let fault = Adapter::new().answer(&bad).unwrap_err().to_string();
-        assert!(!fault.is_empty() && !fault.contains('\n'));
+        let error = Adapter::new().answer(&bad).unwrap_err().to_string();
+        assert!(!error.is_empty() && !error.contains('\n'));
     }
 }
 
 #[test]
-fn a_truncated_input_is_a_fault_and_a_clean_end_is_not() {
+fn input_that_ends_inside_a_frame_is_an_error_and_between_frames_is_not() {
     let empty = hex("10000000 90bf68f501000000 00000000");
     let mut out = Vec::new();
     serve(&mut [&empty[..], &empty[..]].concat().as_slice(), &mut out).unwrap();
@@ -131,10 +143,10 @@
 }
 
 #[test]
-fn settings_of_another_type_are_a_fault() {
+fn settings_of_the_wrong_type_are_an_error() {
     for config in ["[1]", "nonsense", r#"{"balancers": "three"}"#, r#"{"lanes": 5}"#] {
-        let mut provision = padded("08 0300 2a00000000000000");
-        provision[15] = config.len() as u8;
-        assert!(Adapter::new().answer(&frame(CLOCK, &[provision], config.as_bytes())).is_err(), "{config}");
+        let mut create = padded("08 0300 2a00000000000000");
+        create[15] = config.len() as u8;
+        assert!(Adapter::new().answer(&frame(CLOCK, &[create], config.as_bytes())).is_err(), "{config}");
     }
 }
