--- a/crates/background/src/class_queue.rs
+++ b/crates/background/src/class_queue.rs
@@ -8,7 +8,7 @@
 /// A waiting task. Ordered by age, the oldest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WaitingTask {
-    pub since: Duration,
+    pub waiting_since: Duration,
     pub id: TaskId,
 }
 
@@ -50,13 +50,13 @@
 
     pub fn push(&mut self, id: TaskId, task: &Task) {
         let waiting = self.waiting_by_resource.entry(task.resource).or_default();
-        waiting.insert(WaitingTask { since: task.since, id });
+        waiting.insert(WaitingTask { waiting_since: task.waiting_since, id });
     }
 
     /// Removes a waiting task.
     pub fn remove_waiting(&mut self, id: TaskId, task: &Task) {
         let Some(waiting) = self.waiting_by_resource.get_mut(&task.resource) else { return };
-        waiting.remove(&WaitingTask { since: task.since, id });
+        waiting.remove(&WaitingTask { waiting_since: task.waiting_since, id });
         if waiting.is_empty() {
             self.waiting_by_resource.remove(&task.resource);
         }
@@ -87,7 +87,7 @@
 
     /// Returns the time at which a task becomes overdue.
     pub fn overdue_at(&self, task: WaitingTask) -> Duration {
-        task.since + self.class.max_age
+        task.waiting_since + self.class.max_age
     }
 
     /// Returns the round-robin sort key of a resource. The resources after the one of the last started task
@@ -128,7 +128,7 @@
         self.waiting_by_resource
             .values()
             .filter_map(|waiting| waiting.first())
-            .map(|oldest| oldest.since)
+            .map(|oldest| oldest.waiting_since)
             .min()
     }
 }
--- a/crates/background/src/scheduler.rs
+++ b/crates/background/src/scheduler.rs
@@ -175,7 +175,7 @@
         match pass {
             Pass::Overdue => {
                 let overdue = queue.candidates().filter(is_overdue);
-                overdue.min_by_key(|candidate| (candidate.oldest.since, candidate.resource))
+                overdue.min_by_key(|candidate| (candidate.oldest.waiting_since, candidate.resource))
             }
             Pass::Regular => {
                 let regular = queue.candidates().filter(|candidate| !is_overdue(candidate));
--- a/crates/background/src/task.rs
+++ b/crates/background/src/task.rs
@@ -37,5 +37,5 @@
     /// The task's size in bytes.
     pub bytes: u64,
     /// When the task began to wait.
-    pub since: Duration,
+    pub waiting_since: Duration,
 }
--- a/crates/background/tests/background.rs
+++ b/crates/background/tests/background.rs
@@ -19,8 +19,8 @@
     }
 }
 
-fn task(class: usize, resource: u32, units: u64, since: Duration) -> Task {
-    Task { class, resource, units, bytes: units * 4096, since }
+fn task(class: usize, resource: u32, units: u64, waiting_since: Duration) -> Task {
+    Task { class, resource, units, bytes: units * 4096, waiting_since }
 }
 
 #[test]
--- a/crates/core/src/gossip/mod.rs
+++ b/crates/core/src/gossip/mod.rs
@@ -135,7 +135,7 @@
         for event in events {
             let Event::AttemptEnded(EndedAttempt { endpoint, outcome, .. }) = event else { continue };
             let health = self.health.entry(*endpoint).or_default();
-            let before = health.verdict().map(|verdict| verdict.health);
+            let before = health.observed_health().map(|observed| observed.health);
             match outcome {
                 AttemptOutcome::Served => health.record_success(now),
                 AttemptOutcome::Error
@@ -144,7 +144,7 @@
                 | AttemptOutcome::ConnectFailed => observed.failing |= health.record_failure(now),
                 AttemptOutcome::Rejected | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
             }
-            let after = health.verdict().map(|verdict| verdict.health);
+            let after = health.observed_health().map(|observed| observed.health);
             observed.reportable |= after != before || (repeat_due && after == Some(EndpointHealth::Failing));
         }
         observed
--- a/crates/core/src/gossip/reports.rs
+++ b/crates/core/src/gossip/reports.rs
@@ -91,9 +91,9 @@
                 own.push(self.observe(Claim::Readiness { endpoint: name(), readiness }, start_ms, seen));
             }
             let history = self.health.get(&endpoint.endpoint);
-            if let Some(verdict) = history.and_then(AttemptHistory::verdict) {
-                let claim = Claim::Health { endpoint: name(), health: verdict.health };
-                own.push(self.observe(claim, start_ms, verdict.observed_at));
+            if let Some(observed) = history.and_then(AttemptHistory::observed_health) {
+                let claim = Claim::Health { endpoint: name(), health: observed.health };
+                own.push(self.observe(claim, start_ms, observed.observed_at));
             }
             if let Some(started_at) = self.slow_start_since(id, endpoint, scheduler.rules(), now) {
                 let uptime = now.saturating_sub(started_at);
--- a/crates/lab/src/hollow/initiator.rs
+++ b/crates/lab/src/hollow/initiator.rs
@@ -4,7 +4,7 @@
 use rand::seq::IteratorRandom;
 use rand::SeedableRng;
 use shaletack::gossip::{Aged, PeerTotals, VolumeDemand};
-use shaletack::peers::observer;
+use shaletack::peers::new_observer;
 use shaletack::{broker, operator::Operator, operator_event::OperatorEvent};
 use shaletack_gossip as gossip;
 use shaletack_gossip::aggregation::{Key, Total};
@@ -134,7 +134,7 @@
     let Parts { index, operator, tcp, udp, news, ledger } = parts;
     let (tcp, udp) = (TcpListener::from_std(tcp)?, UdpSocket::from_std(udp)?);
     let Some(set) = &operator.peers else { return Err(io::Error::other("an operator's file without peers")) };
-    let (me, at, start) = (observer(set), tcp.local_addr()?, Instant::now());
+    let (me, at, start) = (new_observer(set), tcp.local_addr()?, Instant::now());
     let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let me = Observer { name: format!("h{index}"), ..me };
     let peer = membership::Member {
--- a/crates/observations/src/attempts.rs
+++ b/crates/observations/src/attempts.rs
@@ -17,7 +17,7 @@
 
 /// The health of an endpoint as reported to other initiators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HealthVerdict {
+pub struct ObservedHealth {
     /// Whether attempts succeed or fail.
     pub health: EndpointHealth,
     /// When the attempt that established this health ended.
@@ -52,13 +52,13 @@
 
     /// Returns the health to report, or `None` if there is nothing to report. An endpoint is reported as
     /// healthy only after a failure: without one, no other initiator holds it back.
-    pub fn verdict(&self) -> Option<HealthVerdict> {
+    pub fn observed_health(&self) -> Option<ObservedHealth> {
         let failed_at = self.last_failure?;
         if self.is_failing() {
-            return Some(HealthVerdict { health: EndpointHealth::Failing, observed_at: failed_at });
+            return Some(ObservedHealth { health: EndpointHealth::Failing, observed_at: failed_at });
         }
         let succeeded_at = self.last_success.filter(|at| *at > failed_at)?;
-        Some(HealthVerdict { health: EndpointHealth::Healthy, observed_at: succeeded_at })
+        Some(ObservedHealth { health: EndpointHealth::Healthy, observed_at: succeeded_at })
     }
 
     fn is_failing(&self) -> bool {
--- a/crates/observations/src/lib.rs
+++ b/crates/observations/src/lib.rs
@@ -23,7 +23,7 @@
 mod store;
 
 pub use advice::{Advice, LocalView};
-pub use attempts::{AttemptHistory, HealthVerdict};
+pub use attempts::{AttemptHistory, ObservedHealth};
 pub use claim::{Claim, EndpointHealth, ReportedReadiness, Subject};
 pub use contributions::{reported_demand, reported_slow_start_units, ReportedDemand};
 pub use observation::{Observation, Observer};
--- a/crates/observations/tests/advice.rs
+++ b/crates/observations/tests/advice.rs
@@ -1,8 +1,8 @@
 //! The effects of peers' reports on advice, totals and the store, case by case.
 
 use shaletack_observations::{
-    reported_demand, reported_slow_start_units, Advice, AttemptHistory, Claim, EndpointHealth, HealthVerdict,
-    LocalView, Observation, ObservationStore, Observer, RejectedReports, Report, ReportedDemand,
+    reported_demand, reported_slow_start_units, Advice, AttemptHistory, Claim, EndpointHealth, LocalView,
+    Observation, ObservationStore, ObservedHealth, Observer, RejectedReports, Report, ReportedDemand,
     ReportedReadiness, Subject, DEMAND_LIFETIME, MAX_HOPS, MAX_NAME_BYTES, OBSERVATION_LIFETIME,
     STOP_SENDING_DURATION,
 };
@@ -315,15 +315,15 @@
     let mut history = AttemptHistory::default();
     history.record_success(SECOND);
     history.record_failure(2 * SECOND);
-    assert_eq!(history.verdict(), None);
+    assert_eq!(history.observed_health(), None);
     history.record_failure(3 * SECOND);
     assert_eq!(
-        history.verdict(),
-        Some(HealthVerdict { health: EndpointHealth::Failing, observed_at: 3 * SECOND })
+        history.observed_health(),
+        Some(ObservedHealth { health: EndpointHealth::Failing, observed_at: 3 * SECOND })
     );
     history.record_success(4 * SECOND);
     assert_eq!(
-        history.verdict(),
-        Some(HealthVerdict { health: EndpointHealth::Healthy, observed_at: 4 * SECOND })
+        history.observed_health(),
+        Some(ObservedHealth { health: EndpointHealth::Healthy, observed_at: 4 * SECOND })
     );
 }
--- a/src/app/serve_nbd.rs
+++ b/src/app/serve_nbd.rs
@@ -25,7 +25,7 @@
 /// The signals, the peers' address or the clients' address can't be had, or the front can't be set up.
 pub async fn serve(operator: Operator, file: String) -> Result<(), Error> {
     let mut signals = Signals::take()?;
-    let observer = operator.peers.as_ref().map(peers::observer);
+    let observer = operator.peers.as_ref().map(peers::new_observer);
     let seed = RandomState::new().build_hasher().finish();
     let broker = Broker::new(operator.settings.clone(), seed, fresh_clock(), Instant::now());
     let host = Host::start(match &observer {
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -47,8 +47,8 @@
 /// observations, so a batch that is dropped because the queue is full is not missed.
 const OBSERVATION_QUEUE_LENGTH: usize = 16;
 
-/// Returns the identity of this process among its peers. Each call draws a new incarnation.
-pub fn observer(settings: &operator::Peers) -> Observer {
+/// Creates the identity of this process among its peers, with a new random incarnation.
+pub fn new_observer(settings: &operator::Peers) -> Observer {
     Observer { name: settings.name.clone(), incarnation: random_number() }
 }
 
--- a/src/writeback/cache.rs
+++ b/src/writeback/cache.rs
@@ -256,7 +256,7 @@
             resource: piece.shard.into(),
             units: self.0.attempts.units(piece.data.len()),
             bytes: piece.data.len() as u64,
-            since: self.now(),
+            waiting_since: self.now(),
         };
         let mut background = self.0.background.borrow_mut();
         // A piece that could not start still counts as in flight.
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -12,7 +12,7 @@
 use shaletack::interface::{EndpointListKind, Readiness};
 use shaletack::nbd::codec::cmd;
 use shaletack::operator;
-use shaletack::peers::{observer, status, Peers};
+use shaletack::peers::{new_observer, status, Peers};
 use shaletack::runtime::host::Host;
 use shaletack::runtime::log::Form;
 use shaletack_membership::frame;
@@ -45,7 +45,7 @@
         region: String::new(),
         zone: String::new(),
     };
-    let me = observer(&peer_settings);
+    let me = new_observer(&peer_settings);
     let settings =
         operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)]).settings;
     let now = Instant::now();
