--- a/crates/core/src/endpoint_list_poll.rs
+++ b/crates/core/src/endpoint_list_poll.rs
@@ -4,7 +4,7 @@
 //! again at once. Where the list is polled, one service of fixed capacity serves the calls of all initiators
 //! in turn: a call that has waited too long fails and has cost as much as one that was served. If initiators
 //! call again at once, the queue of the service stays so long that no call is served in time, although the
-//! service could serve all initiators once within seconds. Initiators therefore spread calls that they would
+//! service could serve all initiators once in little time. Initiators therefore spread calls that they would
 //! make at the same instant, and each doubles its wait until there is capacity.
 
 use crate::interface::Settings;
