--- a/src/etcd/error.rs
+++ b/src/etcd/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong while the endpoint list is followed in etcd. Each is tried again after a wait.
+//! The errors of watching the endpoint list in etcd. After each, the watcher retries with a backoff.
 
 use crate::endpoint_list::EntryError;
 use crate::json::JsonError;
@@ -8,79 +8,79 @@
 use base64::DecodeError;
 use thiserror::Error;
 
-/// Why the list could not be fetched, or a watch ended.
+/// Why the list could not be fetched, or why a watch ended.
 #[derive(Debug, Error)]
-pub(super) enum FollowError {
-    /// The range could not be sent, or its answer has no head.
-    #[error("could not be asked: {0}")]
-    Unreachable(SendRequestError),
-    /// The range was answered with an error.
-    #[error("answered {0}")]
-    Status(StatusCode),
-    /// The answer to the range ended early, or is too large.
-    #[error("broke: {0}")]
-    BodyLost(PayloadError),
-    /// The range was not answered in time.
-    #[error("no answer")]
-    NoAnswer,
-    /// The watch could not be sent, or its answer has no head.
-    #[error("watch could not be asked: {0}")]
-    WatchUnreachable(SendRequestError),
-    /// The watch was answered with an error.
-    #[error("watch answered {0}")]
+pub(super) enum WatchError {
+    /// The range request could not be sent, or no valid response header was received.
+    #[error("range request failed: {0}")]
+    RangeFailed(SendRequestError),
+    /// The response to the range request has an error status.
+    #[error("range request returned status {0}")]
+    RangeStatus(StatusCode),
+    /// The response to the range request ended early, or is too large.
+    #[error("reading the range response failed: {0}")]
+    RangeBody(PayloadError),
+    /// The range request was not answered within the call timeout.
+    #[error("range request timed out")]
+    RangeTimedOut,
+    /// The watch request could not be sent, or no valid response header was received.
+    #[error("watch request failed: {0}")]
+    WatchFailed(SendRequestError),
+    /// The response to the watch request has an error status.
+    #[error("watch request returned status {0}")]
     WatchStatus(StatusCode),
-    /// The watch was not answered in time.
-    #[error("no answer to a watch")]
-    NoWatchAnswer,
-    /// The watch's stream ended or can't be read.
-    #[error("watch {0}")]
-    WatchLost(StreamEnd),
-    /// A message of the watch is an error.
-    #[error("watch answered an error")]
-    WatchError,
-    /// etcd ended the watch.
-    #[error("watch cancelled: {reason}")]
-    WatchCancelled {
-        /// Its reason.
+    /// The watch request was not answered within the call timeout.
+    #[error("watch request timed out")]
+    WatchTimedOut,
+    /// The stream of watch messages ended or could not be read.
+    #[error("watch stream ended: {0}")]
+    StreamEnded(StreamEnd),
+    /// etcd reported an error on the watch stream.
+    #[error("etcd reported an error on the watch stream")]
+    ErrorMessage,
+    /// etcd cancelled the watch.
+    #[error("etcd cancelled the watch: {reason}")]
+    Cancelled {
+        /// The reason that etcd gave.
         reason: String,
     },
-    /// The revisions that follow are gone from etcd: the whole list is needed.
-    #[error("compacted")]
+    /// The revisions after the known one were compacted, so the whole list must be fetched.
+    #[error("the watched revisions were compacted")]
     Compacted,
-    /// An answer can't be read.
+    /// A message could not be read.
     #[error(transparent)]
     Message(#[from] MessageError),
 }
 
-/// Why a message of etcd, or an entry in it, can't be read.
+/// Why a message from etcd, or an entry in it, could not be read.
 #[derive(Debug, Error)]
 pub(super) enum MessageError {
-    /// It is not of the gateway's form.
+    /// The message does not have the form of the JSON gateway.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// An endpoint's entry can't be read.
+    /// An endpoint's entry is invalid.
     #[error(transparent)]
     Entry(#[from] EntryError),
-    /// A revision is no number.
+    /// A revision is not a number.
     #[error("'{0}' is not a revision")]
     BadRevision(String),
-    /// A key or value can't be decoded.
-    #[error("{field}: {source}")]
+    /// A key or value is not valid base64.
+    #[error("invalid base64 in field {field}: {source}")]
     BadBase64 {
-        /// Which.
+        /// The field: `key` or `value`.
         field: &'static str,
-        /// What is wrong.
+        /// The error of the decoder.
         source: DecodeError,
     },
-    /// A key is not below the prefix.
-    #[error("a key that names no box")]
+    /// A key is not UTF-8, does not begin with the prefix, or has no endpoint id after the prefix.
+    #[error("the key does not name an endpoint")]
     BadKey,
-    /// A key and the entry below it disagree.
-    #[error("key {key} holds the entry of {entry}")]
+    /// The endpoint id in a key differs from the id in the entry.
+    #[error("the key of endpoint {key} holds the entry of endpoint {entry}")]
     WrongEntry {
-        /// The name in the key.
+        /// The id in the key.
         key: String,
-        /// The name in the entry.
+        /// The id in the entry.
         entry: String,
     },
 }
--- a/tests/etcd.rs
+++ b/tests/etcd.rs
@@ -1,4 +1,4 @@
-//! The list of boxes from a stand-in for etcd's JSON gateway.
+//! Tests of watching the endpoint list at a stand-in for etcd's JSON gateway.
 
 mod common;
 use base64::engine::general_purpose::STANDARD;
@@ -7,42 +7,47 @@
 use shaletack::etcd;
 use shaletack::operator::Etcd;
 
+/// A key and value of the gateway: the entry of one endpoint.
 fn kv(id: &str, address: &str) -> String {
     let value = format!(r#"{{"id":"{id}","host_port":"{address}","cell":0,"phase":"up"}}"#);
     format!(r#"{{"key":"{}","value":"{}"}}"#, STANDARD.encode(format!("/boxes/{id}")), STANDARD.encode(value))
 }
 
-fn lines(lines: &[String]) -> Vec<u8> {
+/// A chunked response with one line in each chunk; the body does not end.
+fn watch_response(lines: &[String]) -> Vec<u8> {
     let chunk = |l: &String| format!("{:x}\r\n{l}\n\r\n", l.len() + 1);
     let chunks: String = lines.iter().map(chunk).collect();
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}").into_bytes()
 }
 
-fn result(what: &str) -> String {
-    format!(r#"{{"result":{{{what}}}}}"#)
+/// A message on a watch stream.
+fn result(fields: &str) -> String {
+    format!(r#"{{"result":{{{fields}}}}}"#)
 }
 
-/// A range, a watch from there on that breaks, one that is cancelled, one that is compacted, a range again:
-/// after each the list goes on where it was, and nothing is lost.
+/// Guards against losing changes when a watch ends. The stand-in answers a range request, then watches whose
+/// connection closes, that are cancelled and that are compacted, and then a range request again. Each watch
+/// must continue after the last known revision.
 #[test]
-fn the_list_goes_on_through_breaks_cancellation_and_compaction() {
+fn no_change_is_lost_by_closed_cancelled_and_compacted_watches() {
     story(async {
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
-        let place = boxed.address.to_string();
+        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+        let endpoint_address = endpoint.address.to_string();
         let agent = HttpBox::start(move |count, head| {
-            let (kv, gone) = (kv("s-1", &place), STANDARD.encode("/boxes/s-1"));
+            let (kv, removed_key) = (kv("s-1", &endpoint_address), STANDARD.encode("/boxes/s-1"));
             let unreadable = r#"{"key":"L2JveGVzL3g=","value":"eA=="}"#;
             assert_eq!(head.contains("/v3/kv/range"), [0, 5].contains(&count), "{head}");
             Some(match count {
                 0 => (answer("200 OK", format!(r#"{{"header":{{"revision":"40"}},"kvs":[{unreadable}]}}"#).as_bytes(), 0), false),
-                // Created at a later revision, whose event comes on the next watch; then a break.
-                1 => (lines(&[result(r#""header":{"revision":"45"},"created":true"#)]), true),
-                2 => (lines(&[result(&format!(r#""header":{{"revision":"45"}},"events":[{{"kv":{kv}}}]"#)),
+                // The watch is created at a later revision, whose event is only sent on the next watch, and
+                // its connection closes.
+                1 => (watch_response(&[result(r#""header":{"revision":"45"},"created":true"#)]), true),
+                2 => (watch_response(&[result(&format!(r#""header":{{"revision":"45"}},"events":[{{"kv":{kv}}}]"#)),
                     result(r#""header":{"revision":"50"}"#)]), true),
-                3 => (lines(&[result(r#""header":{"revision":"51"},"canceled":true,"cancel_reason":"moved""#)]), true),
-                4 => (lines(&[result(r#""header":{"revision":"90"},"canceled":true,"compact_revision":"80""#)]), true),
+                3 => (watch_response(&[result(r#""header":{"revision":"51"},"canceled":true,"cancel_reason":"moved""#)]), true),
+                4 => (watch_response(&[result(r#""header":{"revision":"90"},"canceled":true,"compact_revision":"80""#)]), true),
                 5 => (answer("200 OK", format!(r#"{{"header":{{"revision":"91"}},"kvs":[{kv}]}}"#).as_bytes(), 0), false),
-                _ => (lines(&[result(&format!(r#""header":{{"revision":"92"}},"events":[{{"type":"DELETE","kv":{{"key":"{gone}"}}}}]"#))]), false),
+                _ => (watch_response(&[result(&format!(r#""header":{{"revision":"92"}},"events":[{{"type":"DELETE","kv":{{"key":"{removed_key}"}}}}]"#))]), false),
             })
         })
         .await;
@@ -60,23 +65,27 @@
         while host.is_ready() {
             tokio::task::yield_now().await;
         }
-        let asked: Vec<String> =
+        let requests: Vec<String> =
             agent.seen.borrow().iter().map(|s| String::from_utf8_lossy(&s.2).into()).collect();
-        for (at, from) in [(1, 41), (2, 41), (3, 51), (4, 51), (6, 92)] {
-            assert!(asked[at].contains(&format!(r#""start_revision":"{from}""#)), "{at}: {}", asked[at]);
+        for (index, start_revision) in [(1, 41), (2, 41), (3, 51), (4, 51), (6, 92)] {
+            assert!(
+                requests[index].contains(&format!(r#""start_revision":"{start_revision}""#)),
+                "{index}: {}",
+                requests[index]
+            );
         }
         assert!(
-            asked[0].contains(&format!(r#""range_end":"{}""#, STANDARD.encode("/boxes0"))),
+            requests[0].contains(&format!(r#""range_end":"{}""#, STANDARD.encode("/boxes0"))),
             "{}",
-            asked[0]
+            requests[0]
         );
     });
 }
 
-/// A watch falls silent, and the call that follows gets no answer: what changed meanwhile counts as told 6 s after the
-/// silence began, and is there by then.
+/// Guards against a change that is learned too late. The watch falls silent and the range request that
+/// follows is not answered. A change must be known within 6 s after the silence began.
 #[test]
-fn a_silent_watch_and_a_lost_call_hide_no_change_for_six_seconds() {
+fn a_change_is_known_within_six_seconds_despite_a_silent_watch_and_a_lost_call() {
     story(async {
         let agent = HttpBox::start(move |count, _| {
             let kv = kv("s-1", "127.0.0.1:9");
@@ -89,10 +98,10 @@
                     ),
                     false,
                 )),
-                1 => Some((lines(&[result(r#""header":{"revision":"40"},"created":true"#)]), false)),
+                1 => Some((watch_response(&[result(r#""header":{"revision":"40"},"created":true"#)]), false)),
                 2 => None,
                 3 => Some((answer("200 OK", br#"{"header":{"revision":"41"},"kvs":[]}"#, 0), false)),
-                _ => Some((lines(&[result(r#""header":{"revision":"41"},"created":true"#)]), false)),
+                _ => Some((watch_response(&[result(r#""header":{"revision":"41"},"created":true"#)]), false)),
             }
         })
         .await;
@@ -103,7 +112,7 @@
         ));
         until(|| host.is_ready()).await;
         until(|| agent.seen.borrow().len() == 2).await;
-        let took = until(|| !host.is_ready()).await;
-        assert!(took < std::time::Duration::from_secs(6), "{took:?}");
+        let elapsed = until(|| !host.is_ready()).await;
+        assert!(elapsed < std::time::Duration::from_secs(6), "{elapsed:?}");
     });
 }
