--- a/src/nbd/endpoint_client.rs
+++ b/src/nbd/endpoint_client.rs
@@ -1,7 +1,7 @@
-//! Attempts at endpoints over NBD, on connections that are kept open between them.
+//! Sends commands to endpoints over NBD, on pooled connections.
 //!
-//! A handshake takes several round trips, so a connection whose reply was read to its end waits here for the next
-//! command to the same endpoint. A connection carries one command at a time.
+//! A handshake takes several round trips, so a connection whose last reply was read completely is kept for
+//! the next command to the same endpoint. A connection carries one command at a time.
 
 use super::endpoint_connection::EndpointConnection;
 use crate::broker::{AttemptProgress, AttemptResult};
@@ -16,72 +16,76 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Idle connections that are kept to one endpoint.
+/// The maximum number of idle connections that are kept to one endpoint.
 const MAX_IDLE_CONNECTIONS: usize = 16;
 
-/// Opens connections to endpoints and keeps idle ones.
+/// Opens connections to endpoints and pools idle ones.
 pub struct EndpointClient {
-    /// The name of the export that endpoints give.
+    /// The name of the export that every endpoint serves.
     pub export_name: String,
-    /// The longest that a connection and its handshake may take.
+    /// The timeout for connecting to an endpoint, including the handshake.
     pub connect_timeout: Duration,
-    /// How long an idle connection is kept; shorter than an endpoint keeps it.
+    /// How long an idle connection is kept; shorter than the endpoint's own idle timeout, so that a command
+    /// is not sent on a connection that the endpoint is closing.
     pub idle_timeout: Duration,
     idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 struct IdleConnection {
-    since: Instant,
+    idle_since: Instant,
     connection: EndpointConnection,
 }
 
-/// One command to one endpoint.
+/// A command to an endpoint. Each attempt sends it once.
 #[derive(Clone)]
 pub struct EndpointCommand {
-    /// Where its connections come from.
+    /// Provides the connections.
     pub client: Rc<EndpointClient>,
     /// The command type: READ, WRITE or FLUSH.
     pub command: u16,
-    /// A write is to be on stable storage before its reply.
+    /// Whether a write must be on stable storage before it is acknowledged.
     pub fua: bool,
-    /// Where its range begins at the endpoint, in bytes.
+    /// The offset of the range in the endpoint's export, in bytes.
     pub offset: u64,
-    /// The length of its range, in bytes.
+    /// The length of the range, in bytes.
     pub length: u32,
-    /// What is written.
+    /// The data of a write; empty for other commands.
     pub data: Bytes,
 }
 
 impl EndpointClient {
-    /// A client without open connections.
+    /// Creates a client without open connections.
     pub fn new(export_name: String, connect_timeout: Duration, idle_timeout: Duration) -> Self {
         EndpointClient { export_name, connect_timeout, idle_timeout, idle: RefCell::default() }
     }
 
-    /// An idle connection; one that the endpoint has closed or written to meanwhile is dropped.
+    /// Returns the idle connection that was used last. Drops connections that have expired, and connections
+    /// that the endpoint has closed or sent unexpected bytes on.
     fn take_idle(&self, endpoint: SocketAddr) -> Option<EndpointConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&endpoint)?;
-        while let Some(IdleConnection { since, connection }) = connections.pop() {
-            if connection.is_open_and_silent() && since.elapsed() < self.idle_timeout {
+        while let Some(IdleConnection { idle_since, connection }) = connections.pop() {
+            if connection.is_reusable() && idle_since.elapsed() < self.idle_timeout {
                 return Some(connection);
             }
         }
         None
     }
 
+    /// Keeps a connection for the next command, and drops all connections that have expired.
     fn keep_idle(&self, endpoint: SocketAddr, connection: EndpointConnection) {
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
-            connections.retain(|kept| kept.since.elapsed() < self.idle_timeout);
+            connections.retain(|idle| idle.idle_since.elapsed() < self.idle_timeout);
         }
         idle.retain(|_, connections| !connections.is_empty());
         let connections = idle.entry(endpoint).or_default();
         if connections.len() < MAX_IDLE_CONNECTIONS {
-            connections.push(IdleConnection { since: Instant::now(), connection });
+            connections.push(IdleConnection { idle_since: Instant::now(), connection });
         }
     }
 
+    /// Returns an idle connection, or opens one within the connect timeout.
     async fn connection(&self, endpoint: SocketAddr) -> Result<EndpointConnection, TransportOutcome> {
         if let Some(connection) = self.take_idle(endpoint) {
             return Ok(connection);
@@ -94,8 +98,8 @@
         let connected = connect(endpoint, self.connect_timeout).await;
         let stream = connected.map_err(|why| connect_outcome(&why))?;
         let _ = stream.set_nodelay(true);
-        let shaken = EndpointConnection::handshake(stream, &self.export_name).await;
-        shaken.map_err(|_| TransportOutcome::HandshakeFailed)
+        let handshake = EndpointConnection::handshake(stream, &self.export_name).await;
+        handshake.map_err(|_| TransportOutcome::HandshakeFailed)
     }
 }
 
@@ -118,7 +122,7 @@
                     command.client.keep_idle(to, connection);
                     AttemptResult { body: reply.data, ..AttemptResult::without_response(reply.outcome) }
                 }
-                // The connection is dropped: what may still come on it belongs to no command.
+                // The connection is dropped, because the rest of this reply may still arrive on it.
                 Err(outcome) => AttemptResult::without_response(outcome),
             }
         }
--- a/src/nbd/endpoint_connection.rs
+++ b/src/nbd/endpoint_connection.rs
@@ -1,7 +1,7 @@
-//! One connection to an endpoint, as an NBD client: the handshake, then one command after the other.
+//! An NBD client connection to an endpoint: performs the handshake and then executes one command at a time.
 //!
-//! A reply is read to its end or the connection is not used again, for the bytes of a half-read reply would be taken
-//! for the next command's.
+//! A connection is only reused if the last reply was read completely. Otherwise the rest of that reply would
+//! be taken for the reply to the next command.
 
 use super::codec::{
     chunk, cmd, command_flag, errno, info, info_request, opt, option, protocol_error, rep, transmission_flag,
@@ -17,24 +17,25 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// The most bytes that an endpoint may send in an option reply or in an error chunk.
+/// The maximum size of the data of an option reply or the content of an error chunk, in bytes.
 const MAX_TEXT_BYTES: u32 = 4096;
-/// Option replies that an endpoint may send to one option.
+/// The maximum number of replies that an endpoint may send to one option.
 const MAX_OPTION_REPLIES: usize = 64;
-/// The reply to EXPORT_NAME ends with so many bytes of padding, unless both sides set NO_ZEROES.
+/// The size of the padding at the end of the reply to EXPORT_NAME, which is left out if both sides set
+/// NO_ZEROES.
 const EXPORT_NAME_PADDING_BYTES: usize = 124;
-/// An INFO reply of type EXPORT: type, size in bytes, transmission flags.
+/// The size of the data of an INFO reply of type EXPORT: type, size of the export, transmission flags.
 const EXPORT_INFO_BYTES: usize = 2 + 8 + 2;
-/// The offset that begins the content of a chunk with data.
+/// The size of the offset at the start of an OFFSET_DATA or OFFSET_HOLE chunk's content.
 const CHUNK_OFFSET_BYTES: u32 = 8;
-/// The content of an OFFSET_HOLE chunk: an offset and a size.
+/// The size of an OFFSET_HOLE chunk's content: an offset and the size of the hole.
 const HOLE_BYTES: u32 = CHUNK_OFFSET_BYTES + 4;
-/// The error value that begins an error chunk.
+/// The size of the error value at the start of an error chunk's content.
 const ERROR_VALUE_BYTES: usize = 4;
-/// The shortest error chunk: an error value and the length of an empty text.
+/// The minimum size of an error chunk's content: an error value and the length of an empty message.
 const MIN_ERROR_BYTES: u32 = 6;
 
-/// A connection past its handshake.
+/// A connection in the transmission phase.
 pub(super) struct EndpointConnection {
     stream: BufReader<Uninterrupted<TcpStream>>,
     transmission_flags: u16,
@@ -42,11 +43,11 @@
     last_cookie: u64,
 }
 
-/// What an endpoint replied to a command.
+/// An endpoint's reply to a command.
 pub(super) struct EndpointReply {
-    /// How the attempt ended.
+    /// The outcome of the attempt.
     pub outcome: TransportOutcome,
-    /// The data of a read that is complete.
+    /// The data of a successful read, otherwise empty.
     pub data: Bytes,
 }
 
@@ -56,8 +57,8 @@
     }
 }
 
-/// A reply message: an error value, 0 for none, and the data of a read.
-struct ReplyMessage {
+/// A decoded reply: an error value, 0 for none, and the data of a read.
+struct Reply {
     error: u32,
     data: Vec<u8>,
 }
@@ -69,54 +70,59 @@
 }
 
 impl EndpointConnection {
-    /// Section "Fixed newstyle negotiation", up to the transmission phase.
+    /// Performs the handshake of section "Fixed newstyle negotiation" and selects an export.
+    ///
+    /// # Errors
+    /// The connection failed, the endpoint violated the protocol, or it does not serve the export.
     pub async fn handshake(stream: TcpStream, export_name: &str) -> io::Result<Self> {
         let mut stream = BufReader::new(Uninterrupted(stream));
         if stream.read_u64().await? != INIT_MAGIC || stream.read_u64().await? != OPT_MAGIC {
-            return Err(protocol_error("not a newstyle server"));
+            return Err(protocol_error("the endpoint is not a newstyle NBD server"));
         }
         let server_flags = stream.read_u16().await?;
         if server_flags & FIXED_NEWSTYLE == 0 {
-            return Err(protocol_error("not a fixed newstyle server"));
+            return Err(protocol_error("the endpoint does not support fixed newstyle negotiation"));
         }
         let client_flags = server_flags & (FIXED_NEWSTYLE | NO_ZEROES);
         stream.write_all(&u32::from(client_flags).to_be_bytes()).await?;
         let mut connection =
             EndpointConnection { stream, transmission_flags: 0, structured_replies: false, last_cookie: 0 };
         connection.negotiate_structured_replies().await?;
-        connection.choose_export(export_name, client_flags).await?;
+        connection.select_export(export_name, client_flags).await?;
         Ok(connection)
     }
 
     async fn negotiate_structured_replies(&mut self) -> io::Result<()> {
         self.stream.write_all(&option(opt::STRUCTURED_REPLY, &[])).await?;
-        let reply = self.option_reply(opt::STRUCTURED_REPLY).await?;
+        let reply = self.read_option_reply(opt::STRUCTURED_REPLY).await?;
         self.structured_replies = reply.reply_type == rep::ACK;
         Ok(())
     }
 
-    async fn choose_export(&mut self, export_name: &str, client_flags: u16) -> io::Result<()> {
+    /// Selects an export with GO, or with EXPORT_NAME if the endpoint does not support GO.
+    async fn select_export(&mut self, export_name: &str, client_flags: u16) -> io::Result<()> {
         self.stream.write_all(&option(opt::GO, &info_request(export_name, &[]))).await?;
         for _ in 0..MAX_OPTION_REPLIES {
-            let OptionReply { reply_type, data } = self.option_reply(opt::GO).await?;
+            let OptionReply { reply_type, data } = self.read_option_reply(opt::GO).await?;
             match reply_type {
                 rep::ACK if self.transmission_flags & transmission_flag::FLAGS != 0 => return Ok(()),
-                rep::INFO => self.learn_info(&data),
-                rep::ERR_UNSUP => return self.choose_export_by_name(export_name, client_flags).await,
-                _ => return Err(protocol_error("the export was refused")),
+                rep::INFO => self.handle_info(&data),
+                rep::ERR_UNSUP => return self.select_export_by_name(export_name, client_flags).await,
+                _ => return Err(protocol_error("the endpoint refused the export")),
             }
         }
-        Err(protocol_error("no end of option replies"))
+        Err(protocol_error("too many replies to an option"))
     }
 
-    fn learn_info(&mut self, data: &[u8]) {
+    /// Takes the transmission flags from an INFO reply of type EXPORT. Other types are ignored.
+    fn handle_info(&mut self, data: &[u8]) {
         if data.len() == EXPORT_INFO_BYTES && data[..2] == info::EXPORT.to_be_bytes() {
             self.transmission_flags = u16::from_be_bytes([data[10], data[11]]);
         }
     }
 
-    /// For servers that do not know GO.
-    async fn choose_export_by_name(&mut self, export_name: &str, client_flags: u16) -> io::Result<()> {
+    /// Selects an export with EXPORT_NAME, for servers that do not support GO.
+    async fn select_export_by_name(&mut self, export_name: &str, client_flags: u16) -> io::Result<()> {
         self.stream.write_all(&option(opt::EXPORT_NAME, export_name.as_bytes())).await?;
         let _size = self.stream.read_u64().await?;
         self.transmission_flags = self.stream.read_u16().await?;
@@ -126,21 +132,23 @@
         Ok(())
     }
 
-    async fn option_reply(&mut self, asked: u32) -> io::Result<OptionReply> {
+    /// Reads one reply to the option of number `expected_option`.
+    async fn read_option_reply(&mut self, expected_option: u32) -> io::Result<OptionReply> {
         let magic = self.stream.read_u64().await?;
         let option = self.stream.read_u32().await?;
         let reply_type = self.stream.read_u32().await?;
         let length = self.stream.read_u32().await?;
-        if magic != REP_MAGIC || option != asked || length > MAX_TEXT_BYTES {
-            return Err(protocol_error("not a reply to the option"));
+        if magic != REP_MAGIC || option != expected_option || length > MAX_TEXT_BYTES {
+            return Err(protocol_error("not a valid reply to the option"));
         }
         let mut data = vec![0; length as usize];
         self.stream.read_exact(&mut data).await?;
         Ok(OptionReply { reply_type, data })
     }
 
-    /// Whether the endpoint has neither closed the connection nor sent what nobody asked for.
-    pub fn is_open_and_silent(&self) -> bool {
+    /// Returns whether the connection can carry another command: the endpoint has neither closed it nor sent
+    /// bytes that belong to no reply.
+    pub fn is_reusable(&self) -> bool {
         let read = self.stream.get_ref().0.try_read(&mut [0]);
         let nothing_to_read = matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
         self.stream.buffer().is_empty() && nothing_to_read
@@ -150,23 +158,26 @@
         self.transmission_flags & flag != 0
     }
 
-    /// One command and its whole reply; after an error the connection can't be used again.
+    /// Sends a command and reads its complete reply.
+    ///
+    /// # Errors
+    /// The connection failed or the endpoint violated the protocol. The connection must not be used again.
     pub async fn execute(&mut self, command: &EndpointCommand) -> Result<EndpointReply, TransportOutcome> {
         let &EndpointCommand { command: command_type, offset, length, .. } = command;
         if command_type == cmd::FLUSH && !self.supports(transmission_flag::FLUSH) {
-            // Such an endpoint has nothing that is not on stable storage.
+            // An endpoint without FLUSH is taken to write to stable storage before it replies.
             return Ok(EndpointReply::without_data(TransportOutcome::Complete));
         }
-        // A later flush may go over another connection; where that does not cover this one's writes, each write is
-        // made stable at once.
-        let needs_stable = command.fua || !self.supports(transmission_flag::MULTI_CONN);
-        let stable = needs_stable && command_type == cmd::WRITE;
-        let fua = stable && self.supports(transmission_flag::FUA);
+        // A later flush may be sent on another connection. Without MULTI_CONN it does not cover the writes
+        // on this connection, so each write is made durable before it is acknowledged.
+        let needs_durability = command.fua || !self.supports(transmission_flag::MULTI_CONN);
+        let durable_write = needs_durability && command_type == cmd::WRITE;
+        let fua = durable_write && self.supports(transmission_flag::FUA);
         let flags = if fua { command_flag::FUA } else { 0 };
         let request = self.next_request(flags, command_type, offset, length);
         let reply = self.exchange(request, &command.data).await?;
         let completed = reply.outcome == TransportOutcome::Complete;
-        if completed && stable && !fua && self.supports(transmission_flag::FLUSH) {
+        if completed && durable_write && !fua && self.supports(transmission_flag::FLUSH) {
             let flush = self.next_request(0, cmd::FLUSH, 0, 0);
             return self.exchange(flush, &Bytes::new()).await;
         }
@@ -178,16 +189,17 @@
         Request { flags, command, cookie: self.last_cookie, offset, length }
     }
 
-    /// Sends one request and reads its reply.
+    /// Sends a request and reads its reply.
     async fn exchange(&mut self, request: Request, data: &Bytes) -> Result<EndpointReply, TransportOutcome> {
         let mut out = request.encode();
         out.extend_from_slice(data);
         self.stream.write_all(&out).await.map_err(|_| TransportOutcome::LostWhileWriting)?;
         let magic = self.stream.read_u32().await.map_err(|_| TransportOutcome::LostAwaitingResponse)?;
-        let reply = self.reply(&request, magic).await.map_err(|_| TransportOutcome::TruncatedResponse)?;
+        let reply =
+            self.read_reply(&request, magic).await.map_err(|_| TransportOutcome::TruncatedResponse)?;
         Ok(match reply.error {
             0 => EndpointReply { outcome: TransportOutcome::Complete, data: reply.data.into() },
-            // It is shutting down, and says so of a command that changes nothing: another endpoint may be asked.
+            // The endpoint is shutting down. A command that changes nothing may be sent to another endpoint.
             errno::SHUTDOWN if request.command != cmd::WRITE => {
                 EndpointReply::without_data(TransportOutcome::Rejected)
             }
@@ -195,32 +207,35 @@
         })
     }
 
-    /// The reply whose magic number was read. With structured replies a read is never answered by a simple one.
-    async fn reply(&mut self, request: &Request, magic: u32) -> io::Result<ReplyMessage> {
+    /// Reads the rest of a reply whose magic number has been read. Once structured replies are negotiated,
+    /// the protocol requires one for every read.
+    async fn read_reply(&mut self, request: &Request, magic: u32) -> io::Result<Reply> {
         let read = request.command == cmd::READ;
         let data_length = if read { request.length } else { 0 };
         match magic {
-            SIMPLE_REPLY_MAGIC if !(self.structured_replies && read) => self.simple_reply(data_length).await,
+            SIMPLE_REPLY_MAGIC if !(self.structured_replies && read) => {
+                self.read_simple_reply(data_length).await
+            }
             STRUCTURED_REPLY_MAGIC if self.structured_replies => {
-                self.structured_reply(request.offset, data_length).await
+                self.read_structured_reply(request.offset, data_length).await
             }
-            _ => Err(protocol_error("not a reply")),
+            _ => Err(protocol_error("not a valid reply")),
         }
     }
 
-    async fn simple_reply(&mut self, data_length: u32) -> io::Result<ReplyMessage> {
+    async fn read_simple_reply(&mut self, data_length: u32) -> io::Result<Reply> {
         let error = self.stream.read_u32().await?;
         if self.stream.read_u64().await? != self.last_cookie {
-            return Err(protocol_error("a reply to another request"));
+            return Err(protocol_error("the reply's cookie does not match the request"));
         }
         let mut data = vec![0; if error == 0 { data_length as usize } else { 0 }];
         self.stream.read_exact(&mut data).await?;
-        Ok(ReplyMessage { error, data })
+        Ok(Reply { error, data })
     }
 
-    /// The chunks of one reply, the first one's magic number already read. An error chunk counts for the whole
-    /// reply, data that came before it included.
-    async fn structured_reply(&mut self, offset: u64, data_length: u32) -> io::Result<ReplyMessage> {
+    /// Reads the chunks of a structured reply; the magic number of the first chunk has been read. An error
+    /// chunk fails the whole reply, including data that was received before it.
+    async fn read_structured_reply(&mut self, offset: u64, data_length: u32) -> io::Result<Reply> {
         let mut reply = StructuredReply::new(offset, data_length);
         loop {
             let flags = self.stream.read_u16().await?;
@@ -228,20 +243,20 @@
             let cookie = self.stream.read_u64().await?;
             let length = self.stream.read_u32().await?;
             if cookie != self.last_cookie {
-                return Err(protocol_error("a chunk of another reply"));
+                return Err(protocol_error("the chunk's cookie does not match the request"));
             }
-            self.chunk(flags, chunk_type, length, &mut reply).await?;
+            self.read_chunk_content(flags, chunk_type, length, &mut reply).await?;
             if flags & chunk::DONE != 0 {
                 return reply.finish();
             }
             if self.stream.read_u32().await? != STRUCTURED_REPLY_MAGIC {
-                return Err(protocol_error("a chunk without its magic number"));
+                return Err(protocol_error("a chunk does not begin with the magic number"));
             }
         }
     }
 
-    /// The content of one chunk.
-    async fn chunk(
+    /// Reads the content of one chunk into `reply`.
+    async fn read_chunk_content(
         &mut self,
         flags: u16,
         chunk_type: u16,
@@ -264,15 +279,15 @@
             error if error & chunk::IS_ERROR != 0 && (MIN_ERROR_BYTES..=MAX_TEXT_BYTES).contains(&length) => {
                 let value = self.stream.read_u32().await?;
                 self.stream.read_exact(&mut vec![0; length as usize - ERROR_VALUE_BYTES]).await?;
-                reply.fail(value);
+                reply.set_error(value);
                 Ok(())
             }
-            _ => Err(protocol_error("an unknown chunk")),
+            _ => Err(protocol_error("a chunk of unknown type or invalid length")),
         }
     }
 }
 
-/// The data of a read, put together from chunks that may come in any order.
+/// Assembles the data of a read from chunks, which may arrive in any order.
 struct StructuredReply {
     offset: u64,
     data: Vec<u8>,
@@ -285,29 +300,35 @@
         StructuredReply { offset, data: vec![0; data_length as usize], received: Vec::new(), error: 0 }
     }
 
-    /// The part of the data that a chunk fills.
+    /// Marks a range as received and returns its position in the data.
+    ///
+    /// # Errors
+    /// The range is not within the request's range.
     fn add_range(&mut self, offset: u64, length: u32) -> io::Result<Range<usize>> {
         let start = offset.wrapping_sub(self.offset);
         let end = start.checked_add(length.into()).filter(|end| *end <= self.data.len() as u64);
-        let end = end.ok_or_else(|| protocol_error("a chunk outside its request"))?;
+        let end = end.ok_or_else(|| protocol_error("a chunk lies outside the requested range"))?;
         let range = start as usize..end as usize;
         self.received.push(range.clone());
         Ok(range)
     }
 
-    /// The first error counts; one that says 0 is an error all the same.
-    fn fail(&mut self, value: u32) {
+    /// Records the value of an error chunk. The first error is kept, and a value of 0 is treated as an error
+    /// too.
+    fn set_error(&mut self, value: u32) {
         if self.error == 0 {
             self.error = value.max(1);
         }
     }
 
-    /// Without an error the chunks have to hold each byte once.
-    fn finish(mut self) -> io::Result<ReplyMessage> {
+    /// Returns the reply. Unless there was an error, the chunks must have covered each byte exactly once.
+    fn finish(mut self) -> io::Result<Reply> {
         if self.error == 0 && !self.is_complete() {
-            return Err(protocol_error("a reply with parts missing or sent twice"));
+            return Err(protocol_error(
+                "the chunks of a reply do not cover the requested range exactly once",
+            ));
         }
-        Ok(ReplyMessage { error: self.error, data: self.data })
+        Ok(Reply { error: self.error, data: self.data })
     }
 
     fn is_complete(&mut self) -> bool {
--- a/src/nbd/front/client_stream.rs
+++ b/src/nbd/front/client_stream.rs
@@ -1,5 +1,5 @@
-//! The two halves of a client's connection: reading with a limit on how long a client may stop, and writing replies until
-//! the client has left.
+//! The two halves of a client's connection: reads that time out if the client stalls, and a loop that writes
+//! replies until the client disconnects.
 
 use super::replies::OutgoingMessage;
 use crate::nbd::codec::Request;
@@ -10,13 +10,13 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc;
 
-/// A client that stops for so long in the middle of a command has left.
+/// A client that sends nothing for this long in the middle of a command is disconnected.
 const READ_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A client that takes nothing of its replies for so long has left.
+/// A client to which a message cannot be written completely within this time is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often it is checked whether a client is still there, while something that it sent is unread.
+/// How often the connection is checked for a disconnect while received bytes wait to be read.
 const CLIENT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Data that is not used is read in pieces of so many bytes.
+/// The size of the buffer into which discarded data is read.
 const DISCARD_BUFFER_BYTES: usize = 8192;
 
 /// The receiving half.
@@ -24,7 +24,11 @@
 /// The sending half.
 pub(super) type Writer = Uninterrupted<OwnedWriteHalf>;
 
-/// The next request message. A client may rest before it for as long as it likes, and not in the middle of it.
+/// Reads the next request. A client may be idle between two requests for any length of time, but not within
+/// one.
+///
+/// # Errors
+/// The connection failed or was closed, the client stalled, or it violated the protocol.
 pub(super) async fn read_request(reader: &mut Reader) -> io::Result<Request> {
     if reader.fill_buf().await?.is_empty() {
         return Err(io::ErrorKind::UnexpectedEof.into());
@@ -32,7 +36,10 @@
     tokio::time::timeout(READ_TIMEOUT, Request::read(reader)).await?
 }
 
-/// Data that follows, from a client that may be slow and does not stop.
+/// Fills `data` from the connection. The client may be slow, but must not stall.
+///
+/// # Errors
+/// The connection failed or was closed, or the client stalled.
 pub(super) async fn read_data(reader: &mut Reader, data: &mut [u8]) -> io::Result<()> {
     let mut received = 0;
     while received < data.len() {
@@ -45,7 +52,10 @@
     Ok(())
 }
 
-/// Reads `length` bytes that nobody needs.
+/// Reads and discards `length` bytes.
+///
+/// # Errors
+/// The connection failed or was closed, or the client stalled.
 pub(super) async fn discard(reader: &mut Reader, length: u32) -> io::Result<()> {
     let mut buffer = [0; DISCARD_BUFFER_BYTES];
     let mut remaining = length as usize;
@@ -57,16 +67,16 @@
     Ok(())
 }
 
-/// Writes replies until there are no more, or the client has left.
+/// Writes replies until the queue is closed and empty, or the client disconnects.
 pub(super) async fn write_replies(mut writer: Writer, mut queue: mpsc::Receiver<OutgoingMessage>) {
     loop {
         let next = tokio::select! {
             next = queue.recv() => next,
-            () = client_left(&writer) => return,
+            () = client_disconnected(&writer) => return,
         };
         let Some(message) = next else { return };
         let written = async {
-            writer.write_all(&message.head).await?;
+            writer.write_all(&message.header).await?;
             writer.write_all(&message.data).await
         };
         if !matches!(tokio::time::timeout(WRITE_TIMEOUT, written).await, Ok(Ok(()))) {
@@ -75,10 +85,11 @@
     }
 }
 
-/// Completes once the client has closed its connection, or its sending half: whatever it sent before and nobody has
-/// read yet, and whatever the connection waits for.
-async fn client_left(writer: &Writer) {
-    // Where nothing comes this waits; where something came that nobody reads yet it checks now and then.
+/// Completes once the client has closed the connection or its sending half, even if bytes that it sent
+/// before are still unread, and regardless of what the session is waiting for.
+async fn client_disconnected(writer: &Writer) {
+    // Without unread bytes, `ready` waits. With unread bytes, it returns at once and is polled at an
+    // interval.
     while writer.0.as_ref().ready(Interest::READABLE).await.is_ok_and(|ready| !ready.is_read_closed()) {
         tokio::time::sleep(CLIENT_CHECK_INTERVAL).await;
     }
--- a/src/nbd/front/command_error.rs
+++ b/src/nbd/front/command_error.rs
@@ -1,19 +1,20 @@
-//! Why a command failed, as its client is told: an NBD error value, and a text where replies are structured.
+//! The errors that are reported to clients: an NBD error value and, in structured replies, a message.
 
 use crate::nbd::codec::errno;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a command failed. The connection goes on.
+/// Why a command failed. The connection stays open. The `Display` text is sent to the client in structured
+/// replies, so it is part of the interface.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub(super) enum CommandError {
-    /// Not a command type of this server.
+    /// The server does not support the command type.
     #[error("an unknown command")]
     UnknownCommand,
-    /// A command flag that was not offered, or not for this command.
+    /// A command flag was not negotiated, or does not apply to the command.
     #[error("a flag that does not fit")]
     UnsupportedFlag,
-    /// FLUSH with an offset or a length.
+    /// A FLUSH has an offset or a length.
     #[error("a flush has no range")]
     FlushWithRange,
     /// The range ends beyond the export.
@@ -22,34 +23,34 @@
     /// The range is empty.
     #[error("of no length")]
     EmptyRange,
-    /// The range is larger than clients are told.
+    /// The range is larger than the maximum block size that clients are told.
     #[error("too large")]
     TooLarge,
     /// This process is shutting down.
     #[error("stopping")]
     ShuttingDown,
-    /// An endpoint failed, or no attempt completed in time.
+    /// An endpoint reported an error, or no attempt completed in time.
     #[error("failed")]
     Failed,
-    /// Some parts of a write were written and others rejected.
+    /// Some parts of a write were written and others were rejected.
     #[error("failed: written in part")]
     PartlyWritten,
-    /// Unserved, for want of capacity; nothing was changed.
+    /// The command was rejected for lack of capacity; nothing was changed.
     #[error("refused: come back in {:.3} s", .retry_after.as_secs_f64())]
     Rejected {
-        /// When the client may come again.
+        /// How long the client should wait before it retries.
         retry_after: Duration,
     },
     /// The write-back log is full; nothing was changed.
     #[error("refused: the buffer is full")]
     LogFull,
-    /// The write can't be buffered, or was not durable in time.
+    /// The write is too large for the write-back log, or a write or flush was not durable in time.
     #[error("failed: the buffer takes nothing")]
     NotBuffered,
 }
 
 impl CommandError {
-    /// The error value of the reply, of section "Error values".
+    /// Returns the error value of the reply, as section "Error values" of the protocol defines it.
     pub fn errno(self) -> u32 {
         match self {
             CommandError::UnknownCommand
--- a/src/nbd/front/execute.rs
+++ b/src/nbd/front/execute.rs
@@ -1,11 +1,12 @@
-//! Carries out one command: asks the core for each of its parts and puts the answers together into one reply.
+//! Executes a command: submits each of its parts to the core as a request, and combines the answers into one
+//! reply.
 //!
-//! A read ends with its first part that is not served. A write or flush waits for all of its parts, for a part that is
-//! still in flight may yet be written. Writes to an export with write-back go to the write-back cache instead, and
-//! reads from it are overlaid with what is buffered.
+//! A read fails with its first part that is not served. A write or flush waits for all of its parts, because
+//! a part that is still in flight may yet be written. Writes to an export with write-back go to the
+//! write-back cache instead of the endpoints, and buffered writes are overlaid on the data of reads.
 
 use super::command_error::CommandError;
-use super::split::{parts, Part};
+use super::split::{split_command, Part};
 use super::transmission::{AdmittedCommand, Session};
 use crate::broker::{Answer, IncomingRequest};
 use crate::interface::Settings;
@@ -18,20 +19,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A part of a command, and what the core answered.
+/// A part of a command and the core's answer.
 struct AnsweredPart {
     part: Part,
     answer: Answer,
 }
 
-/// How the parts of a write or flush ended.
+/// The combined outcome of the parts of a write or flush.
 #[derive(Default)]
 struct WriteOutcome {
-    /// Parts that were served.
+    /// The number of parts that were served.
     served: usize,
-    /// The first part that was rejected, and the longest wait of all that were.
+    /// The offset in the export of the first rejected part, and the longest retry time of all rejected parts.
     rejected: Option<RejectedPart>,
-    /// Where in the export a part failed.
+    /// The offset in the export of the last part that failed.
     failed_at: Option<u64>,
 }
 
@@ -40,7 +41,7 @@
     retry_after: Duration,
 }
 
-/// Why a command failed, and where in the export.
+/// Why a command failed, and at which offset in the export.
 struct FailedCommand {
     error: CommandError,
     offset: u64,
@@ -59,7 +60,8 @@
         }
     }
 
-    /// A rejected write may be tried again without harm only if no part of it ran.
+    /// Returns the result of the command. A write is only reported as rejected if no part was written: a
+    /// client may take a rejection to mean that nothing changed.
     fn result(self, command: u16) -> Result<(), FailedCommand> {
         if let Some(offset) = self.failed_at {
             return Err(FailedCommand { error: CommandError::Failed, offset });
@@ -75,9 +77,9 @@
 }
 
 impl Session {
-    /// Carries out a command and queues its reply.
+    /// Executes a command and queues its reply.
     pub async fn execute(&self, command: AdmittedCommand) {
-        let parts = parts(&command.request, &self.export, &self.shared.operator);
+        let parts = split_command(&command.request, &self.export, &self.shared.operator);
         let cache = self.shared.write_back.as_ref().filter(|_| self.export.write_back);
         match (command.request.command, cache) {
             (cmd::READ, _) => self.read(&command, &parts, cache).await,
@@ -88,14 +90,16 @@
 
     async fn read(&self, command: &AdmittedCommand, parts: &[Part], cache: Option<&WriteBackCache>) {
         let AdmittedCommand { request, memory, .. } = command;
-        // Taken before any endpoint is asked: what is settled meanwhile may not be in what they answer.
+        // Taken before any endpoint is read: a write that is settled during the read may be missing from the
+        // endpoint's data.
         let overlay = cache.map(|cache| cache.overlay(&self.export, request.offset, request.length));
         let overlay = &overlay.unwrap_or_default();
         let reads = parts.iter().map(|part| self.read_part(request, *part, overlay));
         let mut reads: FuturesUnordered<_> = reads.collect();
-        // Parts go out as they come where the client takes them so; else all are put together first.
+        // With structured replies and without DF, each part is sent as soon as it is available. Otherwise
+        // the parts are assembled first.
         let in_chunks = self.replies.are_structured() && request.flags & command_flag::DF == 0;
-        let mut complete = vec![0; if in_chunks { 0 } else { request.length as usize }];
+        let mut assembled = vec![0; if in_chunks { 0 } else { request.length as usize }];
         while let Some(AnsweredPart { part, answer }) = reads.next().await {
             let offset = part.export_offset(request);
             let error = match answer {
@@ -104,7 +108,7 @@
                     continue;
                 }
                 Answer::Served(data) => {
-                    complete[part.range_offset as usize..][..data.len()].copy_from_slice(&data);
+                    assembled[part.range_offset as usize..][..data.len()].copy_from_slice(&data);
                     continue;
                 }
                 Answer::Rejected(retry_after) => CommandError::Rejected { retry_after },
@@ -118,11 +122,12 @@
             self.replies.done(request.cookie).await;
         } else {
             let offset = request.offset;
-            self.replies.complete_data(request.cookie, offset, complete.into(), memory.clone()).await;
+            self.replies.complete_data(request.cookie, offset, assembled.into(), memory.clone()).await;
         }
     }
 
-    /// What is buffered goes over what the endpoint holds; where all is buffered the endpoint is not asked.
+    /// Reads one part and overlays buffered writes on the endpoint's data. The endpoint is not read if the
+    /// whole part is buffered.
     async fn read_part(&self, request: &Request, part: Part, overlay: &Overlay) -> AnsweredPart {
         let offset = part.export_offset(request);
         if overlay.covers(offset, part.length) {
@@ -138,7 +143,7 @@
         AnsweredPart { part, answer }
     }
 
-    /// A write or flush that goes to the endpoints.
+    /// Executes a write or flush at the endpoints and queues its reply.
     async fn write_to_endpoints(&self, command: &AdmittedCommand, parts: &[Part]) {
         let AdmittedCommand { request, data, .. } = command;
         let writes = parts.iter().map(|part| async {
@@ -159,11 +164,11 @@
         }
     }
 
-    /// A write or flush of an export with write-back.
+    /// Executes a write or flush of an export with write-back and queues its reply.
     async fn write_to_cache(&self, command: &AdmittedCommand, parts: &[Part], cache: &WriteBackCache) {
         let AdmittedCommand { request, data, .. } = command;
         let deadline = class_deadline(&self.shared.host.settings(), self.shared.operator.classes.write);
-        let done = if request.command == cmd::FLUSH {
+        let result = if request.command == cmd::FLUSH {
             cache.flush(&self.export, deadline).await
         } else {
             let piece = |part: &Part| Piece {
@@ -176,7 +181,7 @@
             let fua = request.flags & command_flag::FUA != 0;
             cache.write(&self.export, pieces, fua, deadline).await
         };
-        let error = match done {
+        let error = match result {
             Ok(()) => return self.replies.done(request.cookie).await,
             Err(WriteError::LogFull) => CommandError::LogFull,
             Err(WriteError::TooLarge | WriteError::NotDurableInTime) => CommandError::NotBuffered,
@@ -184,10 +189,10 @@
         self.replies.error(request.cookie, error, None).await;
     }
 
-    /// Asks the core for one part. Background work on the shard waits meanwhile.
+    /// Submits one part to the core and waits for the answer. Background work on the shard pauses meanwhile.
     async fn request_part(&self, request: &Request, part: Part, data: Bytes) -> Answer {
         let write_back = self.shared.write_back.as_ref();
-        let _demand = write_back.map(|cache| cache.client_request(part.shard));
+        let _demand_guard = write_back.map(|cache| cache.client_request(part.shard));
         let command = EndpointCommand {
             client: self.shared.endpoints.clone(),
             command: request.command,
@@ -215,7 +220,8 @@
         }
     }
 
-    /// The request class of a command. A read is large by its whole length, not by that of its parts.
+    /// Returns the request class of a command. A read counts as large by the length of the command, not by
+    /// that of its parts.
     fn class(&self, request: &Request) -> u16 {
         let operator = &self.shared.operator;
         match request.command {
@@ -225,13 +231,16 @@
         }
     }
 
-    /// Parts of the same region of a volume have the same key, so that they go to the same place; 0 is no key.
+    /// Returns the placement key of a part. Parts in the same region of a volume have the same key, so that
+    /// the scheduler can send them to the same endpoint in succession. The result is never 0, which means no
+    /// key.
     fn placement_key(&self, part: Part) -> u64 {
         let region = part.endpoint_offset / u64::from(self.shared.operator.large_read_threshold);
         1 + (region ^ self.export.volume.rotate_left(24)) % (u64::MAX - 1)
     }
 }
 
+/// Returns the deadline of a request class, or zero for an unknown class.
 fn class_deadline(settings: &Settings, class: u16) -> Duration {
     settings.classes.get(class as usize).map_or(Duration::ZERO, |class| class.deadline)
 }
--- a/src/nbd/front/handshake.rs
+++ b/src/nbd/front/handshake.rs
@@ -1,5 +1,6 @@
-//! The handshake phase: "Fixed newstyle negotiation" and "Option haggling" of the NBD protocol, until the client has
-//! chosen an export. What is read before a client has chosen one is bounded in number and size.
+//! The handshake phase, up to the client's choice of an export: sections "Fixed newstyle negotiation" and
+//! "Option haggling" of the NBD protocol. The number and size of the options that a client may send are
+//! limited.
 
 use super::client_stream::{discard, Reader, Writer};
 use super::transmission::{MAX_COMMAND_BYTES, MAX_DISCARDED_BYTES};
@@ -12,45 +13,48 @@
 use std::io;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Options that a client may send.
+/// The maximum number of options that a client may send.
 const MAX_OPTIONS: usize = 64;
-/// The largest option that is looked at, in bytes.
+/// The maximum size of an option's data, in bytes. Larger data is discarded and answered with ERR_TOO_BIG.
 const MAX_OPTION_BYTES: u32 = 8192;
-/// The reply to EXPORT_NAME: size in bytes and transmission flags, and padding unless the client set NO_ZEROES.
+/// The size of the reply to EXPORT_NAME: size of the export and transmission flags.
 const EXPORT_NAME_REPLY_BYTES: usize = 8 + 2;
+/// The size of the same reply with the padding that is sent unless the client set NO_ZEROES.
 const PADDED_EXPORT_NAME_REPLY_BYTES: usize = EXPORT_NAME_REPLY_BYTES + 124;
-/// Any block size is served, and this one is preferred, in bytes.
+/// The minimum block size that clients are told, in bytes: any range is served.
 const MIN_BLOCK_BYTES: u32 = 1;
+/// The preferred block size that clients are told, in bytes.
 const PREFERRED_BLOCK_BYTES: u32 = 4096;
 
-/// What a client chose.
+/// The result of a successful handshake.
 pub(super) struct Negotiated {
-    /// The export that it mounts.
+    /// The export that the client selected.
     pub export: Export,
-    /// Whether it takes structured replies.
+    /// Whether the client negotiated structured replies.
     pub structured_replies: bool,
 }
 
-/// One option; its data is left out where it is too large.
+/// An option that a client sent. `data` is `None` if it is larger than [`MAX_OPTION_BYTES`].
 struct ClientOption {
     number: u32,
     data: Option<Vec<u8>>,
 }
 
-/// What follows an option.
+/// How an option is answered.
 enum OptionAnswer {
-    /// A reply, and then another option.
+    /// Sends the reply and waits for the next option.
     Reply(Vec<u8>),
-    /// A reply, and the transmission phase.
-    Chosen { reply: Vec<u8>, export: Export },
-    /// A reply, and the end of the connection.
+    /// Sends the reply and enters the transmission phase.
+    Selected { reply: Vec<u8>, export: Export },
+    /// Sends the reply and closes the connection.
     Abort(Vec<u8>),
 }
 
-/// Goes through the handshake; `None`: the client left, or asked for what its last option can't be refused.
+/// Performs the handshake. Returns `None` if the client aborted it, or if EXPORT_NAME failed, which cannot be
+/// reported to the client.
 ///
 /// # Errors
-/// The connection failed, or the client broke the protocol.
+/// The connection failed, or the client violated the protocol.
 pub(super) async fn handshake(
     shared: &Shared,
     reader: &mut Reader,
@@ -62,7 +66,7 @@
         let option = read_option(reader).await?;
         match haggling.answer(option) {
             OptionAnswer::Reply(reply) => writer.write_all(&reply).await?,
-            OptionAnswer::Chosen { reply, export } => {
+            OptionAnswer::Selected { reply, export } => {
                 writer.write_all(&reply).await?;
                 let structured_replies = haggling.structured_replies;
                 return Ok(Some(Negotiated { export, structured_replies }));
@@ -73,10 +77,10 @@
             }
         }
     }
-    Err(protocol_error("no end of options"))
+    Err(protocol_error("too many options"))
 }
 
-/// The first messages of both sides; returns the client's flags.
+/// Exchanges the handshake flags with the client, and returns the client's.
 async fn exchange_flags(reader: &mut Reader, writer: &mut Writer) -> io::Result<u32> {
     let mut greeting = INIT_MAGIC.to_be_bytes().to_vec();
     greeting.extend(OPT_MAGIC.to_be_bytes());
@@ -91,14 +95,14 @@
 
 async fn read_option(reader: &mut Reader) -> io::Result<ClientOption> {
     if reader.read_u64().await? != OPT_MAGIC {
-        return Err(protocol_error("an option without its magic number"));
+        return Err(protocol_error("an option does not begin with the magic number"));
     }
     let number = reader.read_u32().await?;
     let length = reader.read_u32().await?;
     if length > MAX_OPTION_BYTES {
-        // EXPORT_NAME has no reply that could say so.
+        // EXPORT_NAME has no reply that could report the error.
         if length > MAX_DISCARDED_BYTES || number == opt::EXPORT_NAME {
-            return Err(protocol_error("an option too large"));
+            return Err(protocol_error("an option is too large"));
         }
         discard(reader, length).await?;
         return Ok(ClientOption { number, data: None });
@@ -121,10 +125,10 @@
         let reply = |reply_type| OptionAnswer::Reply(option_reply(number, reply_type, &[]));
         let Some(data) = option.data else { return reply(rep::ERR_TOO_BIG) };
         match number {
-            opt::EXPORT_NAME => self.choose_by_name(data),
+            opt::EXPORT_NAME => self.select_by_name(data),
             opt::ABORT => OptionAnswer::Abort(option_reply(number, rep::ACK, &[])),
             _ if self.shared.host.is_stopping() => reply(rep::ERR_SHUTDOWN),
-            opt::LIST if data.is_empty() => OptionAnswer::Reply(self.list()),
+            opt::LIST if data.is_empty() => OptionAnswer::Reply(self.list_exports()),
             opt::STRUCTURED_REPLY if data.is_empty() => {
                 self.structured_replies = true;
                 reply(rep::ACK)
@@ -135,13 +139,13 @@
         }
     }
 
-    fn export(&self, name: &str) -> Option<&Export> {
+    fn find_export(&self, name: &str) -> Option<&Export> {
         self.shared.operator.exports.iter().find(|export| export.name == name)
     }
 
-    /// EXPORT_NAME has no reply for an error: the connection ends.
-    fn choose_by_name(&self, name: Vec<u8>) -> OptionAnswer {
-        let export = String::from_utf8(name).ok().and_then(|name| self.export(&name));
+    /// Answers EXPORT_NAME. Its reply cannot report an error, so the connection is closed instead.
+    fn select_by_name(&self, name: Vec<u8>) -> OptionAnswer {
+        let export = String::from_utf8(name).ok().and_then(|name| self.find_export(&name));
         let Some(export) = export.filter(|_| !self.shared.host.is_stopping()) else {
             return OptionAnswer::Abort(Vec::new());
         };
@@ -149,10 +153,11 @@
         reply.extend(transmission_flags(self.structured_replies).to_be_bytes());
         let padded = self.client_flags & u32::from(NO_ZEROES) == 0;
         reply.resize(if padded { PADDED_EXPORT_NAME_REPLY_BYTES } else { EXPORT_NAME_REPLY_BYTES }, 0);
-        OptionAnswer::Chosen { reply, export: export.clone() }
+        OptionAnswer::Selected { reply, export: export.clone() }
     }
 
-    fn list(&self) -> Vec<u8> {
+    /// Encodes the replies to LIST: one for each export, and the final ACK.
+    fn list_exports(&self) -> Vec<u8> {
         let server = |export: &Export| {
             let name = export.name.as_bytes();
             let data = [&(name.len() as u32).to_be_bytes(), name].concat();
@@ -167,25 +172,27 @@
         let Some(request) = InfoRequest::parse(data) else {
             return OptionAnswer::Reply(option_reply(number, rep::ERR_INVALID, &[]));
         };
-        let Some(export) = self.export(&request.export_name) else {
+        let Some(export) = self.find_export(&request.export_name) else {
             return OptionAnswer::Reply(option_reply(number, rep::ERR_UNKNOWN, b"there is no such export"));
         };
         let reply = export_info(number, export, self.structured_replies, &request.info_types);
         match number {
-            opt::GO => OptionAnswer::Chosen { reply, export: export.clone() },
+            opt::GO => OptionAnswer::Selected { reply, export: export.clone() },
             _ => OptionAnswer::Reply(reply),
         }
     }
 }
 
-/// Several connections may be used at once: a flush reaches every endpoint, whichever connection wrote.
+/// Returns the transmission flags of every export. MULTI_CONN is set because a flush covers the writes of all
+/// connections: it is sent to every shard of the export, or waits for all buffered writes to the export.
 fn transmission_flags(structured_replies: bool) -> u16 {
-    let reads = if structured_replies { transmission_flag::DF } else { 0 };
-    let writes = transmission_flag::FLUSH | transmission_flag::FUA | transmission_flag::MULTI_CONN;
-    transmission_flag::FLAGS | writes | reads
+    let read_flags = if structured_replies { transmission_flag::DF } else { 0 };
+    let write_flags = transmission_flag::FLUSH | transmission_flag::FUA | transmission_flag::MULTI_CONN;
+    transmission_flag::FLAGS | write_flags | read_flags
 }
 
-/// The replies to INFO or GO: what has to be told, and what was asked for.
+/// Encodes the replies to INFO or GO: the size, flags and block sizes, which are always sent, the other
+/// information that the client requested, and the final ACK.
 fn export_info(option: u32, export: &Export, structured_replies: bool, info_types: &[u16]) -> Vec<u8> {
     let info = |info_type: u16, data: &[u8]| {
         option_reply(option, rep::INFO, &[&info_type.to_be_bytes(), data].concat())
--- a/src/nbd/front/in_flight.rs
+++ b/src/nbd/front/in_flight.rs
@@ -1,35 +1,37 @@
-//! Limits on what commands in work may hold, so that clients that send much and read little can't use up the process's
-//! memory. A command that finds no place waits, and its connection is not read meanwhile.
+//! Limits on the commands in flight and the memory that they hold, so that clients that send many commands
+//! and read few replies cannot exhaust the process's memory. A command that exceeds a limit waits, and its
+//! connection is not read meanwhile.
 
 use std::io;
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Commands of one connection that may be in work at a time.
+/// The maximum number of commands in flight on one connection.
 const MAX_COMMANDS_PER_CONNECTION: usize = 16;
-/// What the commands of all connections may hold together, in KiB: a third of the platform's memory.
+/// The maximum memory of the commands of all connections together, in KiB: a third of the memory that the
+/// platform gives the process.
 const MAX_MEMORY_KIB: usize = 64 << 10;
-/// Memory is reserved in steps of so many bytes.
+/// The granularity at which memory is reserved, in bytes.
 const BYTES_PER_KIB: u32 = 1024;
 
-/// The memory that the commands of all connections share.
+/// The memory budget that the commands of all connections share.
 pub(super) struct MemoryBudget {
     kibibytes: Arc<Semaphore>,
 }
 
-/// Memory of one command; it is free again when the last clone is dropped.
+/// The memory that is reserved for one command. It is released when the last clone is dropped.
 #[derive(Clone)]
 pub(super) struct MemoryReservation {
     _permit: Arc<OwnedSemaphorePermit>,
 }
 
 impl MemoryBudget {
-    /// All of it is free.
+    /// Creates a budget of which nothing is reserved.
     pub fn new() -> Self {
         MemoryBudget { kibibytes: Arc::new(Semaphore::new(MAX_MEMORY_KIB)) }
     }
 
-    /// Waits until there is memory for a command with so many bytes of data.
+    /// Waits until memory is free for a command with `data_bytes` bytes of data, and reserves it.
     pub async fn reserve(&self, data_bytes: u32) -> io::Result<MemoryReservation> {
         let kibibytes = 1 + data_bytes / BYTES_PER_KIB;
         let permit = self.kibibytes.clone().acquire_many_owned(kibibytes).await;
@@ -38,23 +40,23 @@
     }
 }
 
-/// The places for commands of one connection.
+/// The limit on commands in flight on one connection.
 pub(super) struct CommandSlots {
     slots: Arc<Semaphore>,
 }
 
-/// The place of one command, free again when it is dropped.
+/// The slot of one command in flight. It is released when dropped.
 pub(super) struct CommandSlot {
     _permit: OwnedSemaphorePermit,
 }
 
 impl CommandSlots {
-    /// All of them are free.
+    /// Creates the slots of a connection, all of them free.
     pub fn new() -> Self {
         CommandSlots { slots: Arc::new(Semaphore::new(MAX_COMMANDS_PER_CONNECTION)) }
     }
 
-    /// Waits until one is free.
+    /// Waits until a slot is free, and takes it.
     pub async fn acquire(&self) -> io::Result<CommandSlot> {
         let permit = self.slots.clone().acquire_owned().await;
         Ok(CommandSlot { _permit: permit.map_err(|_| io::ErrorKind::BrokenPipe)? })
--- a/src/nbd/front/split.rs
+++ b/src/nbd/front/split.rs
@@ -1,38 +1,39 @@
-//! Cuts a command into parts: an export lies on several shards, and a request of the core goes to one of them and has a
-//! largest size.
+//! Splits a command into parts: an export lies on several shards, while a request of the core goes to one
+//! shard and has a maximum size.
 
 use crate::nbd::codec::{cmd, Request};
 use crate::operator::{Export, Operator};
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// A part of a command that lies on one shard and is no larger than a request may be.
+/// A part of a command that lies on one shard and does not exceed the maximum size of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Part {
-    /// The shard it lies on.
+    /// The shard that holds the part.
     pub shard: u16,
-    /// Where it begins in the command's range, in bytes.
+    /// The offset of the part in the command's range, in bytes.
     pub range_offset: u32,
-    /// Its length in bytes.
+    /// The length of the part, in bytes.
     pub length: u32,
-    /// Where it begins at the endpoint, in bytes.
+    /// The offset of the part in the endpoint's export, in bytes.
     pub endpoint_offset: u64,
 }
 
 impl Part {
-    /// Its place in the command's data.
+    /// Returns the range of the part in the command's data.
     pub fn data_range(&self) -> Range<usize> {
         self.range_offset as usize..(self.range_offset + self.length) as usize
     }
 
-    /// Where it begins in the export, in bytes.
+    /// Returns the offset of the part in the export, in bytes.
     pub fn export_offset(&self, request: &Request) -> u64 {
         request.offset + u64::from(self.range_offset)
     }
 }
 
-/// The parts of a command in the order of the export; a flush has one for each shard.
-pub(super) fn parts(request: &Request, export: &Export, operator: &Operator) -> Vec<Part> {
+/// Returns the parts of a command, by their offset in the export. A flush has one part for each shard of the
+/// export.
+pub(super) fn split_command(request: &Request, export: &Export, operator: &Operator) -> Vec<Part> {
     if request.command == cmd::FLUSH {
         return flush_parts(export);
     }
--- a/src/nbd/front/transmission.rs
+++ b/src/nbd/front/transmission.rs
@@ -1,5 +1,6 @@
-//! The transmission phase of one connection: commands are read one after the other, checked, and carried out side by side.
-//! Replies may come in another order than the commands, as the protocol's section "Ordering of messages and writes" allows.
+//! The transmission phase of one connection: commands are read and validated one after the other, and
+//! executed concurrently. Replies may be sent in another order than the commands, as the protocol's section
+//! "Ordering of messages and writes" allows.
 
 use super::client_stream::{discard, read_data, read_request, Reader};
 use super::command_error::CommandError;
@@ -14,39 +15,40 @@
 use std::rc::Rc;
 use tokio::task::JoinSet;
 
-/// The largest read or write that is served, in bytes, as clients are told.
+/// The maximum size of a read or write, in bytes. Clients are told it as the maximum block size.
 pub(super) const MAX_COMMAND_BYTES: u32 = 1 << 20;
-/// The largest write or option whose data is read so that it can be answered with an error, in bytes; a larger one ends
-/// the connection.
+/// The maximum size of the data of an invalid write or option that is read and discarded, in bytes, so that
+/// an error can be returned. Larger data ends the connection.
 pub(super) const MAX_DISCARDED_BYTES: u32 = 32 << 20;
 
-/// One client past its handshake.
+/// A client's session in the transmission phase.
 pub(super) struct Session {
-    /// What all connections share.
+    /// The state that all client connections share.
     pub shared: Rc<Shared>,
     /// The export that the client mounted.
     pub export: Export,
-    /// Where its replies go.
+    /// Queues the replies to the client.
     pub replies: Replies,
 }
 
-/// A command that is carried out, with all that it holds meanwhile.
+/// A command that was admitted, with the resources that it holds.
 pub(super) struct AdmittedCommand {
-    /// The request message.
+    /// The request.
     pub request: Request,
-    /// What is written.
+    /// The data of a write; empty for other commands.
     pub data: Bytes,
-    /// Held until its reply is written.
+    /// The memory for the command's data. For a read it is held until the data is written to the client.
     pub memory: MemoryReservation,
-    /// Held until it is over.
+    /// The command's slot; held until the command has been executed.
     pub _slot: CommandSlot,
 }
 
 impl Session {
-    /// Takes commands until the client disconnects or the process shuts down, and ends once they are replied to.
+    /// Reads and executes commands until the client sends DISC or the process shuts down. Returns when the
+    /// replies to all of them are queued.
     ///
     /// # Errors
-    /// The connection failed or the client broke the protocol: nobody waits for the replies.
+    /// The connection failed, or the client violated the protocol. Commands in flight are cancelled.
     pub async fn serve_commands(self: Rc<Self>, mut reader: Reader, shutdown: Shutdown) -> io::Result<()> {
         let mut commands = JoinSet::new();
         let slots = CommandSlots::new();
@@ -69,8 +71,8 @@
         Ok(())
     }
 
-    /// Checks a command, waits until there is a place and memory for it, and reads its data; `None`: it was replied to
-    /// with an error.
+    /// Validates a command, waits for a slot and for memory, and reads the command's data. Returns `None` if
+    /// the command is invalid and was answered with an error.
     async fn admit(
         &self,
         reader: &mut Reader,
@@ -79,9 +81,9 @@
     ) -> io::Result<Option<AdmittedCommand>> {
         let data_length = if request.command == cmd::WRITE { request.length } else { 0 };
         if data_length > MAX_DISCARDED_BYTES {
-            return Err(protocol_error("a write too large"));
+            return Err(protocol_error("a write is too large"));
         }
-        if let Err(error) = self.check(&request) {
+        if let Err(error) = self.validate(&request) {
             discard(reader, data_length).await?;
             self.replies.error(request.cookie, error, None).await;
             return Ok(None);
@@ -93,8 +95,8 @@
         Ok(Some(AdmittedCommand { request, data: data.into(), memory, _slot: slot }))
     }
 
-    /// What forbids a command.
-    fn check(&self, request: &Request) -> Result<(), CommandError> {
+    /// Returns an error if the command is invalid or the process is shutting down.
+    fn validate(&self, request: &Request) -> Result<(), CommandError> {
         if request.flags & !self.allowed_flags(request.command)? != 0 {
             return Err(CommandError::UnsupportedFlag);
         }
@@ -103,7 +105,7 @@
                 return Err(CommandError::FlushWithRange);
             }
         } else {
-            self.check_range(request)?;
+            self.validate_range(request)?;
         }
         if self.shared.host.is_stopping() {
             return Err(CommandError::ShuttingDown);
@@ -111,6 +113,7 @@
         Ok(())
     }
 
+    /// Returns the flags that a command may have.
     fn allowed_flags(&self, command: u16) -> Result<u16, CommandError> {
         match command {
             cmd::READ if self.replies.are_structured() => Ok(command_flag::FUA | command_flag::DF),
@@ -119,7 +122,7 @@
         }
     }
 
-    fn check_range(&self, request: &Request) -> Result<(), CommandError> {
+    fn validate_range(&self, request: &Request) -> Result<(), CommandError> {
         let end = request.offset.checked_add(u64::from(request.length));
         if end.is_none_or(|end| end > self.export.size) {
             return Err(CommandError::OutsideExport);
--- a/src/nbd/mod.rs
+++ b/src/nbd/mod.rs
@@ -1,7 +1,8 @@
-//! NBD (network block device): clients mount exports over it, and endpoints are reached over it.
+//! NBD (Network Block Device): the protocol over which clients mount exports and endpoints are accessed.
 //!
-//! [`front`] is the server that clients connect to: it turns each command into requests of the core. [`endpoint_client`]
-//! carries out the attempts that the core decides on. Both use the message layouts of [`codec`].
+//! [`front`] is the server that clients connect to; it submits the parts of each command to the core as
+//! requests. [`endpoint_client`] carries out the attempts that the core starts. Both encode and decode
+//! messages with [`codec`].
 
 pub mod codec;
 pub mod endpoint_client;
