--- a/crates/lab/src/stand_ins/nbd.rs
+++ b/crates/lab/src/stand_ins/nbd.rs
@@ -3,7 +3,7 @@
 
 use super::{invalid, Stream};
 use shaletack::nbd::codec::{
-    chunk, chunk_head, info_request, opt, option, option_reply, rep, transmission_flag, Request,
+    chunk, chunk_header, info_request, opt, option, option_reply, rep, transmission_flag, Request,
     FIXED_NEWSTYLE, INIT_MAGIC, NO_ZEROES, OPT_MAGIC, STRUCTURED_REPLY_MAGIC,
 };
 use std::io;
@@ -40,7 +40,7 @@
 /// The answer to a read: one chunk, in which each byte is `fill`.
 pub fn read_reply(request: &Request, fill: u8) -> Vec<u8> {
     let length = request.length as usize;
-    let mut reply = chunk_head(chunk::DONE, chunk::OFFSET_DATA, request.cookie, 8 + length);
+    let mut reply = chunk_header(chunk::DONE, chunk::OFFSET_DATA, request.cookie, 8 + length);
     reply.extend(request.offset.to_be_bytes());
     reply.resize(reply.len() + length, fill);
     reply
--- a/src/app/serve_nbd.rs
+++ b/src/app/serve_nbd.rs
@@ -74,7 +74,7 @@
 
 impl ListSource {
     fn follow(host: Host, etcd: Option<Etcd>) -> Self {
-        let task = etcd.clone().map(|etcd| actix_rt::spawn(etcd::follow(host, etcd)).abort_handle());
+        let task = etcd.clone().map(|etcd| actix_rt::spawn(etcd::watch(host, etcd)).abort_handle());
         ListSource { etcd, task }
     }
 
--- a/src/etcd/mod.rs
+++ b/src/etcd/mod.rs
@@ -43,7 +43,7 @@
 
 /// Watches the endpoint list and feeds every change to the core. Never returns; dropping the future ends the
 /// watch.
-pub async fn follow(host: Host, etcd: Etcd) {
+pub async fn watch(host: Host, etcd: Etcd) {
     let client = http_client(SLOW_CALL_TIMEOUT);
     let mut watcher = Watcher { host, client, etcd, revision: None, call_timeout: FAST_CALL_TIMEOUT };
     let mut backoff = MIN_BACKOFF;
--- a/src/nbd/codec.rs
+++ b/src/nbd/codec.rs
@@ -250,7 +250,7 @@
 }
 
 /// Encodes the header of a structured reply chunk, which `length` bytes of content follow.
-pub fn chunk_head(flags: u16, chunk_type: u16, cookie: u64, length: usize) -> Vec<u8> {
+pub fn chunk_header(flags: u16, chunk_type: u16, cookie: u64, length: usize) -> Vec<u8> {
     let mut out = STRUCTURED_REPLY_MAGIC.to_be_bytes().to_vec();
     out.extend(flags.to_be_bytes());
     out.extend(chunk_type.to_be_bytes());
@@ -263,7 +263,7 @@
 pub fn error_chunk(cookie: u64, error: u32, text: &str, offset: Option<u64>) -> Vec<u8> {
     let chunk_type = if offset.is_some() { chunk::ERROR_OFFSET } else { chunk::ERROR };
     let length = 6 + text.len() + if offset.is_some() { 8 } else { 0 };
-    let mut out = chunk_head(chunk::DONE, chunk_type, cookie, length);
+    let mut out = chunk_header(chunk::DONE, chunk_type, cookie, length);
     out.extend(error.to_be_bytes());
     out.extend((text.len() as u16).to_be_bytes());
     out.extend(text.as_bytes());
--- a/src/nbd/front/replies.rs
+++ b/src/nbd/front/replies.rs
@@ -3,7 +3,7 @@
 
 use super::command_error::CommandError;
 use super::in_flight::MemoryReservation;
-use crate::nbd::codec::{chunk, chunk_head, error_chunk, simple_reply};
+use crate::nbd::codec::{chunk, chunk_header, error_chunk, simple_reply};
 use bytes::Bytes;
 use tokio::sync::mpsc;
 
@@ -42,7 +42,7 @@
     /// Reports that a command succeeded whose reply has no data, or whose data was already sent in chunks.
     pub async fn done(&self, cookie: u64) {
         let header = if self.structured {
-            chunk_head(chunk::DONE, chunk::NONE, cookie, 0)
+            chunk_header(chunk::DONE, chunk::NONE, cookie, 0)
         } else {
             simple_reply(0, cookie)
         };
@@ -82,7 +82,7 @@
 }
 
 fn offset_data_header(flags: u16, cookie: u64, offset: u64, data_length: usize) -> Vec<u8> {
-    let mut header = chunk_head(flags, chunk::OFFSET_DATA, cookie, CHUNK_OFFSET_BYTES + data_length);
+    let mut header = chunk_header(flags, chunk::OFFSET_DATA, cookie, CHUNK_OFFSET_BYTES + data_length);
     header.extend(offset.to_be_bytes());
     header
 }
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -2,7 +2,7 @@
 
 use shaletack::broker::{Broker, Clock, Input};
 use shaletack::nbd::codec::{
-    chunk, chunk_head, cmd, errno, error_chunk, info_request, opt, option_reply, rep, simple_reply,
+    chunk, chunk_header, cmd, errno, error_chunk, info_request, opt, option_reply, rep, simple_reply,
     transmission_flag, Request, FIXED_NEWSTYLE, INIT_MAGIC, NO_ZEROES, OPT_MAGIC, REP_MAGIC,
     STRUCTURED_REPLY_MAGIC,
 };
@@ -141,7 +141,7 @@
         came.notify_one();
         let read = r.command == cmd::READ;
         let part = |flags: u16, from: usize, to: usize| {
-            let mut out = chunk_head(flags, chunk::OFFSET_DATA, r.cookie, 8 + to - from);
+            let mut out = chunk_header(flags, chunk::OFFSET_DATA, r.cookie, 8 + to - from);
             out.extend((from as u64).to_be_bytes());
             out.extend(&data.borrow()[from..to]);
             out
--- a/tests/etcd.rs
+++ b/tests/etcd.rs
@@ -52,10 +52,7 @@
         })
         .await;
         let (front, _, host) = http_front(&[]).await;
-        actix_rt::spawn(etcd::follow(
-            host.clone(),
-            Etcd { address: agent.address, prefix: "/boxes/".into() },
-        ));
+        actix_rt::spawn(etcd::watch(host.clone(), Etcd { address: agent.address, prefix: "/boxes/".into() }));
         while !host.is_ready() {
             tokio::task::yield_now().await;
         }
@@ -106,10 +103,7 @@
         })
         .await;
         let (_, _, host) = http_front(&[]).await;
-        actix_rt::spawn(etcd::follow(
-            host.clone(),
-            Etcd { address: agent.address, prefix: "/boxes/".into() },
-        ));
+        actix_rt::spawn(etcd::watch(host.clone(), Etcd { address: agent.address, prefix: "/boxes/".into() }));
         until(|| host.is_ready()).await;
         until(|| agent.seen.borrow().len() == 2).await;
         let elapsed = until(|| !host.is_ready()).await;
