--- a/src/nbd/front/client_stream.rs
+++ b/src/nbd/front/client_stream.rs
@@ -10,7 +10,8 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc;
 
-/// A client that sends nothing for this long in the middle of a command is disconnected.
+/// How long a request may take to be received after its first byte, and how long a client may pause while it
+/// sends a command's data. A client that exceeds either is disconnected.
 const READ_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A client to which a message cannot be written completely within this time is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -24,8 +25,8 @@
 /// The sending half.
 pub(super) type Writer = Uninterrupted<OwnedWriteHalf>;
 
-/// Reads the next request. A client may be idle between two requests for any length of time, but not within
-/// one.
+/// Reads the next request. A client may be idle between two requests for any length of time, but once a
+/// request has begun, it must be received within [`READ_TIMEOUT`].
 ///
 /// # Errors
 /// The connection failed or was closed, the client stalled, or it violated the protocol.
@@ -36,7 +37,7 @@
     tokio::time::timeout(READ_TIMEOUT, Request::read(reader)).await?
 }
 
-/// Fills `data` from the connection. The client may be slow, but must not stall.
+/// Fills `data` from the connection. The client may be slow, but must not pause for [`READ_TIMEOUT`].
 ///
 /// # Errors
 /// The connection failed or was closed, or the client stalled.
@@ -88,8 +89,8 @@
 /// Completes once the client has closed the connection or its sending half, even if bytes that it sent
 /// before are still unread, and regardless of what the session is waiting for.
 async fn client_disconnected(writer: &Writer) {
-    // Without unread bytes, `ready` waits. With unread bytes, it returns at once and is polled at an
-    // interval.
+    // Without unread bytes `ready` waits. With unread bytes it returns at once, so the loop sleeps between
+    // checks.
     while writer.0.as_ref().ready(Interest::READABLE).await.is_ok_and(|ready| !ready.is_read_closed()) {
         tokio::time::sleep(CLIENT_CHECK_INTERVAL).await;
     }
