--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,16 +1,17 @@
-//! A write-ahead log that survives crashes, without the files.
+//! A write-ahead log that survives crashes, without the file I/O.
 //!
-//! A caller that acknowledges data before it has reached its final place needs it to be there after any crash.
-//! This crate decides what is written where so that this holds: the format of the log on disk ([`mod@format`]), which
-//! records share a commit and where each goes ([`Log`]), how much the log may take, which segments may be removed,
-//! and what of a log that was cut off is intact ([`recover`]). A record that was reported durable is there after
-//! any crash, or recovery says that the log is damaged.
+//! A caller that acknowledges data before the data has reached its final place must still have the data after
+//! any crash. This crate decides which bytes are written where to guarantee that: the on-disk format
+//! ([`mod@format`]), which records share a commit and where each record is placed ([`Log`]), how much space
+//! the log may take, which segments may be removed, and which part of an interrupted log is intact
+//! ([`recover`]). A record that was reported durable is recovered after any crash, or else recovery reports
+//! that the log is damaged.
 //!
-//! The crate never opens a file, waits or reads a clock, and it does not know what records mean. One commit is in
-//! flight at a time: the caller carries it out through [`SegmentStore`] and reports it with
-//! [`Log::commit_succeeded`]. After an fsync that failed, another one that succeeds proves nothing of the pages
-//! that the first one lost. So the caller writes all bytes of a failed commit again before it syncs again, for as
-//! long as it takes, and no other commit is issued meanwhile.
+//! The crate opens no files, never waits, reads no clock, and does not interpret records. At most one commit
+//! is in flight: the caller executes it through [`SegmentStore`] and reports success with
+//! [`Log::commit_succeeded`]. When an fsync fails, the kernel may drop the dirty pages, and a later fsync
+//! that succeeds proves nothing about them. The caller therefore writes all bytes of a failed commit again
+//! before the next sync, and repeats that until the commit succeeds; no other commit is issued meanwhile.
 
 pub mod format;
 mod log;
@@ -24,17 +25,17 @@
 pub use recovery::{recover, RecoveredLog, RecoveredRecord, RecoveredSegment, RecoveryError, TornTail};
 pub use store::{Commit, SegmentStore, StoredSegment};
 
-/// The number of a record: from 1 on, without gaps.
+/// The sequence number of a record: starts at 1, without gaps.
 pub type RecordNumber = u64;
 
-/// The number of a segment: from 1 on, without gaps.
+/// The sequence number of a segment: starts at 1, without gaps.
 pub type SegmentNumber = u64;
 
-/// Which log a batch belongs to. A log with another identity is rejected.
+/// Identifies the log that a batch belongs to. A log with another identity is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// Drawn at random when the log was made.
+    /// Random number, drawn when the log was created.
     pub log: u64,
-    /// Hash of what the log was made for, see [`format::hash_purpose`].
+    /// Hash of the purpose that the log was created for, see [`format::hash_purpose`].
     pub purpose: u64,
 }
--- a/crates/wal/src/log.rs
+++ b/crates/wal/src/log.rs
@@ -1,34 +1,35 @@
-//! Appending records, group commit, and how much the log may take.
+//! Appending records, group commit, and the size limits of the log.
 
 use crate::format::{batch_size, encode_batch, MAX_RECORD_BYTES};
-use crate::pending::{size_alone, PendingRecord, PendingRecords, RecordKind};
+use crate::pending::{single_record_batch_size, PendingRecord, PendingRecords, RecordKind};
 use crate::segments::{Segments, TailSegment};
 use crate::{Commit, Identity, RecordNumber, RecoveredLog, SegmentNumber};
 use thiserror::Error;
 
-/// How much the log may take.
+/// Size limits of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogConfig {
-    /// The most bytes of one segment.
+    /// Maximum size of one segment, in bytes.
     pub segment_bytes: u64,
-    /// The most bytes of all segments together.
+    /// Maximum size of all segments together, in bytes.
     pub max_bytes: u64,
-    /// Of these, bytes that data may not take: writes must be settled also when the log is full.
+    /// The part of `max_bytes` that [`RecordKind::Data`] may not use, in bytes: control records that settle
+    /// writes must find space even when the log is full of data.
     pub reserved_bytes: u64,
 }
 
-/// Why a record is not taken.
+/// Why a record was not appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AppendError {
-    /// There is no room until something is released.
+    /// The log has no free space until records are released.
     #[error("the log is full")]
     Full,
-    /// No record may be so large.
+    /// The record exceeds [`MAX_RECORD_BYTES`] or the size of a segment.
     #[error("the record is too large for the log")]
     TooLarge,
 }
 
-/// The state of a log.
+/// A write-ahead log: decides what is written where, and when a segment may be removed.
 #[derive(Clone, Debug)]
 pub struct Log {
     identity: Identity,
@@ -37,15 +38,15 @@
     pending: PendingRecords,
     /// The last record of the commit in flight.
     in_flight: Option<RecordNumber>,
-    last: RecordNumber,
-    durable: RecordNumber,
-    /// The last batch holds no records.
+    last_record: RecordNumber,
+    durable_record: RecordNumber,
+    /// The last batch contains no records.
     is_sealed: bool,
     batches_issued: u64,
 }
 
 impl Log {
-    /// An empty log, of which nothing is on disk yet.
+    /// Creates an empty log. Nothing is on disk until the first commit.
     pub fn new(identity: Identity, config: LogConfig) -> Self {
         Log {
             identity,
@@ -53,49 +54,49 @@
             segments: Segments::default(),
             pending: PendingRecords::default(),
             in_flight: None,
-            last: 0,
-            durable: 0,
+            last_record: 0,
+            durable_record: 0,
             is_sealed: true,
             batches_issued: 0,
         }
     }
 
-    /// A log that goes on behind what was recovered. Every record counts as in use until it is released.
-    pub fn resume(identity: Identity, config: LogConfig, found: &RecoveredLog) -> Self {
+    /// Resumes a recovered log. Every recovered record counts as in use until it is released.
+    pub fn resume(identity: Identity, config: LogConfig, recovered: &RecoveredLog) -> Self {
         let mut log = Log::new(identity, config);
-        log.segments = Segments::recovered(found);
-        log.last = found.last;
-        log.durable = found.last;
+        log.segments = Segments::from_recovered(recovered);
+        log.last_record = recovered.last_record;
+        log.durable_record = recovered.last_record;
         log
     }
 
-    /// All records up to this one are on stable storage.
-    pub fn durable(&self) -> RecordNumber {
-        self.durable
+    /// Returns the last durable record: all records up to and including it are on stable storage.
+    pub fn durable_record(&self) -> RecordNumber {
+        self.durable_record
     }
 
-    /// The number of the last record appended.
-    pub fn last(&self) -> RecordNumber {
-        self.last
+    /// Returns the last record appended, or 0 if there is none.
+    pub fn last_record(&self) -> RecordNumber {
+        self.last_record
     }
 
-    /// Bytes on disk, and those that pending records will take there at most.
+    /// Returns the bytes used on disk plus the maximum that pending records will use there.
     pub fn used_bytes(&self) -> u64 {
         self.segments.used_bytes() + self.pending.reserved_bytes()
     }
 
-    /// Whether records of these lengths, in bytes, would all be taken.
+    /// Checks whether records of these lengths, in bytes, could all be appended.
     ///
     /// # Errors
-    /// One of them is too large, or there is not room for all of them.
-    pub fn check_room(
+    /// Fails if one of the records is too large, or if the log has no space for all of them.
+    pub fn check_capacity(
         &self,
         kind: RecordKind,
         record_lengths: impl Iterator<Item = usize>,
     ) -> Result<(), AppendError> {
         let mut needed_bytes = 0;
         for length in record_lengths {
-            let size = size_alone(length);
+            let size = single_record_batch_size(length);
             if length > MAX_RECORD_BYTES || size > self.config.segment_bytes {
                 return Err(AppendError::TooLarge);
             }
@@ -111,26 +112,29 @@
         Ok(())
     }
 
-    /// Takes a record. It is durable once [`Log::durable`] has reached the number returned.
+    /// Appends a record and returns its number. The record is durable once [`Log::durable_record`] has
+    /// reached that number.
     ///
     /// # Errors
-    /// The record is too large, or there is no room for it.
+    /// Fails if the record is too large, or if the log has no space for it.
     pub fn append(&mut self, kind: RecordKind, bytes: Vec<u8>) -> Result<RecordNumber, AppendError> {
-        self.check_room(kind, [bytes.len()].into_iter())?;
-        self.last += 1;
-        self.pending.push(PendingRecord { number: self.last, kind, bytes });
-        Ok(self.last)
+        self.check_capacity(kind, [bytes.len()].into_iter())?;
+        self.last_record += 1;
+        self.pending.push(PendingRecord { number: self.last_record, kind, bytes });
+        Ok(self.last_record)
     }
 
-    /// The next commit to carry out: all pending records that fit into one segment. `None` while one is in flight,
-    /// and when there is nothing to write.
+    /// Returns the next commit to execute: as many pending records as fit into one segment.
+    ///
+    /// Returns `None` while a commit is in flight and when there is nothing to write.
     pub fn next_commit(&mut self) -> Option<Commit> {
         if self.in_flight.is_some() {
             return None;
         }
         if self.pending.is_empty() {
-            // A retired segment is removed only after a batch that names a later one as the oldest, be it an empty one.
-            return self.segments.awaits_batch(self.batches_issued).then(|| self.empty_batch());
+            // A retired segment can be removed only after a batch that names a later segment as the oldest.
+            // Without pending records, an empty batch does that.
+            return self.segments.needs_batch(self.batches_issued).then(|| self.empty_batch());
         }
         let (tail, count) = self.place_pending();
         let records = self.pending.take(count);
@@ -142,52 +146,56 @@
         Some(self.issue_batch(tail, first, last, &records))
     }
 
-    /// An empty batch behind the last one, so that recovery can tell a flaw in the last batch with records from a
-    /// torn write. For when nothing else is to be written. `None` where there is nothing to seal.
+    /// Returns a commit that appends an empty batch, so that recovery can tell damage to the last batch with
+    /// records from a torn write. To be called when nothing else is to be written.
+    ///
+    /// Returns `None` if a commit is in flight, records are pending, or there is nothing to seal.
     pub fn seal(&mut self) -> Option<Commit> {
         let is_idle = self.in_flight.is_none() && self.pending.is_empty();
         let needs_seal = is_idle && !self.is_sealed && !self.segments.is_empty();
         needs_seal.then(|| self.empty_batch())
     }
 
-    /// The commit in flight is on stable storage.
+    /// Reports that the commit in flight is on stable storage.
     pub fn commit_succeeded(&mut self) {
         if let Some(last) = self.in_flight.take() {
-            self.durable = last;
+            self.durable_record = last;
         }
     }
 
-    /// A record is not in use any more.
+    /// Marks a record as no longer in use.
     pub fn release(&mut self, record: RecordNumber) {
         self.segments.release(record);
     }
 
-    /// Takes a segment that is to be removed from disk: the oldest, once none of its records is in use and a
-    /// durable batch names a later one as the oldest.
+    /// Returns the oldest segment for removal from disk, once none of its records is in use and a durable
+    /// batch names a later segment as the oldest. Each segment is returned once.
     pub fn pop_removable(&mut self) -> Option<SegmentNumber> {
         self.segments.retire_unused(self.batches_issued);
         let batches_durable = self.batches_issued - u64::from(self.in_flight.is_some());
         self.segments.pop_removable(batches_durable)
     }
 
-    /// Records in use that keep the oldest segment of a log that gets full, where little of that segment is in
-    /// use. They are to be appended again as [`RecordKind::Rewritten`] and released once that is durable, so that
-    /// one old record does not hold the whole log.
-    pub fn stragglers(&self) -> Vec<RecordNumber> {
-        self.segments.stragglers(self.used_bytes(), self.config.max_bytes)
+    /// Returns the records in use of the oldest segment, if the log is filling up and little of that segment
+    /// is in use.
+    ///
+    /// The caller appends each of them again as [`RecordKind::Rewritten`], and releases the original once the
+    /// copy is durable. Otherwise a single old record could keep every later segment from being removed.
+    pub fn records_to_rewrite(&self) -> Vec<RecordNumber> {
+        self.segments.records_to_rewrite(self.used_bytes(), self.config.max_bytes)
     }
 
-    /// The segment for the next batch, and how many pending records go into it: the last segment if one fits
-    /// there, else a new one.
+    /// Returns the segment for the next batch and how many pending records the batch takes: the last segment
+    /// if at least one record fits there, else a new segment.
     fn place_pending(&mut self) -> (TailSegment, usize) {
         if let Some(tail) = self.segments.tail() {
             let available_bytes = self.config.segment_bytes.saturating_sub(tail.used_bytes);
-            let count = self.pending.count_that_fits(available_bytes);
+            let count = self.pending.fitting_count(available_bytes);
             if count > 0 {
                 return (tail, count);
             }
         }
-        let count = self.pending.count_that_fits(self.config.segment_bytes);
+        let count = self.pending.fitting_count(self.config.segment_bytes);
         (self.segments.start_next(), count)
     }
 
@@ -202,7 +210,7 @@
         let tail = self.segments.tail().filter(|tail| tail.used_bytes + size <= self.config.segment_bytes);
         let tail = tail.unwrap_or_else(|| self.segments.start_next());
         self.is_sealed = true;
-        self.issue_batch(tail, self.last + 1, self.last, &[])
+        self.issue_batch(tail, self.last_record + 1, self.last_record, &[])
     }
 
     fn issue_batch(
--- a/crates/wal/src/pending.rs
+++ b/crates/wal/src/pending.rs
@@ -1,21 +1,21 @@
-//! Records that were appended and that no commit has taken yet.
+//! Records that were appended and are not yet part of a commit.
 
 use crate::format::batch_size;
 use crate::RecordNumber;
 use std::collections::VecDeque;
 
-/// What a record is for.
+/// The purpose of a record, which decides how much of the log the record may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordKind {
-    /// It brings something new. Rejected while only the reserve is free.
+    /// Carries new data. Rejected while only the reserved space is free.
     Data,
-    /// It says what became of earlier records, and is in use only as long as those are.
+    /// Describes the outcome of earlier records, and is needed only as long as those are in use.
     Control,
-    /// It is a record in use written again, to free the segment that it lay in.
+    /// Copy of a record in use, written again to free the segment that holds the original.
     Rewritten,
 }
 
-/// One record that waits for a commit.
+/// A record that waits for a commit.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRecord {
     pub number: RecordNumber,
@@ -35,18 +35,18 @@
         self.queue.is_empty()
     }
 
-    /// Bytes that the pending records take on disk at most, if none shares a block with another.
+    /// Returns the maximum size of the pending records on disk, in bytes: each record in a batch of its own.
     pub fn reserved_bytes(&self) -> u64 {
         self.reserved_bytes
     }
 
     pub fn push(&mut self, record: PendingRecord) {
-        self.reserved_bytes += size_alone(record.bytes.len());
+        self.reserved_bytes += single_record_batch_size(record.bytes.len());
         self.queue.push_back(record);
     }
 
-    /// How many of the oldest records fit into a batch of this size.
-    pub fn count_that_fits(&self, available_bytes: u64) -> usize {
+    /// Returns how many of the oldest records fit into a batch of at most `available_bytes`.
+    pub fn fitting_count(&self, available_bytes: u64) -> usize {
         let mut lengths = Vec::new();
         for record in &self.queue {
             lengths.push(record.bytes.len());
@@ -57,17 +57,17 @@
         lengths.len()
     }
 
-    /// Takes that many of the oldest records.
+    /// Removes and returns the `count` oldest records.
     pub fn take(&mut self, count: usize) -> Vec<PendingRecord> {
         let taken: Vec<PendingRecord> = self.queue.drain(..count).collect();
         for record in &taken {
-            self.reserved_bytes -= size_alone(record.bytes.len());
+            self.reserved_bytes -= single_record_batch_size(record.bytes.len());
         }
         taken
     }
 }
 
-/// Bytes on disk of a batch that holds only a record of this length.
-pub(crate) fn size_alone(length: usize) -> u64 {
+/// Returns the size on disk of a batch whose only record has this length, in bytes.
+pub(crate) fn single_record_batch_size(length: usize) -> u64 {
     batch_size([length].into_iter()) as u64
 }
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -1,101 +1,102 @@
-//! Recovery: what of a log that was cut off by a crash is intact.
+//! Recovery: determines which part of a log that was interrupted by a crash is intact.
 //!
-//! One commit is in flight at a time, so everything before the last batch was durable when that batch was written.
-//! Only the end of the last segment may be torn, and is cut. A flaw anywhere else is damage: it is reported, and
-//! nothing is cut.
+//! At most one commit is in flight, so everything before the last batch was durable when that batch was
+//! written. Only the end of the last segment may be torn, and that torn tail is to be cut off. A bad batch
+//! anywhere else means damage: recovery fails, and nothing is cut off.
 
 use crate::format::{decode_batch, Batch, BatchError, BLOCK_BYTES, FORMAT_VERSION};
 use crate::{Identity, RecordNumber, SegmentNumber, StoredSegment};
 use thiserror::Error;
 
-/// A record as found.
+/// A record read from a recovered log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveredRecord {
-    /// Its number.
+    /// The record's number.
     pub number: RecordNumber,
-    /// The segment that it lies in.
+    /// The segment that contains the record.
     pub segment: SegmentNumber,
-    /// What was appended.
+    /// The bytes that were appended.
     pub bytes: Vec<u8>,
 }
 
-/// A segment as found.
+/// A segment of a recovered log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveredSegment {
-    /// Its number.
+    /// The segment's number.
     pub number: SegmentNumber,
-    /// Bytes up to the end of its last intact batch.
+    /// Size up to the end of the last intact batch, in bytes.
     pub used_bytes: u64,
 }
 
-/// The remains of a write that a crash cut off. It was never reported durable.
+/// The remains of a write that was interrupted by a crash and never reported durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TornTail {
-    /// The segment, the last one.
+    /// The segment that ends in the remains, always the last one.
     pub segment: SegmentNumber,
-    /// Where the remains begin: the length that the segment is to be cut to, in bytes.
+    /// Where the remains begin, in bytes: the length to truncate the segment to.
     pub offset: u64,
 }
 
-/// A log as found.
+/// The intact contents of a log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredLog {
-    /// All records, in order.
+    /// All records, in ascending order.
     pub records: Vec<RecoveredRecord>,
-    /// All segments, in order.
+    /// All segments, in ascending order.
     pub segments: Vec<RecoveredSegment>,
     /// The number of the last record.
-    pub last: RecordNumber,
-    /// What is to be cut from the disk before anything is written.
+    pub last_record: RecordNumber,
+    /// The torn tail, to be cut off before anything is written.
     pub torn_tail: Option<TornTail>,
 }
 
-/// Why a log can't be used.
+/// Why a log can't be recovered.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RecoveryError {
-    /// It was written by a version that this program does not read.
-    #[error("the log is of version {0}; this program reads version {FORMAT_VERSION}")]
+    /// The log has a format version that this program does not read.
+    #[error("the log has format version {0}; this program reads version {FORMAT_VERSION}")]
     UnknownVersion(u16),
-    /// It is another log, or was made for something else.
+    /// A batch belongs to another log, or to a log with another purpose.
     #[error("the log was made for other exports or boxes")]
     Foreign(Identity),
-    /// Bytes that were durable have changed or are gone.
-    #[error("segment {segment} is damaged from byte {offset} on, before data that was durable later")]
+    /// Bytes that were durable have changed or are missing.
+    #[error("segment {segment} is damaged from byte {offset} on, although data after it is durable")]
     Damaged {
-        /// In which segment.
+        /// The damaged segment.
         segment: SegmentNumber,
-        /// From which byte on.
+        /// The first damaged byte.
         offset: u64,
     },
-    /// A segment between others, or at the start, is missing.
+    /// A segment is missing at the start of the log or between other segments.
     #[error("segment {0} is missing")]
     MissingSegment(SegmentNumber),
 }
 
-/// Reads all segments of a log, given in rising order of their numbers.
+/// Recovers a log from all of its segments, given in ascending order of their numbers.
 ///
 /// # Errors
-/// The log is of another version or purpose, or something that was durable is not intact.
+/// Fails if the log has another version or identity, or if data that was durable is missing or not intact.
 pub fn recover(identity: Identity, segments: &[StoredSegment]) -> Result<RecoveredLog, RecoveryError> {
-    let mut recovery = Recovery { identity, found: RecoveredLog::default(), oldest_in_use: None };
+    let mut recovery = Recovery { identity, recovered: RecoveredLog::default(), oldest_in_use: None };
     let mut previous: Option<SegmentNumber> = None;
-    for (place, segment) in segments.iter().enumerate() {
+    for (index, segment) in segments.iter().enumerate() {
         let expected = previous.map_or(segment.number, |previous| previous + 1);
         if segment.number != expected {
             return Err(RecoveryError::MissingSegment(expected));
         }
         previous = Some(segment.number);
-        let is_last = place + 1 == segments.len();
+        let is_last = index + 1 == segments.len();
         recovery.read_segment(segment, is_last)?;
     }
     recovery.finish(segments)
 }
 
-/// What has been read so far.
+/// Recovery in progress.
 struct Recovery {
     identity: Identity,
-    found: RecoveredLog,
-    /// What the last batch names: a segment is removed only once a batch that names a later one is durable.
+    recovered: RecoveredLog,
+    /// The oldest segment in use according to the last batch. A segment is removed only once a batch that
+    /// names a later one as the oldest is durable, so this segment and all later ones must be present.
     oldest_in_use: Option<SegmentNumber>,
 }
 
@@ -116,26 +117,29 @@
             }
         }
         let used_bytes = offset as u64;
-        self.found.segments.push(RecoveredSegment { number: segment.number, used_bytes });
+        self.recovered.segments.push(RecoveredSegment { number: segment.number, used_bytes });
         Ok(())
     }
 
     fn add_batch(&mut self, batch: Batch, offset: usize) -> Result<(), RecoveryError> {
         let Batch { header, records, .. } = batch;
-        let is_first = self.found.last == 0 && self.found.records.is_empty();
-        let expected = if is_first { header.first_record } else { self.found.last + 1 };
+        let is_first = self.recovered.last_record == 0 && self.recovered.records.is_empty();
+        let expected = if is_first { header.first_record } else { self.recovered.last_record + 1 };
         if header.first_record != expected {
             return Err(damaged(header.segment, offset));
         }
         self.oldest_in_use = Some(header.oldest_segment);
         for (bytes, number) in records.into_iter().zip(header.first_record..) {
-            self.found.records.push(RecoveredRecord { number, segment: header.segment, bytes });
+            self.recovered.records.push(RecoveredRecord { number, segment: header.segment, bytes });
         }
-        self.found.last = header.first_record + u64::from(header.record_count) - 1;
+        self.recovered.last_record = header.first_record + u64::from(header.record_count) - 1;
         Ok(())
     }
 
-    /// Whether a segment may end with the bytes at `offset`.
+    /// Checks that a segment may end at `offset`, where no intact batch was found, and records a torn tail.
+    ///
+    /// # Errors
+    /// Fails if the bytes belong to another version or log, or if data that was durable is damaged.
     fn check_end(
         &mut self,
         segment: &StoredSegment,
@@ -148,20 +152,21 @@
             BatchError::Foreign(identity) => return Err(RecoveryError::Foreign(identity)),
             BatchError::Empty | BatchError::Torn => {}
         }
-        // An earlier segment ends where its bytes do, or in zeroes behind its last batch.
+        // A segment before the last one ends at the end of its bytes, or in zeroes after its last batch.
         let may_end_here = is_last || error == BatchError::Empty && offset > 0;
-        // An intact batch behind this place was written after what stood here was durable.
+        // An intact batch after `offset` was written only once the bytes at `offset` were durable.
         if !may_end_here || self.has_batch_after(segment, offset) {
             return Err(damaged(segment.number, offset));
         }
         if segment.bytes[offset..].iter().any(|byte| *byte != 0) {
-            self.found.torn_tail = Some(TornTail { segment: segment.number, offset: offset as u64 });
+            self.recovered.torn_tail = Some(TornTail { segment: segment.number, offset: offset as u64 });
         }
         Ok(())
     }
 
     fn has_batch_after(&self, segment: &StoredSegment, offset: usize) -> bool {
-        let is_intact = |at: usize| decode_batch(&segment.bytes[at..], self.identity, segment.number).is_ok();
+        let is_intact =
+            |offset: usize| decode_batch(&segment.bytes[offset..], self.identity, segment.number).is_ok();
         (offset + BLOCK_BYTES..segment.bytes.len()).step_by(BLOCK_BYTES).any(is_intact)
     }
 
@@ -170,7 +175,7 @@
             (Some(first), Some(oldest)) if first.number > oldest => {
                 Err(RecoveryError::MissingSegment(oldest))
             }
-            _ => Ok(self.found),
+            _ => Ok(self.recovered),
         }
     }
 }
--- a/crates/wal/src/segments.rs
+++ b/crates/wal/src/segments.rs
@@ -1,15 +1,16 @@
-//! Which segments there are, which records in use lie in each, and which segments may be removed.
+//! Tracks the segments on disk, the records in use in each, and which segments may be removed.
 //!
-//! Only the oldest segment is ever retired, so that the record of how a write ended never goes before the record
-//! of that write. A retired segment is removed only once a durable batch names a later one as the oldest in use:
-//! otherwise recovery would miss it.
+//! Segments are retired strictly oldest first, so that the record of a write's outcome is never removed
+//! before the record of the write itself. A retired segment is removed only once a durable batch names a
+//! later segment as the oldest in use: otherwise recovery would report the removed segment as missing.
 
 use crate::{RecordNumber, RecoveredLog, SegmentNumber};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Once the log is filled to one part in this many, old records are rewritten to free segments.
-const TIGHT_LOG_DIVISOR: u64 = 2;
-/// The oldest segment is freed by rewriting when less than one part in this many of it is in use.
+/// Old records are rewritten once the log uses more than `1 / REWRITE_FILL_DIVISOR` of its maximum size.
+const REWRITE_FILL_DIVISOR: u64 = 2;
+/// The oldest segment is freed by rewriting when less than `1 / SPARSE_SEGMENT_DIVISOR` of its bytes is in
+/// use.
 const SPARSE_SEGMENT_DIVISOR: u64 = 4;
 
 #[derive(Clone, Debug, Default)]
@@ -18,12 +19,12 @@
     records_in_use: u64,
 }
 
-/// A segment without records in use that is still on disk.
+/// A segment that has no records in use and is still on disk.
 #[derive(Clone, Copy, Debug)]
 struct RetiredSegment {
     number: SegmentNumber,
     used_bytes: u64,
-    /// Batches issued before it was retired: these still name it as in use.
+    /// Number of batches issued before the segment was retired: these batches still name it as in use.
     batches_issued: u64,
 }
 
@@ -33,14 +34,14 @@
     bytes: u64,
 }
 
-/// The last segment, where the next batch goes if it fits.
+/// The last segment, which receives the next batch if the batch fits.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TailSegment {
     pub number: SegmentNumber,
     pub used_bytes: u64,
 }
 
-/// All segments on disk.
+/// The segments on disk.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Segments {
     active: BTreeMap<SegmentNumber, Segment>,
@@ -49,14 +50,14 @@
 }
 
 impl Segments {
-    /// Those that were found. Every record counts as in use until it is released.
-    pub fn recovered(found: &RecoveredLog) -> Self {
+    /// Builds the state from a recovered log. Every record counts as in use until it is released.
+    pub fn from_recovered(recovered: &RecoveredLog) -> Self {
         let mut segments = Segments::default();
-        for segment in &found.segments {
+        for segment in &recovered.segments {
             let active = Segment { used_bytes: segment.used_bytes, records_in_use: 0 };
             segments.active.insert(segment.number, active);
         }
-        for record in &found.records {
+        for record in &recovered.records {
             segments.add_record(record.number, record.segment, record.bytes.len() as u64);
         }
         segments
@@ -66,7 +67,7 @@
         self.active.is_empty()
     }
 
-    /// The oldest segment in use.
+    /// Returns the oldest segment in use.
     pub fn oldest(&self) -> SegmentNumber {
         self.active.keys().next().copied().unwrap_or(1)
     }
@@ -76,21 +77,21 @@
         Some(TailSegment { number: *number, used_bytes: segment.used_bytes })
     }
 
-    /// Begins a segment behind the last one.
+    /// Starts a new segment after the last one.
     pub fn start_next(&mut self) -> TailSegment {
         let number = self.active.keys().next_back().map_or(1, |last| last + 1);
         self.active.insert(number, Segment::default());
         TailSegment { number, used_bytes: 0 }
     }
 
-    /// Bytes that all segments take on disk.
+    /// Returns the bytes that all segments use on disk, including retired ones.
     pub fn used_bytes(&self) -> u64 {
         let active: u64 = self.active.values().map(|segment| segment.used_bytes).sum();
         let retired: u64 = self.retired.iter().map(|segment| segment.used_bytes).sum();
         active + retired
     }
 
-    /// A batch is written to the end of a segment.
+    /// Accounts for a batch that is written to the end of a segment.
     pub fn extend(&mut self, number: SegmentNumber, bytes: u64) {
         self.active.entry(number).or_default().used_bytes += bytes;
     }
@@ -107,7 +108,8 @@
         }
     }
 
-    /// Retires the oldest segments as far as none of their records is in use. The last segment stays.
+    /// Retires segments from the oldest on, up to the first one with records in use. The last segment is
+    /// never retired.
     pub fn retire_unused(&mut self, batches_issued: u64) {
         while self.active.len() > 1 {
             let oldest = self.active.first_entry().filter(|entry| entry.get().records_in_use == 0);
@@ -118,12 +120,13 @@
         }
     }
 
-    /// Whether a segment was retired after the last batch was issued, so that no batch names a later one as the oldest yet.
-    pub fn awaits_batch(&self, batches_issued: u64) -> bool {
+    /// Returns whether a segment was retired after the last batch was issued, so that no batch names a later
+    /// segment as the oldest yet.
+    pub fn needs_batch(&self, batches_issued: u64) -> bool {
         self.retired.back().is_some_and(|segment| segment.batches_issued == batches_issued)
     }
 
-    /// Takes the oldest retired segment if a durable batch names a later one as the oldest.
+    /// Removes and returns the oldest retired segment if a durable batch names a later segment as the oldest.
     pub fn pop_removable(&mut self, batches_durable: u64) -> Option<SegmentNumber> {
         let oldest = self.retired.front().filter(|segment| segment.batches_issued < batches_durable)?;
         let number = oldest.number;
@@ -131,16 +134,17 @@
         Some(number)
     }
 
-    /// The records in use of the oldest segment, where the log is tight and little of that segment is in use.
-    pub fn stragglers(&self, log_bytes: u64, max_log_bytes: u64) -> Vec<RecordNumber> {
+    /// Returns the records in use of the oldest segment, if the log is filling up and little of that segment
+    /// is in use.
+    pub fn records_to_rewrite(&self, log_bytes: u64, max_log_bytes: u64) -> Vec<RecordNumber> {
         let oldest = self.active.first_key_value().filter(|_| self.active.len() > 1);
         let Some((&number, segment)) = oldest else { return Vec::new() };
-        let held = self.in_use.iter().filter(|(_, record)| record.segment == number);
-        let held_bytes: u64 = held.clone().map(|(_, record)| record.bytes).sum();
-        let is_tight = log_bytes * TIGHT_LOG_DIVISOR > max_log_bytes;
-        let is_sparse = held_bytes * SPARSE_SEGMENT_DIVISOR < segment.used_bytes;
-        if is_tight && is_sparse {
-            held.map(|(record, _)| *record).collect()
+        let records = self.in_use.iter().filter(|(_, record)| record.segment == number);
+        let record_bytes: u64 = records.clone().map(|(_, record)| record.bytes).sum();
+        let is_filling_up = log_bytes * REWRITE_FILL_DIVISOR > max_log_bytes;
+        let is_sparse = record_bytes * SPARSE_SEGMENT_DIVISOR < segment.used_bytes;
+        if is_filling_up && is_sparse {
+            records.map(|(number, _)| *number).collect()
         } else {
             Vec::new()
         }
--- a/crates/wal/src/store.rs
+++ b/crates/wal/src/store.rs
@@ -1,59 +1,59 @@
-//! What the log asks of the storage that holds its segments.
+//! The interface to the storage that holds the segments of a log.
 
 use crate::SegmentNumber;
 use std::io;
 
-/// Bytes to be written and made durable in one go.
+/// Bytes to write and sync in one operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Commit {
-    /// The segment that is written to.
+    /// The segment to write to.
     pub segment: SegmentNumber,
-    /// The segment does not exist yet: its name has to be made durable as well.
+    /// The segment does not exist yet: its directory entry has to be made durable as well.
     pub creates_segment: bool,
-    /// Where the bytes go in the segment, in bytes.
+    /// Position in the segment, in bytes.
     pub offset: u64,
-    /// What is written.
+    /// The bytes to write.
     pub bytes: Vec<u8>,
 }
 
-/// A segment as it was read.
+/// A segment as read from storage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredSegment {
-    /// Its number.
+    /// The segment's number.
     pub number: SegmentNumber,
-    /// All its bytes.
+    /// The segment's contents.
     pub bytes: Vec<u8>,
 }
 
-/// Where segments are kept. Calls block.
+/// Storage for segments. All methods block.
 pub trait SegmentStore {
-    /// The numbers of all segments, in rising order.
+    /// Returns the numbers of all segments, in ascending order.
     ///
     /// # Errors
-    /// The storage can't be listed.
+    /// Fails if the storage can't be listed.
     fn segments(&mut self) -> io::Result<Vec<SegmentNumber>>;
 
-    /// All bytes of a segment.
+    /// Returns the contents of a segment.
     ///
     /// # Errors
-    /// There is no such segment, or it can't be read.
+    /// Fails if the segment does not exist or can't be read.
     fn read(&mut self, segment: SegmentNumber) -> io::Result<Vec<u8>>;
 
-    /// Writes, and returns only when what was written is on stable storage.
+    /// Writes a commit, and returns only once all of its bytes are on stable storage.
     ///
     /// # Errors
-    /// Nothing is known of what was written: all of the commit has to be written again.
+    /// After an error it is unknown which bytes were written: the whole commit has to be written again.
     fn commit(&mut self, commit: &Commit) -> io::Result<()>;
 
-    /// Cuts a segment to `length` bytes, durably.
+    /// Truncates a segment to `length` bytes, durably.
     ///
     /// # Errors
-    /// The segment can't be cut, or that is not known to be durable.
+    /// Fails if the segment can't be truncated, or if the truncation is not known to be durable.
     fn truncate(&mut self, segment: SegmentNumber, length: u64) -> io::Result<()>;
 
     /// Removes a segment, durably.
     ///
     /// # Errors
-    /// The segment can't be removed, or that is not known to be durable.
+    /// Fails if the segment can't be removed, or if the removal is not known to be durable.
     fn remove(&mut self, segment: SegmentNumber) -> io::Result<()>;
 }
--- a/crates/writeback/src/barriers.rs
+++ b/crates/writeback/src/barriers.rs
@@ -4,14 +4,14 @@
 use shaletack_wal::RecordNumber;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A command, and the record that has to be durable before it is acknowledged.
+/// A command and the record that has to be durable before the command is acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Barrier {
     record: RecordNumber,
     command: CommandId,
 }
 
-/// All commands that wait, and what a flush of each volume has to wait for.
+/// All waiting commands, and the record that a flush of each volume has to wait for.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Barriers {
     waiting: BTreeSet<Barrier>,
@@ -19,23 +19,23 @@
 }
 
 impl Barriers {
-    /// A record holds a write to a volume.
+    /// Notes that a record holds a write to a volume.
     pub fn record_written(&mut self, volume: u64, record: RecordNumber) {
         let last = self.last_record.entry(volume).or_insert(record);
         *last = record.max(*last);
     }
 
-    /// The last record of a volume; 0: it has none.
+    /// Returns the last record of a volume, or 0 if there is none.
     pub fn last_record(&self, volume: u64) -> RecordNumber {
         self.last_record.get(&volume).copied().unwrap_or(0)
     }
 
-    /// A command waits until a record is durable.
+    /// Makes a command wait until a record is durable.
     pub fn wait_for(&mut self, record: RecordNumber, command: CommandId) {
         self.waiting.insert(Barrier { record, command });
     }
 
-    /// Takes the commands that wait for nothing behind a record, in the order of their records.
+    /// Removes and returns the commands whose records are durable, in the order of their records.
     pub fn release_through(&mut self, durable: RecordNumber) -> Vec<CommandId> {
         let mut released = Vec::new();
         while let Some(first) = self.waiting.first().copied().filter(|first| first.record <= durable) {
--- a/crates/writeback/src/buffer.rs
+++ b/crates/writeback/src/buffer.rs
@@ -1,4 +1,4 @@
-//! The buffer: one reducer that takes each input through the parts that own the states.
+//! The buffer: a reducer that passes each input through the components that own the state.
 
 use crate::barriers::Barriers;
 use crate::config::{Config, DoubtPolicy};
@@ -14,15 +14,15 @@
 use shaletack_wal::{Identity, RecordNumber, RecoveredLog};
 use std::time::Duration;
 
-/// A read-back that failed is tried again after this time.
+/// Delay after which a failed read-back is retried.
 const READ_BACK_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What a buffer holds.
+/// The current size of a buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BufferUsage {
-    /// Unsettled pieces.
+    /// Number of unsettled pieces.
     pub pieces: usize,
-    /// Bytes that the log takes.
+    /// Bytes used by the log.
     pub log_bytes: u64,
 }
 
@@ -37,17 +37,17 @@
     send_queue: SendQueue,
 }
 
-/// A buffer that goes on where another process was cut off.
+/// A buffer recovered from the log of another process.
 #[derive(Clone, Debug)]
 pub struct RecoveredBuffer {
     /// The buffer.
     pub buffer: Buffer,
-    /// What is to be done first.
+    /// Effects to execute before the first step.
     pub effects: Vec<Effect>,
 }
 
 impl Buffer {
-    /// An empty buffer over an empty log.
+    /// Creates an empty buffer with an empty log.
     pub fn new(identity: Identity, config: Config) -> Self {
         Buffer {
             config,
@@ -59,75 +59,76 @@
         }
     }
 
-    /// Goes on where another process was cut off. A piece that may have reached its endpoint, or may yet, waits
-    /// for as long as that can be.
+    /// Resumes from the log of another process. A piece that may have run, or may still run, waits until no
+    /// attempt can still run.
     ///
     /// # Errors
-    /// The log holds a record that this program can't read.
+    /// Fails if the log holds a record that can't be decoded.
     pub fn recover(
         identity: Identity,
         config: Config,
-        found: &RecoveredLog,
+        recovered: &RecoveredLog,
         now: Duration,
     ) -> Result<RecoveredBuffer, UnreadableRecord> {
         let Replay { pieces, barriers, journal, last_piece, .. } =
-            Replay::run(identity, &config, found, now)?;
+            Replay::run(identity, &config, recovered, now)?;
         let send_queue = SendQueue::default();
         let mut buffer = Buffer { config, last_piece, pieces, barriers, journal, send_queue };
         let mut effects = Vec::new();
         for id in buffer.pieces.ids() {
-            buffer.offer(id, &mut effects);
+            buffer.mark_ready(id, &mut effects);
         }
         buffer.advance(now, &mut effects);
         Ok(RecoveredBuffer { buffer, effects })
     }
 
-    /// What a read of a range of a volume is overlaid with. To be taken before the endpoint is asked.
+    /// Returns the overlay for a read of a range of a volume. To be taken before the read is sent to an
+    /// endpoint.
     pub fn overlay(&self, volume: u64, offset: u64, length: u64) -> Overlay {
         self.pieces.overlay(volume, offset..offset + length)
     }
 
-    /// What an unsettled piece writes, and where.
+    /// Returns the data and location of an unsettled piece.
     pub fn piece(&self, id: PieceId) -> Option<&Piece> {
         self.pieces.get(id).map(|buffered| &buffered.piece)
     }
 
-    /// The volume that an unsettled piece is written to.
+    /// Returns the volume that an unsettled piece is written to.
     pub fn volume(&self, id: PieceId) -> Option<u64> {
         self.pieces.get(id).map(|buffered| buffered.volume)
     }
 
-    /// How far a piece is; `None`: it is settled, or never was.
+    /// Returns the state of a piece, or `None` if the piece is settled or never existed.
     pub fn state(&self, id: PieceId) -> Option<PieceState> {
         self.pieces.state(id)
     }
 
-    /// Whether all that was taken is durable.
+    /// Returns whether everything accepted so far is durable.
     pub fn is_durable(&self) -> bool {
         self.journal.is_durable()
     }
 
-    /// All unsettled pieces, in the order of arrival.
+    /// Returns all unsettled pieces, in the order of arrival.
     pub fn list(&self) -> Vec<UnsettledPiece> {
         self.pieces.list()
     }
 
-    /// How many pieces only an operator can settle.
-    pub fn in_doubt(&self) -> usize {
-        self.pieces.in_doubt()
+    /// Returns the number of pieces that only an operator can settle.
+    pub fn in_doubt_count(&self) -> usize {
+        self.pieces.in_doubt_count()
     }
 
-    /// How much it holds.
+    /// Returns the current size of the buffer.
     pub fn usage(&self) -> BufferUsage {
         BufferUsage { pieces: self.pieces.len(), log_bytes: self.journal.used_bytes() }
     }
 
-    /// Takes one input. The effects are to be carried out in their order. Times are since an origin of the
-    /// caller's choice, which stays the same for one buffer.
+    /// Processes one input and returns the effects, to be executed in their order. Times are measured from an
+    /// origin that the caller chooses once for each buffer.
     pub fn step(&mut self, now: Duration, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
         match input {
-            Input::Write { command, volume, pieces, fua } => match self.take_write(now, volume, pieces) {
+            Input::Write { command, volume, pieces, fua } => match self.accept_write(now, volume, pieces) {
                 Ok(last) if fua => self.acknowledge_when_durable(last, command, &mut effects),
                 Ok(_) => effects.push(Effect::Acknowledge(command)),
                 Err(reason) => effects.push(Effect::Reject { command, reason }),
@@ -148,9 +149,9 @@
         effects
     }
 
-    /// Takes all pieces of a write, or none: a rejected write must have no effect. Returns the record of
-    /// the last one.
-    fn take_write(
+    /// Accepts all pieces of a write or none, so that a rejected write has no effect. Returns the record of
+    /// the last piece.
+    fn accept_write(
         &mut self,
         now: Duration,
         volume: u64,
@@ -160,7 +161,7 @@
         let encode =
             |(id, piece): (PieceId, &Piece)| Record::write(id, volume, piece.clone(), false).encode();
         let records: Vec<Vec<u8>> = ids.clone().zip(&pieces).map(encode).collect();
-        self.journal.check_room(records.iter().map(Vec::len))?;
+        self.journal.check_capacity(records.iter().map(Vec::len))?;
         let mut last = 0;
         for ((id, piece), bytes) in ids.zip(pieces).zip(records) {
             let record = self.journal.append_write(id, bytes)?;
@@ -179,7 +180,7 @@
         command: CommandId,
         effects: &mut Vec<Effect>,
     ) {
-        if record <= self.journal.durable() {
+        if record <= self.journal.durable_record() {
             effects.push(Effect::Acknowledge(command));
         } else {
             self.barriers.wait_for(record, command);
@@ -188,10 +189,10 @@
 
     fn commit_succeeded(&mut self, effects: &mut Vec<Effect>) {
         let pieces = self.journal.commit_succeeded();
-        let durable = self.journal.durable();
+        let durable = self.journal.durable_record();
         effects.extend(self.barriers.release_through(durable).into_iter().map(Effect::Acknowledge));
         for id in pieces {
-            self.piece_durable(id, effects);
+            self.handle_durable_piece(id, effects);
         }
         for id in self.send_queue.pop_durable(durable) {
             if let Some(buffered) = self.pieces.get_in_state(id, PieceState::IntentPending) {
@@ -201,19 +202,20 @@
         }
     }
 
-    fn piece_durable(&mut self, id: PieceId, effects: &mut Vec<Effect>) {
+    fn handle_durable_piece(&mut self, id: PieceId, effects: &mut Vec<Effect>) {
         let Some(buffered) = self.pieces.get_in_state(id, PieceState::Buffered) else { return };
         buffered.state = PieceState::Durable;
-        // An earlier piece that it overwrites completely and that was never sent need not be sent at all.
+        // An earlier piece that this one overwrites completely and that was never sent need not be sent at
+        // all.
         for older in self.pieces.superseded_by(id) {
             self.settle(older, effects);
         }
-        self.offer(id, effects);
+        self.mark_ready(id, effects);
     }
 
-    /// Calls a piece ready if nothing that came before it is in its way.
-    fn offer(&mut self, id: PieceId, effects: &mut Vec<Effect>) {
-        if self.pieces.mark_ready(id) {
+    /// Marks a durable piece ready unless an earlier piece overlaps it.
+    fn mark_ready(&mut self, id: PieceId, effects: &mut Vec<Effect>) {
+        if self.pieces.try_mark_ready(id) {
             effects.push(Effect::Ready(id));
         }
     }
@@ -242,7 +244,7 @@
         let Some(buffered) = self.pieces.get_in_state(id, PieceState::InFlight) else { return };
         match outcome {
             AttemptOutcome::Completed => self.settle(id, effects),
-            AttemptOutcome::NeverRan => self.never_ran(id, effects),
+            AttemptOutcome::NeverRan => self.allow_resend(id, effects),
             AttemptOutcome::Unknown => {
                 buffered.state = PieceState::AwaitingExpiry(now + self.config.attempt_lifetime);
             }
@@ -254,7 +256,7 @@
         match data {
             Some(data) if data == buffered.piece.data => self.settle(id, effects),
             Some(_) => match self.config.doubt_policy {
-                DoubtPolicy::Resend => self.never_ran(id, effects),
+                DoubtPolicy::Resend => self.allow_resend(id, effects),
                 DoubtPolicy::AskOperator => {
                     buffered.state = PieceState::InDoubt;
                     effects.push(Effect::InDoubt(id));
@@ -264,49 +266,52 @@
         }
     }
 
-    /// A piece that still waits may be decided too: the operator vouches that nothing of it can run any more.
+    /// Applies an operator's decision to a piece. A piece that still awaits the end of its earlier attempts
+    /// may be decided too: the operator guarantees that none of them can still run.
     fn decide(&mut self, id: PieceId, decision: OperatorDecision, effects: &mut Vec<Effect>) {
         let Some(PieceState::InDoubt | PieceState::AwaitingExpiry(_)) = self.pieces.state(id) else { return };
         match decision {
-            OperatorDecision::Resend => self.never_ran(id, effects),
+            OperatorDecision::Resend => self.allow_resend(id, effects),
             OperatorDecision::Drop => self.settle(id, effects),
         }
     }
 
-    /// A piece may be sent again. The record of that precedes the next intent, so that a restart knows.
-    fn never_ran(&mut self, id: PieceId, effects: &mut Vec<Effect>) {
-        self.journal.owe_never_ran(id);
+    /// Lets a piece be sent again. The record that the piece never ran precedes its next intent in the log,
+    /// so that recovery knows that the earlier intent had an outcome.
+    fn allow_resend(&mut self, id: PieceId, effects: &mut Vec<Effect>) {
+        self.journal.record_never_ran(id);
         self.pieces.set_state(id, PieceState::Durable);
-        self.offer(id, effects);
+        self.mark_ready(id, effects);
     }
 
-    /// A piece is settled. Later pieces that overlap it may be sent now.
+    /// Settles a piece. Later pieces that overlap it may become ready.
     fn settle(&mut self, id: PieceId, effects: &mut Vec<Effect>) {
         let Some(settled) = self.pieces.remove(id) else { return };
         if settled.state == PieceState::Ready {
             effects.push(Effect::Withdraw(id));
         }
-        self.journal.owe_settled(id, settled.record);
+        self.journal.record_settled(id, settled.record);
         let range = settled.piece.export_offset..settled.piece.export_end();
         for next in self.pieces.overlapping(settled.volume, range) {
-            self.offer(next, effects);
+            self.mark_ready(next, effects);
         }
     }
 
-    /// What follows from any input: the next commit, segments to remove, read-backs, and when to come back.
+    /// Adds the effects that can follow from any input: the next commit, segments to remove, read-backs, and
+    /// the timer.
     fn advance(&mut self, now: Duration, effects: &mut Vec<Effect>) {
-        // Before any intent that follows from them.
-        self.journal.append_owed();
-        self.journal.rewrite_stragglers(&mut self.pieces);
+        // Outcomes are appended before any intent that they make possible.
+        self.journal.append_pending_outcomes();
+        self.journal.rewrite_old_records(&mut self.pieces);
         for id in self.send_queue.pop_postponed(now) {
-            self.offer(id, effects);
+            self.mark_ready(id, effects);
         }
         effects.extend(self.journal.next_commit().map(Effect::Commit));
         while let Some(segment) = self.journal.pop_removable() {
             effects.push(Effect::RemoveSegment(segment));
         }
         effects.extend(self.pieces.start_expired_read_backs(now).into_iter().map(Effect::ReadBack));
-        let next = [self.send_queue.next_postponed(), self.pieces.next_expiry()];
-        effects.extend(next.into_iter().flatten().min().map(Effect::SetTimer));
+        let timers = [self.send_queue.next_postponed_at(), self.pieces.next_expiry()];
+        effects.extend(timers.into_iter().flatten().min().map(Effect::SetTimer));
     }
 }
--- a/crates/writeback/src/config.rs
+++ b/crates/writeback/src/config.rs
@@ -1,24 +1,26 @@
-//! The settings of a buffer.
+//! The configuration of a buffer.
 
 use shaletack_wal::LogConfig;
 use std::time::Duration;
 
-/// What becomes of a piece that is not at its endpoint once no old attempt can run any more.
+/// How a piece is settled whose data is not at its endpoint once no earlier attempt can still run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DoubtPolicy {
-    /// It is in doubt until an operator decides.
+    /// The piece stays in doubt until an operator decides.
     AskOperator,
-    /// It is sent again: the operator vouches that no attempt outlives the bound and nobody else writes there.
+    /// The piece is sent again. The operator guarantees that no attempt outlives
+    /// [`Config::attempt_lifetime`], and that nobody else writes to the same place.
     Resend,
 }
 
-/// The settings of a buffer.
+/// The configuration of a buffer.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// How much the log may take.
+    /// Size limits of the log.
     pub log: LogConfig,
-    /// The longest that an attempt may still run at an endpoint after its connection closed or this process ended.
+    /// The longest time that an attempt may still run at an endpoint after its connection closed or this
+    /// process ended.
     pub attempt_lifetime: Duration,
-    /// What follows then.
+    /// How a piece is settled that is not at its endpoint after that time.
     pub doubt_policy: DoubtPolicy,
 }
--- a/crates/writeback/src/events.rs
+++ b/crates/writeback/src/events.rs
@@ -1,4 +1,4 @@
-//! What goes into the buffer and what comes out of it.
+//! The inputs and effects of the buffer.
 
 use crate::piece::{Piece, PieceId};
 use bytes::Bytes;
@@ -6,36 +6,36 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// What a caller knows a command by. Never used twice.
+/// Identifies a command of the caller. Never reused.
 pub type CommandId = u64;
 
-/// What the end of an attempt proves.
+/// What the end of an attempt proves about the write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The endpoint says that the write is done.
+    /// The endpoint confirmed the write.
     Completed,
     /// The write never ran and never will.
     NeverRan,
-    /// The write may have run, or may yet.
+    /// The write may have run, or may still run.
     Unknown,
 }
 
-/// An operator's decision on a write in doubt.
+/// An operator's decision about a write in doubt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorDecision {
-    /// It never ran: send it.
+    /// The write never ran: send it.
     Resend,
-    /// The endpoint has what it is to have: forget the write.
+    /// The endpoint already holds the intended data: discard the write.
     Drop,
 }
 
-/// Why a write is rejected. Nothing of it is kept.
+/// Why a write is rejected. No part of a rejected write is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RejectReason {
-    /// The log has no room until something is settled.
+    /// The log has no free space until writes are settled.
     #[error("the log is full")]
     LogFull,
-    /// The write is larger than the log takes.
+    /// A record of the write is larger than the log accepts.
     #[error("the write is too large for the log")]
     TooLarge,
 }
@@ -49,86 +49,86 @@
     }
 }
 
-/// What happened.
+/// An event for the buffer.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A client writes.
     Write {
-        /// The command.
+        /// The client's command.
         command: CommandId,
-        /// The volume that is written to.
+        /// The volume to write to.
         volume: u64,
-        /// The write's parts, in order.
+        /// The pieces of the write, in order.
         pieces: Vec<Piece>,
-        /// Force unit access: it is acknowledged only once it is durable.
+        /// Force unit access: the write is acknowledged only once it is durable.
         fua: bool,
     },
-    /// A client asks for all writes to a volume that were taken so far to be durable.
+    /// A client asks that all writes accepted so far for a volume become durable.
     Flush {
-        /// The command.
+        /// The client's command.
         command: CommandId,
-        /// The volume.
+        /// The volume to flush.
         volume: u64,
     },
     /// The commit in flight is on stable storage.
     CommitSucceeded,
-    /// Nothing else is to be written for a while.
+    /// Nothing was written for a while: the log can be sealed.
     Idle,
-    /// A piece may go to its endpoint now.
+    /// The scheduler lets a ready piece start now.
     Start(PieceId),
     /// An attempt ended.
     AttemptEnded {
         /// The piece that was sent.
         piece: PieceId,
-        /// What its end proves.
+        /// What the end of the attempt proves.
         outcome: AttemptOutcome,
     },
-    /// What the endpoint holds where a piece belongs.
+    /// The endpoint's data at the location of a piece was read, see [`Effect::ReadBack`].
     ReadBack {
         /// The piece.
         piece: PieceId,
-        /// What is there; `None`: it could not be read.
+        /// The data at the endpoint, or `None` if it could not be read.
         data: Option<Bytes>,
     },
-    /// An operator decides on a piece in doubt.
+    /// An operator decides about a piece in doubt.
     Decide {
         /// The piece.
         piece: PieceId,
-        /// What becomes of it.
+        /// The operator's decision.
         decision: OperatorDecision,
     },
-    /// The time of [`Effect::SetTimer`] has come.
+    /// The time of [`Effect::SetTimer`] was reached.
     TimerFired,
 }
 
-/// What is to be done.
+/// An action that the caller executes for the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Write this, make it durable, and come back with [`Input::CommitSucceeded`]. A commit that fails is to be
-    /// written again as a whole.
+    /// Write this commit, make it durable, and report [`Input::CommitSucceeded`]. A commit that fails has to
+    /// be written again as a whole.
     Commit(Commit),
-    /// Remove a segment of the log, which is not in use any more.
+    /// Remove a segment of the log that is no longer in use.
     RemoveSegment(SegmentNumber),
-    /// A command is done.
+    /// Report to the client that its command succeeded.
     Acknowledge(CommandId),
-    /// A command is rejected.
+    /// Report to the client that its command is rejected.
     Reject {
-        /// The command.
+        /// The client's command.
         command: CommandId,
-        /// Why.
+        /// The reason.
         reason: RejectReason,
     },
-    /// A piece may be sent from now on, whenever there is capacity: come back with [`Input::Start`].
+    /// A piece may be sent as soon as there is capacity: report [`Input::Start`] then.
     Ready(PieceId),
-    /// A piece that was ready is not to be sent any more.
+    /// A piece that was reported ready must no longer be sent.
     Withdraw(PieceId),
-    /// The intent of a piece is durable: send it once, and come back with [`Input::AttemptEnded`].
+    /// The intent of a piece is durable: send the piece once, and report [`Input::AttemptEnded`].
     Send(PieceId),
-    /// Read what the endpoint holds where a piece belongs, and come back with [`Input::ReadBack`].
+    /// Read the endpoint's data at the location of a piece, and report [`Input::ReadBack`].
     ReadBack(PieceId),
-    /// A piece can't be settled without an operator.
+    /// A piece is in doubt: only an operator can settle it.
     InDoubt(PieceId),
-    /// Come back with [`Input::TimerFired`] at this time. It replaces any earlier timer, and a step without it
-    /// leaves none.
+    /// Report [`Input::TimerFired`] at this time. Replaces any earlier timer. A step that returns no
+    /// `SetTimer` leaves no timer set.
     SetTimer(Duration),
 }
--- a/crates/writeback/src/journal.rs
+++ b/crates/writeback/src/journal.rs
@@ -1,5 +1,5 @@
-//! The buffer's use of the log: which record holds which piece, what has still to be recorded, and which records
-//! are not in use any more.
+//! How the buffer uses the log: which record holds which piece, which outcomes have still to be recorded, and
+//! which records are no longer in use.
 
 use crate::piece::PieceId;
 use crate::piece_table::PieceTable;
@@ -9,113 +9,118 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A record of how a piece ended, for which there may be no room in the log yet.
+/// The record of a piece's outcome that is not in the log yet: the log may lack the space for it.
 #[derive(Clone, Debug)]
-struct OwedRecord {
+struct PendingOutcome {
     record: Record,
-    /// The record that is not in use any more once this one is durable.
+    /// The record that is no longer in use once this one is durable.
     replaces: Option<RecordNumber>,
 }
 
-/// A record that is in use until another one is durable.
+/// A record that stays in use until another record is durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ReplacedRecord {
     replaced_by: RecordNumber,
     number: RecordNumber,
 }
 
+/// The log of the buffer, with the records that hold pieces.
 #[derive(Clone, Debug)]
 pub(crate) struct Journal {
     log: Log,
     piece_by_record: BTreeMap<RecordNumber, PieceId>,
-    /// In the order in which they must be appended.
-    owed: VecDeque<OwedRecord>,
+    /// Outcomes that are not in the log yet, in the order in which they must be appended.
+    pending_outcomes: VecDeque<PendingOutcome>,
     replaced: BTreeSet<ReplacedRecord>,
-    /// Records in use that have been written again, the newer record not being durable yet.
+    /// Records in use whose rewritten copy is appended but not durable yet.
     rewriting: BTreeSet<RecordNumber>,
 }
 
 impl Journal {
     pub fn new(identity: Identity, config: LogConfig) -> Self {
-        Journal::over(Log::new(identity, config))
+        Journal::with_log(Log::new(identity, config))
     }
 
-    /// Goes on behind what was recovered. Every record counts as in use until it is released.
-    pub fn resume(identity: Identity, config: LogConfig, found: &RecoveredLog) -> Self {
-        Journal::over(Log::resume(identity, config, found))
+    /// Resumes a recovered log. Every record counts as in use until it is released.
+    pub fn resume(identity: Identity, config: LogConfig, recovered: &RecoveredLog) -> Self {
+        Journal::with_log(Log::resume(identity, config, recovered))
     }
 
-    fn over(log: Log) -> Self {
+    fn with_log(log: Log) -> Self {
         Journal {
             log,
             piece_by_record: BTreeMap::new(),
-            owed: VecDeque::new(),
+            pending_outcomes: VecDeque::new(),
             replaced: BTreeSet::new(),
             rewriting: BTreeSet::new(),
         }
     }
 
-    /// The last record that is durable.
-    pub fn durable(&self) -> RecordNumber {
-        self.log.durable()
+    /// Returns the last durable record.
+    pub fn durable_record(&self) -> RecordNumber {
+        self.log.durable_record()
     }
 
-    /// Whether all records that the log has taken are durable.
+    /// Returns whether all appended records are durable.
     pub fn is_durable(&self) -> bool {
-        self.log.durable() == self.log.last()
+        self.log.durable_record() == self.log.last_record()
     }
 
-    /// Bytes that the log takes.
+    /// Returns the bytes used by the log.
     pub fn used_bytes(&self) -> u64 {
         self.log.used_bytes()
     }
 
-    /// Whether writes with records of these lengths would all be taken.
-    pub fn check_room(&self, record_lengths: impl Iterator<Item = usize>) -> Result<(), AppendError> {
-        self.log.check_room(RecordKind::Data, record_lengths)
+    /// Checks whether write records of these lengths, in bytes, could all be appended.
+    pub fn check_capacity(&self, record_lengths: impl Iterator<Item = usize>) -> Result<(), AppendError> {
+        self.log.check_capacity(RecordKind::Data, record_lengths)
     }
 
-    /// Takes the encoded record of a piece.
+    /// Appends the encoded record of a piece.
     pub fn append_write(&mut self, piece: PieceId, bytes: Vec<u8>) -> Result<RecordNumber, AppendError> {
         let record = self.log.append(RecordKind::Data, bytes)?;
         self.piece_by_record.insert(record, piece);
         Ok(record)
     }
 
-    /// Takes the intent of a piece. It is rejected while a record is owed: if the intent preceded the
-    /// record of how an earlier piece ended, then a restart in between would take that piece for unsettled, and
-    /// could send it behind this one.
+    /// Appends the intent of a piece.
+    ///
+    /// Intents are rejected while an outcome waits to be appended. If an intent preceded the outcome of an
+    /// earlier piece in the log, recovery from a log that ends between the two would treat the earlier piece
+    /// as unsettled, and could send it after this one.
     pub fn append_intent(&mut self, piece: PieceId) -> Result<RecordNumber, AppendError> {
-        if !self.owed.is_empty() {
+        if !self.pending_outcomes.is_empty() {
             return Err(AppendError::Full);
         }
         self.log.append(RecordKind::Control, Record::Intent(piece).encode())
     }
 
-    /// A piece provably never ran, which is to be recorded.
-    pub fn owe_never_ran(&mut self, piece: PieceId) {
-        self.owed.push_back(OwedRecord { record: Record::NeverRan(piece), replaces: None });
+    /// Queues the record that a piece never ran and may be sent again.
+    pub fn record_never_ran(&mut self, piece: PieceId) {
+        self.pending_outcomes.push_back(PendingOutcome { record: Record::NeverRan(piece), replaces: None });
     }
 
-    /// A piece is settled, which is to be recorded. The record that holds it is in use until that is durable.
-    pub fn owe_settled(&mut self, piece: PieceId, held_by: RecordNumber) {
-        self.owed.push_back(OwedRecord { record: Record::Settled(piece), replaces: Some(held_by) });
+    /// Queues the record that a piece is settled. `write_record`, which holds the piece, stays in use until
+    /// the new record is durable.
+    pub fn record_settled(&mut self, piece: PieceId, write_record: RecordNumber) {
+        self.pending_outcomes
+            .push_back(PendingOutcome { record: Record::Settled(piece), replaces: Some(write_record) });
     }
 
-    /// Takes as many of the owed records as there is room for.
-    pub fn append_owed(&mut self) {
-        while let Some(owed) = self.owed.front() {
-            let Ok(record) = self.log.append(RecordKind::Control, owed.record.encode()) else { return };
-            if let Some(number) = owed.replaces {
+    /// Appends as many queued outcomes as the log has space for.
+    pub fn append_pending_outcomes(&mut self) {
+        while let Some(outcome) = self.pending_outcomes.front() {
+            let Ok(record) = self.log.append(RecordKind::Control, outcome.record.encode()) else { return };
+            if let Some(number) = outcome.replaces {
                 self.replaced.insert(ReplacedRecord { replaced_by: record, number });
             }
-            self.owed.pop_front();
+            self.pending_outcomes.pop_front();
         }
     }
 
-    /// Writes the records of old pieces again where they keep the log from freeing segments.
-    pub fn rewrite_stragglers(&mut self, pieces: &mut PieceTable) {
-        for old in self.log.stragglers() {
+    /// Writes the records of old pieces again that keep segments from being removed.
+    pub fn rewrite_old_records(&mut self, pieces: &mut PieceTable) {
+        for old in self.log.records_to_rewrite() {
             let Some(id) = self.piece_by_record.get(&old).copied() else { continue };
             let Some(buffered) = pieces.get_mut(id).filter(|buffered| buffered.record == old) else {
                 continue;
@@ -133,31 +138,32 @@
         }
     }
 
-    /// The commit in flight is durable. Returns the pieces that its records hold.
+    /// Reports that the commit in flight is durable. Returns the pieces that its records hold.
     pub fn commit_succeeded(&mut self) -> Vec<PieceId> {
-        let before = self.log.durable();
+        let previously_durable = self.log.durable_record();
         self.log.commit_succeeded();
-        let durable = self.log.durable();
-        let pieces = self.piece_by_record.range(before + 1..durable + 1).map(|(_, id)| *id).collect();
-        self.forget_replaced(durable);
+        let durable = self.log.durable_record();
+        let pieces =
+            self.piece_by_record.range(previously_durable + 1..durable + 1).map(|(_, id)| *id).collect();
+        self.release_replaced(durable);
         pieces
     }
 
-    fn forget_replaced(&mut self, durable: RecordNumber) {
+    fn release_replaced(&mut self, durable: RecordNumber) {
         while let Some(first) = self.replaced.first().copied().filter(|first| first.replaced_by <= durable) {
             self.replaced.pop_first();
             self.rewriting.remove(&first.number);
-            self.forget(first.number);
+            self.release(first.number);
         }
     }
 
-    /// A recovered record holds a piece.
+    /// Notes that a recovered record holds a piece.
     pub fn track(&mut self, record: RecordNumber, piece: PieceId) {
         self.piece_by_record.insert(record, piece);
     }
 
-    /// A record is not in use any more.
-    pub fn forget(&mut self, record: RecordNumber) {
+    /// Marks a record as no longer in use.
+    pub fn release(&mut self, record: RecordNumber) {
         self.piece_by_record.remove(&record);
         self.log.release(record);
     }
--- a/crates/writeback/src/lib.rs
+++ b/crates/writeback/src/lib.rs
@@ -1,19 +1,22 @@
-//! A write-back cache that keeps its promises across crashes, without files and sockets.
+//! A crash-safe write-back cache, without file and network I/O.
 //!
-//! Writes come in bursts, and clients would wait while the endpoints work them off. Here a write is acknowledged
-//! from a log on the initiator's disk and goes to its endpoint later. Two things must hold whatever crashes: what
-//! a flush or a write with FUA acknowledged is not lost, and no write reaches an endpoint twice.
+//! Writes arrive in bursts, and clients would have to wait while the endpoints process them. This cache
+//! acknowledges a write from a log on the initiator's disk and sends the write to its endpoint later. Two
+//! guarantees hold across crashes: data that was acknowledged by a flush or by a write with FUA is not lost,
+//! and no write reaches an endpoint twice.
 //!
-//! [`Buffer`] is a reducer: inputs go in, effects come out, and it reads no clock. It is put together from parts
-//! that each own their state:
+//! [`Buffer`] is a reducer: it takes inputs, returns effects, and reads no clock. Each of its components owns
+//! a part of the state:
 //!
-//! - the pieces of unsettled writes, what overlaps what, and the overlay for reads ([`Overlay`]);
+//! - the piece table: the pieces of unsettled writes, which of them overlap, and the overlay for reads
+//!   ([`Overlay`]);
 //! - barriers: the commands that wait until a record is durable;
-//! - the journal: the log, and which record is in use by which piece;
-//! - the send queue: pieces whose intent is on its way into the log, and those that wait for room there.
+//! - the journal: the log, and which record holds which piece;
+//! - the send queue: pieces whose intent is not durable yet, and pieces that wait for log space for their
+//!   intent.
 //!
-//! A piece goes to an endpoint only after an intent is durable, and again only after proof that it never ran, or
-//! by an operator's decision.
+//! A piece is sent to its endpoint only after its intent is durable. It is sent again only after proof that
+//! it never ran, by an operator's decision, or where [`DoubtPolicy::Resend`] is configured.
 
 mod barriers;
 mod buffer;
--- a/crates/writeback/src/overlay.rs
+++ b/crates/writeback/src/overlay.rs
@@ -1,13 +1,13 @@
-//! What unsettled writes lay over what a read brings from an endpoint.
+//! The overlay of unsettled writes over data that a read returns from an endpoint.
 
 use bytes::Bytes;
 
-/// A stretch of buffered bytes.
+/// A contiguous range of buffered bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OverlaySpan {
-    /// Where it begins in the export, in bytes.
+    /// Where the span begins in the export, in bytes.
     pub offset: u64,
-    /// Its bytes.
+    /// The buffered bytes.
     pub data: Bytes,
 }
 
@@ -17,30 +17,32 @@
     }
 }
 
-/// The unsettled writes to a range. It has to be taken before the endpoint is asked: what is settled meanwhile may
-/// not be in the endpoint's answer.
+/// The unsettled writes to a range of an export.
+///
+/// An overlay has to be taken before the read is sent to the endpoint: a write that is settled meanwhile may
+/// be missing from the endpoint's reply.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overlay {
     spans: Vec<OverlaySpan>,
 }
 
 impl Overlay {
-    /// An overlay of these spans; where two overlap the later one counts.
+    /// Creates an overlay from these spans. Where spans overlap, the later one wins.
     pub fn new(spans: Vec<OverlaySpan>) -> Self {
         Overlay { spans }
     }
 
-    /// The spans in their order.
+    /// Returns the spans in their order.
     pub fn spans(&self) -> &[OverlaySpan] {
         &self.spans
     }
 
-    /// Whether nothing is buffered there.
+    /// Returns whether nothing is buffered in the range.
     pub fn is_empty(&self) -> bool {
         self.spans.is_empty()
     }
 
-    /// Whether it holds all of `length` bytes from `offset` on, so that no endpoint has to be asked.
+    /// Returns whether the spans cover `length` bytes from `offset` on, so that no endpoint has to be read.
     pub fn covers(&self, offset: u64, length: u32) -> bool {
         let mut ranges: Vec<(u64, u64)> = self.spans.iter().map(|span| (span.offset, span.end())).collect();
         ranges.sort_unstable();
@@ -52,7 +54,7 @@
         reached >= offset + u64::from(length)
     }
 
-    /// Lays the spans over bytes that begin at `offset` in the export.
+    /// Applies the spans to bytes that begin at `offset` in the export.
     pub fn apply(&self, offset: u64, mut bytes: Vec<u8>) -> Vec<u8> {
         let end = offset + bytes.len() as u64;
         for span in &self.spans {
--- a/crates/writeback/src/piece.rs
+++ b/crates/writeback/src/piece.rs
@@ -1,97 +1,99 @@
-//! A piece of a write: the part that lies on one shard and is no larger than a request.
+//! A piece of a write: the part that lies on one shard and fits into one request.
 
 use bytes::Bytes;
 use shaletack_wal::RecordNumber;
 use std::time::Duration;
 
-/// The number of a piece. Never used twice in a log.
+/// The number of a piece. Never reused within a log.
 pub type PieceId = u64;
 
-/// What a piece writes, and where.
+/// The data of a piece and its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Piece {
-    /// Where it begins in the export, in bytes.
+    /// Where the piece begins in the export, in bytes.
     pub export_offset: u64,
-    /// The shard that holds it.
+    /// The shard to write to.
     pub shard: u16,
-    /// Where it begins on the shard's endpoint, in bytes.
+    /// Where the piece begins on the shard's endpoint, in bytes.
     pub endpoint_offset: u64,
-    /// What is written.
+    /// The data to write.
     pub data: Bytes,
 }
 
 impl Piece {
-    /// Where it ends in the export, in bytes.
+    /// Returns where the piece ends in the export, in bytes.
     pub(crate) fn export_end(&self) -> u64 {
         self.export_offset + self.data.len() as u64
     }
 }
 
-/// How far a piece is on its way to the endpoint.
+/// The state of a piece on its way to the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PieceState {
-    /// Its record is on the way into the log.
+    /// The piece's record is not durable yet.
     Buffered,
-    /// It is in the log, and no attempt at it may run. An earlier piece that overlaps it is unsettled.
+    /// The piece's record is durable, and no attempt can have run. The piece waits for an earlier piece that
+    /// overlaps it, or for log space for its intent.
     Durable,
-    /// As [`PieceState::Durable`], and it may be sent.
+    /// As [`PieceState::Durable`], and the piece may be sent.
     Ready,
-    /// Its intent is on the way into the log.
+    /// The piece's intent is appended but not durable yet.
     IntentPending,
-    /// It is sent, and the outcome is not known yet.
+    /// The piece is sent, and its outcome is unknown so far.
     InFlight,
-    /// An old attempt may still run, until then.
+    /// An earlier attempt may still run until this time.
     AwaitingExpiry(Duration),
-    /// It is being read back from its endpoint.
+    /// The endpoint's data is being read to find out whether the piece ran.
     ReadingBack,
-    /// Only an operator can settle it.
+    /// Only an operator can settle the piece.
     InDoubt,
 }
 
 impl PieceState {
-    /// Whether an attempt may have run, or may yet: the log holds an intent without a record of how it ended.
+    /// Returns whether an attempt may have run or may still run: the log may hold an intent without an
+    /// outcome.
     pub(crate) fn may_have_run(self) -> bool {
         !matches!(self, PieceState::Buffered | PieceState::Durable | PieceState::Ready)
     }
 
-    /// Whether it is durable, and no attempt at it may run.
+    /// Returns whether the piece is durable and no attempt can have run.
     pub(crate) fn is_unsent(self) -> bool {
         matches!(self, PieceState::Durable | PieceState::Ready)
     }
 }
 
-/// A piece that is not settled.
+/// An unsettled piece.
 #[derive(Clone, Debug)]
 pub(crate) struct BufferedPiece {
     pub volume: u64,
     pub piece: Piece,
     pub state: PieceState,
-    /// The record of the log that holds it.
+    /// The log record that holds the piece.
     pub record: RecordNumber,
-    /// Since when it is buffered, or since the restart.
+    /// When the piece was buffered; after a restart, when it was recovered.
     pub since: Duration,
 }
 
-/// A piece that is not settled, as an operator sees it.
+/// An unsettled piece as shown to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnsettledPiece {
-    /// Its number.
+    /// The piece's number.
     pub id: PieceId,
-    /// The volume that is written to.
+    /// The volume to write to.
     pub volume: u64,
-    /// Where it begins in the export, in bytes.
+    /// Where the piece begins in the export, in bytes.
     pub export_offset: u64,
-    /// How many bytes it writes.
+    /// Length of the data, in bytes.
     pub length: usize,
-    /// The shard that holds it.
+    /// The shard to write to.
     pub shard: u16,
-    /// Where it begins on the shard's endpoint, in bytes.
+    /// Where the piece begins on the shard's endpoint, in bytes.
     pub endpoint_offset: u64,
-    /// It was to be sent, and nothing says how that ended.
+    /// An intent to send the piece was recorded, but no outcome.
     pub may_have_run: bool,
-    /// Only an operator can settle it.
+    /// Only an operator can settle the piece.
     pub in_doubt: bool,
-    /// Since when it is buffered, or since the restart.
+    /// When the piece was buffered; after a restart, when it was recovered.
     pub since: Duration,
 }
 
--- a/crates/writeback/src/piece_table.rs
+++ b/crates/writeback/src/piece_table.rs
@@ -1,27 +1,28 @@
-//! All unsettled pieces, and which of them overlap.
+//! The table of unsettled pieces, with an index to find overlapping ones.
 
 use crate::overlay::{Overlay, OverlaySpan};
-use crate::piece::{BufferedPiece, PieceId, PieceState, UnsettledPiece};
+use crate::piece::{BufferedPiece, Piece, PieceId, PieceState, UnsettledPiece};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 use std::time::Duration;
 
-/// A place in a volume where a piece begins.
+/// The offset at which a piece begins in its export.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PieceStart {
     export_offset: u64,
     id: PieceId,
 }
 
-/// The pieces of one volume, by where they begin.
+/// The pieces of one volume, ordered by their offset.
 #[derive(Clone, Debug, Default)]
 struct VolumeIndex {
     starts: BTreeSet<PieceStart>,
-    /// The longest piece that the volume ever had, in bytes: how far back a piece that overlaps may begin.
+    /// Length of the longest piece that the volume ever had, in bytes: a piece that overlaps a range can
+    /// begin at most this far before the range.
     longest_bytes: u64,
 }
 
-/// All unsettled pieces by their numbers, which rise in the order of arrival.
+/// All unsettled pieces by number. Numbers ascend in the order of arrival.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PieceTable {
     pieces: BTreeMap<PieceId, BufferedPiece>,
@@ -41,7 +42,7 @@
         self.pieces.get(&id)
     }
 
-    /// A piece, if it is in this state.
+    /// Returns a piece if it is in this state.
     pub fn get_in_state(&mut self, id: PieceId, state: PieceState) -> Option<&mut BufferedPiece> {
         self.pieces.get_mut(&id).filter(|buffered| buffered.state == state)
     }
@@ -75,7 +76,7 @@
         Some(buffered)
     }
 
-    /// The pieces that overlap a range of bytes of a volume, in the order of arrival.
+    /// Returns the pieces that overlap a byte range of a volume, in the order of arrival.
     pub fn overlapping(&self, volume: u64, range: Range<u64>) -> Vec<PieceId> {
         let Some(index) = self.volumes.get(&volume) else { return Vec::new() };
         let earliest = range.start.saturating_sub(index.longest_bytes);
@@ -92,15 +93,16 @@
         piece.is_some_and(|piece| piece.export_offset < range.end && range.start < piece.export_end())
     }
 
-    /// What a read of a range of a volume is overlaid with.
+    /// Returns the overlay for reads of a byte range of a volume.
     pub fn overlay(&self, volume: u64, range: Range<u64>) -> Overlay {
         let ids = self.overlapping(volume, range);
         let pieces = ids.iter().filter_map(|id| self.pieces.get(id)).map(|buffered| &buffered.piece);
-        Overlay::new(pieces.map(|p| OverlaySpan { offset: p.export_offset, data: p.data.clone() }).collect())
+        let span = |piece: &Piece| OverlaySpan { offset: piece.export_offset, data: piece.data.clone() };
+        Overlay::new(pieces.map(span).collect())
     }
 
-    /// Calls a durable piece ready if nothing that came before it overlaps it; whether it did so.
-    pub fn mark_ready(&mut self, id: PieceId) -> bool {
+    /// Marks a durable piece ready unless an earlier piece overlaps it. Returns whether the piece was marked.
+    pub fn try_mark_ready(&mut self, id: PieceId) -> bool {
         let Some(buffered) = self.pieces.get(&id) else { return false };
         if buffered.state != PieceState::Durable {
             return false;
@@ -113,7 +115,7 @@
         true
     }
 
-    /// The earlier pieces that this one overwrites completely and that were never sent.
+    /// Returns the earlier pieces that this one overwrites completely and that were never sent.
     pub fn superseded_by(&self, id: PieceId) -> Vec<PieceId> {
         let Some(newer) = self.pieces.get(&id) else { return Vec::new() };
         let range = newer.piece.export_offset..newer.piece.export_end();
@@ -128,11 +130,12 @@
         overlapping.into_iter().take_while(|older| *older < id).filter(is_superseded).collect()
     }
 
-    /// Takes the pieces whose old attempts can't run any more by now into reading back, in order.
+    /// Moves the pieces whose earlier attempts can no longer run to [`PieceState::ReadingBack`], and returns
+    /// them in ascending order.
     pub fn start_expired_read_backs(&mut self, now: Duration) -> Vec<PieceId> {
         let mut expired = Vec::new();
         for (id, buffered) in &mut self.pieces {
-            if matches!(buffered.state, PieceState::AwaitingExpiry(until) if until <= now) {
+            if matches!(buffered.state, PieceState::AwaitingExpiry(expiry) if expiry <= now) {
                 buffered.state = PieceState::ReadingBack;
                 expired.push(*id);
             }
@@ -140,17 +143,17 @@
         expired
     }
 
-    /// When the next old attempt can't run any more.
+    /// Returns when the next earlier attempt can no longer run.
     pub fn next_expiry(&self) -> Option<Duration> {
         let expiry = |buffered: &BufferedPiece| match buffered.state {
-            PieceState::AwaitingExpiry(until) => Some(until),
+            PieceState::AwaitingExpiry(expiry) => Some(expiry),
             _ => None,
         };
         self.pieces.values().filter_map(expiry).min()
     }
 
-    /// How many pieces only an operator can settle.
-    pub fn in_doubt(&self) -> usize {
+    /// Returns the number of pieces that only an operator can settle.
+    pub fn in_doubt_count(&self) -> usize {
         self.pieces.values().filter(|buffered| buffered.state == PieceState::InDoubt).count()
     }
 
--- a/crates/writeback/src/record.rs
+++ b/crates/writeback/src/record.rs
@@ -1,36 +1,36 @@
-//! The records of the log, in postcard's encoding. Their version is the log's.
+//! The records of the log, encoded with postcard. They are versioned by the log's format version.
 //!
-//! The encoding is by position: the order of variants and of fields must stay.
+//! The encoding is positional: the order of variants and of fields must not change.
 
 use crate::piece::{Piece, PieceId};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// One record.
+/// A record of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Record {
     /// A piece of a write.
     Write {
-        /// Its number.
+        /// The piece's number.
         id: PieceId,
-        /// The volume that is written to.
+        /// The volume to write to.
         volume: u64,
-        /// Where it begins in the export, in bytes.
+        /// Where the piece begins in the export, in bytes.
         export_offset: u64,
-        /// The shard that holds it.
+        /// The shard to write to.
         shard: u16,
-        /// Where it begins on the shard's endpoint, in bytes.
+        /// Where the piece begins on the shard's endpoint, in bytes.
         endpoint_offset: u64,
-        /// The record was written again, and an intent stood before it.
+        /// This record is a rewritten copy, and an intent without an outcome preceded the copy.
         may_have_run: bool,
-        /// What is written.
+        /// The data to write.
         data: Bytes,
     },
-    /// The piece may be sent from now on.
+    /// The piece may be sent from now on, and may therefore have run.
     Intent(PieceId),
-    /// The piece provably never ran: it may have another intent.
+    /// The piece provably never ran, or was released to be sent again: another intent may follow.
     NeverRan(PieceId),
-    /// The piece is settled: it is at its endpoint, or not to be sent.
+    /// The piece is settled: its data is at the endpoint, or must not be sent.
     Settled(PieceId),
 }
 
@@ -41,11 +41,11 @@
     }
 
     pub fn encode(&self) -> Vec<u8> {
-        // Only running out of memory keeps a record from being encoded, and that ends the process.
+        // Encoding fails only when memory runs out, and that ends the process.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// `None`: the bytes are not exactly one record.
+    /// Decodes a record. Returns `None` if the bytes are not exactly one record.
     pub fn decode(bytes: &[u8]) -> Option<Record> {
         match postcard::take_from_bytes(bytes) {
             Ok((record, [])) => Some(record),
--- a/crates/writeback/src/recovery.rs
+++ b/crates/writeback/src/recovery.rs
@@ -1,7 +1,8 @@
-//! Recovery: what the records of a recovered log make of each piece.
+//! Recovery: replays the records of a recovered log to restore the state of each piece.
 //!
-//! A piece whose intent has no end may have reached its endpoint, or may yet. It waits for the longest time that
-//! an attempt can live there, and is then read back.
+//! A piece whose intent has no recorded outcome may have reached its endpoint, or may still reach it. Such a
+//! piece waits for [`Config::attempt_lifetime`], the longest time that an attempt can still run there, and is
+//! then read back.
 
 use crate::barriers::Barriers;
 use crate::config::Config;
@@ -13,15 +14,15 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A record of the log that this program can't read.
+/// A record of the log that can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("record {number} can't be read")]
+#[error("log record {number} can't be decoded")]
 pub struct UnreadableRecord {
-    /// Its number.
+    /// The record's number.
     pub number: RecordNumber,
 }
 
-/// What the records read so far make of each piece.
+/// The state restored from the records replayed so far.
 pub(crate) struct Replay {
     pub pieces: PieceTable,
     pub barriers: Barriers,
@@ -32,24 +33,24 @@
 }
 
 impl Replay {
-    /// Reads all records of a recovered log.
+    /// Replays all records of a recovered log.
     pub fn run(
         identity: Identity,
         config: &Config,
-        found: &RecoveredLog,
+        recovered: &RecoveredLog,
         now: Duration,
     ) -> Result<Self, UnreadableRecord> {
         let mut replay = Replay {
             pieces: PieceTable::default(),
             barriers: Barriers::default(),
-            journal: Journal::resume(identity, config.log, found),
+            journal: Journal::resume(identity, config.log, recovered),
             last_piece: 0,
             now,
             expiry: now + config.attempt_lifetime,
         };
-        for recovered in &found.records {
-            let number = recovered.number;
-            let record = Record::decode(&recovered.bytes).ok_or(UnreadableRecord { number })?;
+        for stored in &recovered.records {
+            let number = stored.number;
+            let record = Record::decode(&stored.bytes).ok_or(UnreadableRecord { number })?;
             replay.apply(number, record);
         }
         Ok(replay)
@@ -59,21 +60,29 @@
         match record {
             Record::Write { id, volume, export_offset, shard, endpoint_offset, may_have_run, data } => {
                 let piece = Piece { export_offset, shard, endpoint_offset, data };
-                self.write(number, id, volume, piece, may_have_run);
+                self.apply_write(number, id, volume, piece, may_have_run);
             }
-            Record::Intent(id) => self.control(number, id, PieceState::AwaitingExpiry(self.expiry)),
-            Record::NeverRan(id) => self.control(number, id, PieceState::Durable),
-            Record::Settled(id) => self.settled(number, id),
+            Record::Intent(id) => self.set_state(number, id, PieceState::AwaitingExpiry(self.expiry)),
+            Record::NeverRan(id) => self.set_state(number, id, PieceState::Durable),
+            Record::Settled(id) => self.settle(number, id),
         }
     }
 
-    fn write(&mut self, number: RecordNumber, id: PieceId, volume: u64, piece: Piece, may_have_run: bool) {
+    fn apply_write(
+        &mut self,
+        number: RecordNumber,
+        id: PieceId,
+        volume: u64,
+        piece: Piece,
+        may_have_run: bool,
+    ) {
         self.last_piece = self.last_piece.max(id);
         let mut may_have_run = may_have_run;
-        // Written again to free a segment: the older record is not in use any more.
+        // A second record of the same piece is a copy written to free a segment: the older record is no
+        // longer in use.
         if let Some(older) = self.pieces.get(id) {
             may_have_run |= older.state.may_have_run();
-            self.journal.forget(older.record);
+            self.journal.release(older.record);
         }
         let state = if may_have_run { PieceState::AwaitingExpiry(self.expiry) } else { PieceState::Durable };
         self.journal.track(number, id);
@@ -81,18 +90,20 @@
         self.pieces.insert(id, BufferedPiece { volume, piece, state, record: number, since: self.now });
     }
 
-    /// A record that is in use only as long as the piece is.
-    fn control(&mut self, number: RecordNumber, id: PieceId, state: PieceState) {
+    /// Applies a control record, which changes the state of a piece. The control record is needed only as
+    /// long as the record that holds the piece is in use. Segments are removed oldest first, so the control
+    /// record never goes before that one and is not tracked itself.
+    fn set_state(&mut self, number: RecordNumber, id: PieceId, state: PieceState) {
         self.last_piece = self.last_piece.max(id);
         self.pieces.set_state(id, state);
-        self.journal.forget(number);
+        self.journal.release(number);
     }
 
-    fn settled(&mut self, number: RecordNumber, id: PieceId) {
+    fn settle(&mut self, number: RecordNumber, id: PieceId) {
         self.last_piece = self.last_piece.max(id);
         if let Some(settled) = self.pieces.remove(id) {
-            self.journal.forget(settled.record);
+            self.journal.release(settled.record);
         }
-        self.journal.forget(number);
+        self.journal.release(number);
     }
 }
--- a/crates/writeback/tests/crashes.rs
+++ b/crates/writeback/tests/crashes.rs
@@ -1,5 +1,6 @@
-//! Buffered writes over a disk that tears and an endpoint that answers as it likes, with crashes anywhere: nothing
-//! acknowledged is lost, nothing reaches the endpoint twice, and what overlaps keeps its order.
+//! Simulates a buffer with a disk that tears writes, an endpoint whose attempts end in any way, and crashes
+//! at any point. No acknowledged data is lost, no write reaches the endpoint twice, and overlapping writes
+//! keep their order.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -11,11 +12,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-const S: Duration = Duration::from_secs(1);
+const SECOND: Duration = Duration::from_secs(1);
 const ATTEMPT_LIFETIME: Duration = Duration::from_secs(5);
 const BLOCK: u64 = 4096;
 const IDENTITY: Identity = Identity { log: 1, purpose: 2 };
-/// The export, in cells of four bytes, half of it on each of two shards.
+/// Size of the export, in cells of four bytes. Each of two shards holds half of it.
 const CELLS: u64 = 32;
 const VOLUME: u64 = 77;
 
@@ -24,14 +25,14 @@
     Config { log, attempt_lifetime: ATTEMPT_LIFETIME, doubt_policy }
 }
 
-/// A disk of which unsynced sectors may or may not be there after a crash.
+/// A disk on which any subset of the unsynced sectors may survive a crash.
 #[derive(Clone, Default)]
 struct Disk {
     files: BTreeMap<u64, Vec<u8>>,
 }
 
 impl Disk {
-    fn put(&mut self, commit: &Commit, keep: impl Fn(usize) -> bool) {
+    fn write_commit(&mut self, commit: &Commit, keep: impl Fn(usize) -> bool) {
         for (i, sector) in commit.bytes.chunks(512).enumerate().filter(|(i, _)| keep(*i)) {
             let (file, at) =
                 (self.files.entry(commit.segment).or_default(), commit.offset as usize + i * 512);
@@ -41,22 +42,22 @@
     }
 }
 
-/// What was written to one cell.
+/// The values written to one cell.
 #[derive(Clone)]
 struct CellHistory {
     /// All values, oldest first.
     values: Vec<u32>,
-    /// The index of the oldest value that may still be seen: all before it are overwritten for good.
+    /// Index of the oldest value that may still be visible: all values before it are durably overwritten.
     floor: usize,
 }
 
-/// An attempt that the endpoint has read and may still run.
+/// An attempt that the endpoint has received and may still run.
 #[derive(Clone)]
 struct Attempt {
     piece: PieceId,
     endpoint_offset: u64,
     data: Bytes,
-    until: Duration,
+    expiry: Duration,
 }
 
 struct Simulation {
@@ -70,15 +71,16 @@
     read_backs: Vec<PieceId>,
     in_flight: Vec<PieceId>,
     attempts: Vec<Attempt>,
-    cells: Vec<u32>,
-    /// How often each value was written to each cell of the endpoint.
-    ran: BTreeMap<(u32, u64), u32>,
+    endpoint_cells: Vec<u32>,
+    /// How often each value was written to each cell of the endpoint, by value and cell.
+    write_counts: BTreeMap<(u32, u64), u32>,
     history: Vec<CellHistory>,
     acknowledged: BTreeSet<CommandId>,
     rejected: BTreeSet<CommandId>,
-    /// Commands that promise durability, and the values that stood when they were given.
-    promises: BTreeMap<CommandId, Vec<usize>>,
-    last: u32,
+    /// For each flush and FUA write without a result: the floor of every cell once the command is
+    /// acknowledged.
+    durability_floors: BTreeMap<CommandId, Vec<usize>>,
+    last_command: u32,
 }
 
 impl Simulation {
@@ -94,45 +96,52 @@
             read_backs: Vec::new(),
             in_flight: Vec::new(),
             attempts: Vec::new(),
-            cells: vec![0; CELLS as usize],
-            ran: BTreeMap::new(),
+            endpoint_cells: vec![0; CELLS as usize],
+            write_counts: BTreeMap::new(),
             history: vec![CellHistory { values: vec![0], floor: 0 }; CELLS as usize],
             acknowledged: BTreeSet::new(),
             rejected: BTreeSet::new(),
-            promises: BTreeMap::new(),
-            last: 0,
+            durability_floors: BTreeMap::new(),
+            last_command: 0,
         }
     }
 
-    fn feed(&mut self, input: Input) {
+    fn step(&mut self, input: Input) {
         let effects = self.buffer.step(self.now, input);
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn execute(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Commit(commit) => assert!(self.commit.replace(commit).is_none(), "one at a time"),
+                Effect::Commit(commit) => {
+                    assert!(self.commit.replace(commit).is_none(), "only one commit may be in flight")
+                }
                 Effect::RemoveSegment(segment) => drop(self.disk.files.remove(&segment)),
                 Effect::Acknowledge(command) => {
-                    assert!(self.acknowledged.insert(command), "one answer");
-                    for (cell, floor) in self.promises.remove(&command).into_iter().flatten().enumerate() {
+                    assert!(self.acknowledged.insert(command), "a command is acknowledged once");
+                    for (cell, floor) in
+                        self.durability_floors.remove(&command).into_iter().flatten().enumerate()
+                    {
                         let own = &mut self.history[cell].floor;
                         *own = (*own).max(floor);
                     }
                 }
                 Effect::Reject { command, reason } => {
-                    assert!(reason == RejectReason::LogFull && self.rejected.insert(command), "one answer");
-                    // Nothing of it has come to pass.
-                    self.promises.remove(&command);
+                    assert!(
+                        reason == RejectReason::LogFull && self.rejected.insert(command),
+                        "a command is rejected once"
+                    );
+                    // A rejected command has no effect.
+                    self.durability_floors.remove(&command);
                     self.history.iter_mut().for_each(|h| h.values.retain(|v| u64::from(*v) != command));
                 }
                 Effect::Ready(id) => assert!(self.ready.insert(id)),
                 Effect::Withdraw(id) => assert!(self.ready.remove(&id)),
                 Effect::Send(id) => {
                     let Piece { endpoint_offset, data, .. } = self.buffer.piece(id).unwrap().clone();
-                    let until = self.now + ATTEMPT_LIFETIME;
-                    self.attempts.push(Attempt { piece: id, endpoint_offset, data, until });
+                    let expiry = self.now + ATTEMPT_LIFETIME;
+                    self.attempts.push(Attempt { piece: id, endpoint_offset, data, expiry });
                     self.in_flight.push(id);
                 }
                 Effect::ReadBack(id) => self.read_backs.push(id),
@@ -143,8 +152,9 @@
     }
 
     fn write(&mut self, from: u64, count: u64, fua: bool) {
-        self.last += 1;
-        let (command, value, end) = (u64::from(self.last), self.last, (from + count).min(CELLS));
+        self.last_command += 1;
+        let (command, value, end) =
+            (u64::from(self.last_command), self.last_command, (from + count).min(CELLS));
         let piece = |a: u64, b: u64, shard| Piece {
             export_offset: a * 4,
             shard,
@@ -158,127 +168,134 @@
         };
         (from..end).for_each(|c| self.history[c as usize].values.push(value));
         if fua {
-            // Once acknowledged, this value is the floor of its cells.
+            // Once the write is acknowledged, its value is the floor of its cells.
             let floor =
                 |c: u64| if (from..end).contains(&c) { self.history[c as usize].values.len() - 1 } else { 0 };
-            self.promises.insert(command, (0..CELLS).map(floor).collect());
+            self.durability_floors.insert(command, (0..CELLS).map(floor).collect());
         }
-        self.feed(Input::Write { command, volume: VOLUME, pieces, fua });
+        self.step(Input::Write { command, volume: VOLUME, pieces, fua });
     }
 
     fn flush(&mut self) {
-        self.last += 1;
+        self.last_command += 1;
         let floors = self.history.iter().map(|h| h.values.len() - 1).collect();
-        self.promises.insert(u64::from(self.last), floors);
-        self.feed(Input::Flush { command: u64::from(self.last), volume: VOLUME });
+        self.durability_floors.insert(u64::from(self.last_command), floors);
+        self.step(Input::Flush { command: u64::from(self.last_command), volume: VOLUME });
     }
 
     fn finish_commit(&mut self) {
         if let Some(commit) = self.commit.take() {
-            self.disk.put(&commit, |_| true);
-            self.feed(Input::CommitSucceeded);
+            self.disk.write_commit(&commit, |_| true);
+            self.step(Input::CommitSucceeded);
         }
     }
 
-    fn run(&mut self, n: usize) -> PieceId {
+    fn run_attempt(&mut self, n: usize) -> PieceId {
         let Attempt { piece, endpoint_offset, data, .. } = self.attempts.remove(n);
         for (i, value) in data.chunks(4).enumerate() {
             let (cell, value) =
                 (endpoint_offset / 4 + i as u64, u32::from_le_bytes(value.try_into().unwrap()));
-            self.cells[cell as usize] = value;
-            *self.ran.entry((value, cell)).or_default() += 1;
+            self.endpoint_cells[cell as usize] = value;
+            *self.write_counts.entry((value, cell)).or_default() += 1;
         }
         piece
     }
 
-    /// Of what is out, one comes to an end, as drawn.
-    fn end_attempt(&mut self, drawn: u64) {
-        let Some(id) = self.in_flight.get(drawn as usize % self.in_flight.len().max(1)).copied() else {
+    /// Ends one of the attempts in flight. The bits of `random` choose the attempt and its outcome.
+    fn end_attempt(&mut self, random: u64) {
+        let Some(id) = self.in_flight.get(random as usize % self.in_flight.len().max(1)).copied() else {
             return;
         };
         self.in_flight.retain(|f| *f != id);
         let n = self.attempts.iter().rposition(|a| a.piece == id).unwrap();
-        match drawn >> 8 & 3 {
+        match random >> 8 & 3 {
             0 | 1 => {
-                self.run(n);
-                self.feed(Input::AttemptEnded { piece: id, outcome: AttemptOutcome::Completed });
+                self.run_attempt(n);
+                self.step(Input::AttemptEnded { piece: id, outcome: AttemptOutcome::Completed });
             }
             2 => {
                 drop(self.attempts.remove(n));
-                self.feed(Input::AttemptEnded { piece: id, outcome: AttemptOutcome::NeverRan });
+                self.step(Input::AttemptEnded { piece: id, outcome: AttemptOutcome::NeverRan });
             }
-            // It stands: it may run until its time is over, or not.
-            _ => self.feed(Input::AttemptEnded { piece: id, outcome: AttemptOutcome::Unknown }),
+            // The endpoint keeps the attempt, which may run until it expires.
+            _ => self.step(Input::AttemptEnded { piece: id, outcome: AttemptOutcome::Unknown }),
         }
     }
 
-    /// Time passes; what stands at the endpoint runs, or is lost with its time.
-    fn advance_time(&mut self, span: Duration, drawn: u64) {
-        if !self.attempts.is_empty() && drawn & 1 == 1 {
-            let n = drawn as usize / 2 % self.attempts.len();
-            // Those whose answer is awaited are answered by `end_attempt`.
+    /// Lets time pass. An attempt that the endpoint has kept may run, and expired attempts are dropped.
+    fn advance_time(&mut self, duration: Duration, random: u64) {
+        if !self.attempts.is_empty() && random & 1 == 1 {
+            let n = random as usize / 2 % self.attempts.len();
+            // Attempts that are still in flight are run by `end_attempt`.
             if !self.in_flight.contains(&self.attempts[n].piece) {
-                self.run(n);
+                self.run_attempt(n);
             }
         }
-        self.now += span;
+        self.now += duration;
         let (now, in_flight) = (self.now, self.in_flight.clone());
-        self.attempts.retain(|a| a.until > now || in_flight.contains(&a.piece));
-        self.feed(Input::TimerFired);
+        self.attempts.retain(|a| a.expiry > now || in_flight.contains(&a.piece));
+        self.step(Input::TimerFired);
     }
 
-    fn read_back(&mut self, drawn: u64) {
+    fn read_back(&mut self, random: u64) {
         let Some(id) = self.read_backs.pop() else { return };
         let Some(piece) = self.buffer.piece(id) else { return };
-        let cells = &self.cells[(piece.endpoint_offset / 4) as usize..][..piece.data.len() / 4];
-        let there = cells.iter().flat_map(|v| v.to_le_bytes()).collect::<Vec<u8>>();
-        let data = (drawn & 3 != 0).then(|| there.into());
-        self.feed(Input::ReadBack { piece: id, data });
+        let cells = &self.endpoint_cells[(piece.endpoint_offset / 4) as usize..][..piece.data.len() / 4];
+        let stored = cells.iter().flat_map(|v| v.to_le_bytes()).collect::<Vec<u8>>();
+        let data = (random & 3 != 0).then(|| stored.into());
+        self.step(Input::ReadBack { piece: id, data });
     }
 
-    /// An operator looks at what is in doubt, and says what is so.
+    /// An operator looks up whether a piece in doubt has run, and decides accordingly.
     fn decide(&mut self) {
         let Some(id) = self.in_doubt.pop_first() else { return };
         let piece = self.buffer.piece(id).unwrap();
         let value = u32::from_le_bytes(piece.data[..4].try_into().unwrap());
-        let ran = self.ran.contains_key(&(value, piece.endpoint_offset / 4));
+        let ran = self.write_counts.contains_key(&(value, piece.endpoint_offset / 4));
         let decision = if ran { OperatorDecision::Drop } else { OperatorDecision::Resend };
-        self.feed(Input::Decide { piece: id, decision });
+        self.step(Input::Decide { piece: id, decision });
     }
 
-    fn crash(&mut self, drawn: u64) {
+    fn crash(&mut self, random: u64) {
         if let Some(commit) = self.commit.take() {
-            let named = self.disk.files.contains_key(&commit.segment) || drawn & 1 == 1;
-            self.disk.put(&commit, |i| named && drawn >> (i % 61 + 2) & 1 == 1);
+            let has_directory_entry = self.disk.files.contains_key(&commit.segment) || random & 1 == 1;
+            self.disk.write_commit(&commit, |i| has_directory_entry && random >> (i % 61 + 2) & 1 == 1);
         }
-        // What was out is closed; what the endpoint has read may run until its time is over.
+        // The connections of all attempts are closed. An attempt that the endpoint has received may run until
+        // it expires.
         let now = self.now;
-        self.attempts.iter_mut().for_each(|a| a.until = a.until.min(now + ATTEMPT_LIFETIME));
+        self.attempts.iter_mut().for_each(|a| a.expiry = a.expiry.min(now + ATTEMPT_LIFETIME));
         (self.ready, self.in_doubt, self.read_backs, self.in_flight) = Default::default();
-        self.promises = BTreeMap::new();
+        self.durability_floors = BTreeMap::new();
         let stored = |(number, bytes)| StoredSegment { number, bytes };
         let segments: Vec<StoredSegment> = self.disk.files.clone().into_iter().map(stored).collect();
-        let found = recover(IDENTITY, &segments).expect("the log is whole");
-        if let Some(torn) = found.torn_tail {
+        let recovered = recover(IDENTITY, &segments).expect("the log is intact");
+        if let Some(torn) = recovered.torn_tail {
             self.disk.files.entry(torn.segment).or_default().truncate(torn.offset as usize);
         }
         let RecoveredBuffer { buffer, effects } =
-            Buffer::recover(IDENTITY, config(self.doubt_policy), &found, now).expect("readable");
+            Buffer::recover(IDENTITY, config(self.doubt_policy), &recovered, now)
+                .expect("all records can be decoded");
         self.buffer = buffer;
-        self.carry_out(effects);
-        // What is seen now is one of the values since the last promise; what came after it is lost for good.
-        let seen = self.visible();
-        for (cell, value) in seen.into_iter().enumerate() {
+        self.execute(effects);
+        // Each cell now shows one of the values since its floor. Values written after that one are lost for
+        // good.
+        let visible = self.visible_cells();
+        for (cell, value) in visible.into_iter().enumerate() {
             let CellHistory { values, floor } = &mut self.history[cell];
-            let place = values.iter().rposition(|v| *v == value).expect("a value that was written");
-            assert!(place >= *floor, "cell {cell}: {value} is older than promised: {values:?} from {floor}");
-            values.truncate(place + 1);
-            *floor = place;
+            let index =
+                values.iter().rposition(|v| *v == value).expect("only values that were written are visible");
+            assert!(
+                index >= *floor,
+                "cell {cell}: {value} is older than the last durable value: {values:?} from {floor}"
+            );
+            values.truncate(index + 1);
+            *floor = index;
         }
     }
 
-    fn visible(&self) -> Vec<u32> {
-        let mut cells = self.cells.clone();
+    fn visible_cells(&self) -> Vec<u32> {
+        let mut cells = self.endpoint_cells.clone();
         for span in self.buffer.overlay(VOLUME, 0, CELLS * 4).spans() {
             for (i, value) in span.data.chunks(4).enumerate() {
                 cells[(span.offset / 4) as usize + i] = u32::from_le_bytes(value.try_into().unwrap());
@@ -288,10 +305,10 @@
     }
 
     fn check(&self) {
-        for ((value, cell), times) in &self.ran {
+        for ((value, cell), times) in &self.write_counts {
             assert!(*times <= 1, "{value} reached cell {cell} of the endpoint {times} times");
         }
-        for (cell, value) in self.visible().into_iter().enumerate() {
+        for (cell, value) in self.visible_cells().into_iter().enumerate() {
             let newest = self.history[cell].values.last().copied().unwrap();
             assert_eq!(value, newest, "cell {cell}");
         }
@@ -302,39 +319,39 @@
     prop::collection::vec((0u8..20, any::<u64>()), 1..160)
 }
 
-fn play(doubt_policy: DoubtPolicy, steps: Vec<(u8, u64)>) {
+fn run_simulation(doubt_policy: DoubtPolicy, steps: Vec<(u8, u64)>) {
     let mut simulation = Simulation::new(doubt_policy);
-    for (kind, drawn) in steps {
+    for (kind, random) in steps {
         match kind {
-            0..=4 => simulation.write(drawn % CELLS, 1 + drawn / 64 % 8, drawn >> 32 & 3 == 0),
+            0..=4 => simulation.write(random % CELLS, 1 + random / 64 % 8, random >> 32 & 3 == 0),
             5 => simulation.flush(),
             6..=9 => simulation.finish_commit(),
             10..=12 => {
                 if let Some(id) = simulation.ready.pop_first() {
-                    simulation.feed(Input::Start(id));
+                    simulation.step(Input::Start(id));
                 }
             }
-            13 | 14 => simulation.end_attempt(drawn),
-            15 => simulation.advance_time(Duration::from_millis(drawn % 2000), drawn >> 20),
-            16 => simulation.read_back(drawn),
-            17 => simulation.feed(Input::Idle),
+            13 | 14 => simulation.end_attempt(random),
+            15 => simulation.advance_time(Duration::from_millis(random % 2000), random >> 20),
+            16 => simulation.read_back(random),
+            17 => simulation.step(Input::Idle),
             18 => {
                 simulation.decide();
             }
-            _ => simulation.crash(drawn),
+            _ => simulation.crash(random),
         }
         simulation.check();
     }
-    // In the end all of it reaches the endpoint, each write once, but for what only an operator can settle.
+    // In the end every write reaches the endpoint once. An operator decides about those in doubt.
     for _ in 0..400 {
         simulation.finish_commit();
-        simulation.advance_time(S, 0);
+        simulation.advance_time(SECOND, 0);
         simulation.finish_commit();
         while !simulation.read_backs.is_empty() {
             simulation.read_back(1);
         }
         while let Some(id) = simulation.ready.pop_first() {
-            simulation.feed(Input::Start(id));
+            simulation.step(Input::Start(id));
         }
         simulation.finish_commit();
         while !simulation.in_flight.is_empty() {
@@ -344,34 +361,35 @@
         if simulation.buffer.usage().pieces == 0 && simulation.commit.is_none() {
             break;
         }
-        // What is in doubt holds back what overlaps it, until somebody looks.
-        let sure = simulation.buffer.usage().pieces - simulation.buffer.in_doubt();
-        if sure == 0 || simulation.ready.is_empty() && simulation.in_flight.is_empty() {
+        // A piece in doubt blocks the pieces that overlap it until an operator decides.
+        let without_operator = simulation.buffer.usage().pieces - simulation.buffer.in_doubt_count();
+        if without_operator == 0 || simulation.ready.is_empty() && simulation.in_flight.is_empty() {
             simulation.decide();
         }
     }
-    assert_eq!(simulation.buffer.usage().pieces, 0, "something never goes");
+    assert_eq!(simulation.buffer.usage().pieces, 0, "some pieces are never settled");
     let newest: Vec<u32> = simulation.history.iter().map(|h| *h.values.last().unwrap()).collect();
-    assert_eq!(simulation.cells, newest, "the endpoint holds what was written last");
+    assert_eq!(simulation.endpoint_cells, newest, "the endpoint holds the last written values");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(400) })]
 
     #[test]
-    fn no_crash_loses_what_is_promised_or_sends_twice(steps in steps()) {
-        play(DoubtPolicy::AskOperator, steps);
+    fn no_crash_loses_acknowledged_writes_or_sends_a_write_twice(steps in steps()) {
+        run_simulation(DoubtPolicy::AskOperator, steps);
     }
 
     #[test]
-    fn no_crash_loses_what_is_promised_or_sends_twice_when_pieces_are_resent(steps in steps()) {
-        play(DoubtPolicy::Resend, steps);
+    fn no_crash_loses_acknowledged_writes_or_sends_a_write_twice_when_pieces_are_resent(steps in steps()) {
+        run_simulation(DoubtPolicy::Resend, steps);
     }
 }
 
-/// Where not even what settles has room, nothing starts: an intent must not overtake the end of what came before.
+/// If the log has no space even for control records, no piece starts: an intent must not precede the recorded
+/// outcome of an earlier piece.
 #[test]
-fn a_start_that_the_log_has_no_room_for_is_postponed_and_comes_again() {
+fn a_start_without_log_space_is_postponed_and_retried() {
     let log = LogConfig { segment_bytes: 8 * BLOCK, max_bytes: 16 * BLOCK, reserved_bytes: BLOCK };
     let config = Config { log, ..config(DoubtPolicy::AskOperator) };
     let mut buffer = Buffer::new(IDENTITY, config);
@@ -384,9 +402,9 @@
     let mut ready = Vec::new();
     for n in 0..15 {
         let write = Input::Write { command: n, volume: 1, pieces: vec![piece(n)], fua: false };
-        let mut effects = buffer.step(S, write);
+        let mut effects = buffer.step(SECOND, write);
         while effects.iter().any(|e| matches!(e, Effect::Commit(_))) {
-            effects = buffer.step(S, Input::CommitSucceeded);
+            effects = buffer.step(SECOND, Input::CommitSucceeded);
             ready.extend(
                 effects.iter().filter_map(|e| if let Effect::Ready(id) = e { Some(*id) } else { None }),
             );
@@ -394,44 +412,54 @@
     }
     assert_eq!(ready.len(), 15);
     let full = Input::Write { command: 99, volume: 1, pieces: vec![piece(99)], fua: false };
-    assert!(buffer.step(S, full).contains(&Effect::Reject { command: 99, reason: RejectReason::LogFull }));
-    // The first takes the last block, and what comes while it is on its way has none.
-    assert!(matches!(buffer.step(S, Input::Start(1))[..], [Effect::Commit(_)]));
-    assert!(buffer.step(S, Input::Start(2)).contains(&Effect::SetTimer(S + Duration::from_millis(100))));
+    assert!(buffer
+        .step(SECOND, full)
+        .contains(&Effect::Reject { command: 99, reason: RejectReason::LogFull }));
+    // The intent of piece 1 takes the last block. While that commit is in flight, no space is left for
+    // another intent.
+    assert!(matches!(buffer.step(SECOND, Input::Start(1))[..], [Effect::Commit(_)]));
+    assert!(buffer
+        .step(SECOND, Input::Start(2))
+        .contains(&Effect::SetTimer(SECOND + Duration::from_millis(100))));
     assert_eq!(buffer.state(2), Some(PieceState::Durable));
-    assert!(buffer.step(S, Input::CommitSucceeded).contains(&Effect::Send(1)));
-    let later = S + Duration::from_millis(100);
+    assert!(buffer.step(SECOND, Input::CommitSucceeded).contains(&Effect::Send(1)));
+    let later = SECOND + Duration::from_millis(100);
     assert!(buffer.step(later, Input::TimerFired).contains(&Effect::Ready(2)));
 }
 
-/// The end of a write that the log had no room for yet must stand before the intent of what waited for it: a
-/// restart in between would take the first for unsettled, and could send it behind the second.
+/// The outcome of a write may have to wait for log space. It must still precede the intent of a later write
+/// that overlaps: a restart in between would treat the first write as unsettled, and could send it after the
+/// second.
 #[test]
-fn an_intent_never_stands_before_an_end_that_is_owed() {
+fn an_intent_is_never_appended_before_a_pending_outcome() {
     let log = LogConfig { segment_bytes: 8 * BLOCK, max_bytes: 16 * BLOCK, reserved_bytes: 4 * BLOCK };
     let mut buffer = Buffer::new(IDENTITY, Config { log, ..config(DoubtPolicy::AskOperator) });
     for n in 1..=12u64 {
-        // The second overlaps the first in part; all others lie alone.
+        // The second write overlaps the first in part. All others overlap nothing.
         let from = if n == 2 { 2000 } else { n * 8000 - 8000 };
         let piece =
             Piece { export_offset: from, shard: 0, endpoint_offset: from, data: vec![1; 3900].into() };
         let write = Input::Write { command: n, volume: 1, pieces: vec![piece], fua: false };
-        assert!(buffer.step(S, write).iter().any(|e| matches!(e, Effect::Commit(_))));
-        buffer.step(S, Input::CommitSucceeded);
+        assert!(buffer.step(SECOND, write).iter().any(|e| matches!(e, Effect::Commit(_))));
+        buffer.step(SECOND, Input::CommitSucceeded);
     }
-    buffer.step(S, Input::Start(1));
-    assert!(buffer.step(S, Input::CommitSucceeded).contains(&Effect::Send(1)));
-    // One intent on its way, two that wait for it: the log is full to its last block.
-    [3, 4, 5].into_iter().for_each(|id| drop(buffer.step(S, Input::Start(id))));
+    buffer.step(SECOND, Input::Start(1));
+    assert!(buffer.step(SECOND, Input::CommitSucceeded).contains(&Effect::Send(1)));
+    // One intent is in flight and two wait for its commit: the log is full to its last block.
+    [3, 4, 5].into_iter().for_each(|id| drop(buffer.step(SECOND, Input::Start(id))));
     assert!(buffer
-        .step(S, Input::AttemptEnded { piece: 1, outcome: AttemptOutcome::Completed })
+        .step(SECOND, Input::AttemptEnded { piece: 1, outcome: AttemptOutcome::Completed })
         .contains(&Effect::Ready(2)));
-    // The two share a block, so that there is room for one record again.
-    buffer.step(S, Input::CommitSucceeded);
-    buffer.step(S, Input::Start(2));
-    assert_eq!(buffer.state(2), Some(PieceState::Durable), "the end of the first comes first");
-    buffer.step(S, Input::CommitSucceeded);
-    buffer.step(S, Input::CommitSucceeded);
-    let again = buffer.step(S + Duration::from_millis(100), Input::TimerFired);
+    // The two intents share a block, which leaves space for one record.
+    buffer.step(SECOND, Input::CommitSucceeded);
+    buffer.step(SECOND, Input::Start(2));
+    assert_eq!(
+        buffer.state(2),
+        Some(PieceState::Durable),
+        "the outcome of the first write is appended first"
+    );
+    buffer.step(SECOND, Input::CommitSucceeded);
+    buffer.step(SECOND, Input::CommitSucceeded);
+    let again = buffer.step(SECOND + Duration::from_millis(100), Input::TimerFired);
     assert!(again.contains(&Effect::Ready(2)));
 }
--- a/crates/writeback/tests/fixtures.rs
+++ b/crates/writeback/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! Buffers as the release of 2 December 2026 left them in the log are recovered to the same states, and the same
-//! inputs become the same bytes.
+//! Logs written by the release of 2 December 2026 are recovered to the same states, and the same inputs are
+//! encoded to the same bytes.
 
 use bytes::Bytes;
 use shaletack_wal::{
@@ -16,9 +16,9 @@
 const IDENTITY: Identity = Identity { log: 1, purpose: 2 };
 const VOLUME: u64 = 77;
 const BLOCK: u64 = 4096;
-const SECTOR: usize = 512;
-const NOW: Duration = Duration::from_secs(3);
-const RESTART: Duration = Duration::from_secs(100);
+const SECTOR_BYTES: usize = 512;
+const WRITE_TIME: Duration = Duration::from_secs(3);
+const RESTART_TIME: Duration = Duration::from_secs(100);
 const ATTEMPT_LIFETIME: Duration = Duration::from_secs(5);
 const CONFIG: Config = Config {
     log: LogConfig { segment_bytes: 4 * BLOCK, max_bytes: 32 * BLOCK, reserved_bytes: 8 * BLOCK },
@@ -28,8 +28,8 @@
 
 type Segments = BTreeMap<u64, Vec<u8>>;
 
-/// The segments of one fixture, as files of the names that the program gives them.
-fn stored(case: &str) -> Segments {
+/// Reads the segments of a fixture, whose files are named as the program names them.
+fn read_fixture(case: &str) -> Segments {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(case);
     let files = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path());
     let number =
@@ -37,33 +37,33 @@
     files.map(|path| (number(&path), std::fs::read(path).unwrap())).collect()
 }
 
-fn put(segments: &mut Segments, commit: &Commit, length: usize) {
+fn write_commit(segments: &mut Segments, commit: &Commit, length: usize) {
     let file = segments.entry(commit.segment).or_default();
     let end = commit.offset as usize + commit.bytes.len();
     file.resize(file.len().max(end), 0);
     file[commit.offset as usize..][..length].copy_from_slice(&commit.bytes[..length]);
 }
 
-/// A buffer over a disk in memory that keeps every commit.
-struct Recorded {
+/// A buffer with an in-memory disk that keeps every commit.
+struct RecordingBuffer {
     buffer: Buffer,
     segments: Segments,
 }
 
-impl Recorded {
+impl RecordingBuffer {
     fn new() -> Self {
-        Recorded { buffer: Buffer::new(IDENTITY, CONFIG), segments: Segments::new() }
+        RecordingBuffer { buffer: Buffer::new(IDENTITY, CONFIG), segments: Segments::new() }
     }
 
     fn step(&mut self, input: Input) {
-        let mut effects = self.buffer.step(NOW, input);
+        let mut effects = self.buffer.step(WRITE_TIME, input);
         while !effects.is_empty() {
             let mut next = Vec::new();
             for effect in effects {
                 match effect {
                     Effect::Commit(commit) => {
-                        put(&mut self.segments, &commit, commit.bytes.len());
-                        next.extend(self.buffer.step(NOW, Input::CommitSucceeded));
+                        write_commit(&mut self.segments, &commit, commit.bytes.len());
+                        next.extend(self.buffer.step(WRITE_TIME, Input::CommitSucceeded));
                     }
                     Effect::RemoveSegment(segment) => drop(self.segments.remove(&segment)),
                     _ => {}
@@ -77,7 +77,7 @@
         self.step(Input::Write { command: 1, volume: VOLUME, pieces, fua: true });
     }
 
-    /// One attempt that ends like this.
+    /// Starts one attempt and ends it with this outcome.
     fn attempt(&mut self, id: PieceId, outcome: AttemptOutcome) {
         self.step(Input::Start(id));
         self.step(Input::AttemptEnded { piece: id, outcome });
@@ -88,10 +88,10 @@
     Piece { export_offset, shard, endpoint_offset, data: Bytes::from_static(data) }
 }
 
-/// Each kind of record: a write of two pieces, an intent, an end, an attempt that never ran, and one more intent.
-/// Piece 1 is settled, 2 is out, 3 was never sent, 4 may have run.
-fn every_kind() -> Recorded {
-    let mut log = Recorded::new();
+/// Contains each kind of record: a write of two pieces, an intent, an outcome, an attempt that never ran, and
+/// another intent. Piece 1 is settled, 2 is in flight, 3 was never sent, and 4 may have run.
+fn every_kind() -> RecordingBuffer {
+    let mut log = RecordingBuffer::new();
     log.write(vec![piece(0, 0, 512, b"first"), piece(5, 1, 65536, b"second")]);
     log.attempt(1, AttemptOutcome::Completed);
     log.attempt(2, AttemptOutcome::NeverRan);
@@ -108,21 +108,22 @@
     log.segments
 }
 
-/// A write whose batch has reached the disk with its first sector only.
+/// Only the first sector of the last write's batch has reached the disk.
 fn torn_tail() -> Segments {
     let mut log = every_kind();
     let pieces = vec![piece(200_000, 0, 0, &[5; 900])];
     let write = Input::Write { command: 2, volume: VOLUME, pieces, fua: true };
-    let effects = log.buffer.step(NOW, write);
+    let effects = log.buffer.step(WRITE_TIME, write);
     let commit =
         effects.iter().find_map(|e| if let Effect::Commit(commit) = e { Some(commit) } else { None });
-    put(&mut log.segments, commit.unwrap(), SECTOR);
+    write_commit(&mut log.segments, commit.unwrap(), SECTOR_BYTES);
     log.segments
 }
 
-/// Two old pieces, of which one may have run, were written anew to free the segments behind them.
+/// Two old pieces, of which one may have run, were rewritten so that their segments and the ones after these
+/// could be removed.
 fn rewritten() -> Segments {
-    let mut log = Recorded::new();
+    let mut log = RecordingBuffer::new();
     log.write(vec![piece(0, 0, 0, b"sent")]);
     log.attempt(1, AttemptOutcome::Unknown);
     log.write(vec![piece(1000, 1, 0, b"never sent")]);
@@ -133,18 +134,18 @@
     log.segments
 }
 
-fn found(segments: Segments) -> RecoveredLog {
+fn recover_log(segments: Segments) -> RecoveredLog {
     let stored = segments.into_iter().map(|(number, bytes)| StoredSegment { number, bytes });
     recover(IDENTITY, &stored.collect::<Vec<StoredSegment>>()).unwrap()
 }
 
-fn restarted(case: &str) -> (Vec<UnsettledPiece>, Vec<Effect>) {
+fn recover_buffer(case: &str) -> (Vec<UnsettledPiece>, Vec<Effect>) {
     let RecoveredBuffer { buffer, effects } =
-        Buffer::recover(IDENTITY, CONFIG, &found(stored(case)), RESTART).unwrap();
+        Buffer::recover(IDENTITY, CONFIG, &recover_log(read_fixture(case)), RESTART_TIME).unwrap();
     (buffer.list(), effects)
 }
 
-fn held(id: PieceId, piece: &Piece, may_have_run: bool) -> UnsettledPiece {
+fn unsettled(id: PieceId, piece: &Piece, may_have_run: bool) -> UnsettledPiece {
     UnsettledPiece {
         id,
         volume: VOLUME,
@@ -154,43 +155,48 @@
         endpoint_offset: piece.endpoint_offset,
         may_have_run,
         in_doubt: false,
-        since: RESTART,
+        since: RESTART_TIME,
     }
 }
 
 fn three_unsettled() -> Vec<UnsettledPiece> {
     vec![
-        held(2, &piece(5, 1, 65536, b"second"), true),
-        held(3, &piece(300, 0, 812, b"third"), false),
-        held(4, &piece(70_000, 3, 4096, b"fourth"), true),
+        unsettled(2, &piece(5, 1, 65536, b"second"), true),
+        unsettled(3, &piece(300, 0, 812, b"third"), false),
+        unsettled(4, &piece(70_000, 3, 4096, b"fourth"), true),
     ]
 }
 
 #[test]
 fn each_kind_of_record_is_read_from_a_stored_log() {
     for case in ["every_kind", "sealed", "torn_tail"] {
-        let (list, effects) = restarted(case);
+        let (list, effects) = recover_buffer(case);
         assert_eq!(list, three_unsettled(), "{case}");
-        assert_eq!(effects, [Effect::Ready(3), Effect::SetTimer(RESTART + ATTEMPT_LIFETIME)], "{case}");
+        assert_eq!(effects, [Effect::Ready(3), Effect::SetTimer(RESTART_TIME + ATTEMPT_LIFETIME)], "{case}");
     }
-    assert_eq!(found(stored("torn_tail")).torn_tail, Some(TornTail { segment: 3, offset: BLOCK }));
-    assert_eq!(found(stored("sealed")).torn_tail, None);
+    assert_eq!(
+        recover_log(read_fixture("torn_tail")).torn_tail,
+        Some(TornTail { segment: 3, offset: BLOCK })
+    );
+    assert_eq!(recover_log(read_fixture("sealed")).torn_tail, None);
 }
 
 #[test]
-fn records_written_anew_keep_the_state_of_their_pieces_in_a_stored_log() {
-    let (list, effects) = restarted("rewritten");
-    let expected =
-        [held(1, &piece(0, 0, 0, b"sent"), true), held(2, &piece(1000, 1, 0, b"never sent"), false)];
+fn rewritten_records_keep_the_state_of_their_pieces_in_a_stored_log() {
+    let (list, effects) = recover_buffer("rewritten");
+    let expected = [
+        unsettled(1, &piece(0, 0, 0, b"sent"), true),
+        unsettled(2, &piece(1000, 1, 0, b"never sent"), false),
+    ];
     assert_eq!(list, expected);
-    assert_eq!(effects, [Effect::Ready(2), Effect::SetTimer(RESTART + ATTEMPT_LIFETIME)]);
+    assert_eq!(effects, [Effect::Ready(2), Effect::SetTimer(RESTART_TIME + ATTEMPT_LIFETIME)]);
 }
 
-/// The encoding is by position: kind, then the fields in their order, as variable-length integers.
+/// The encoding is positional: the kind, then the fields in their order, with variable-length integers.
 #[test]
 fn each_kind_of_record_has_its_stored_encoding() {
     let stored_bytes = |case: &str, number: RecordNumber| {
-        let records = found(stored(case)).records;
+        let records = recover_log(read_fixture(case)).records;
         records.into_iter().find(|record| record.number == number).unwrap().bytes
     };
     assert_eq!(stored_bytes("every_kind", 2), *b"\0\x02\x4d\x05\x01\x80\x80\x04\0\x06second", "write");
@@ -205,9 +211,9 @@
 }
 
 #[test]
-fn the_same_inputs_become_the_same_bytes() {
-    assert!(stored("every_kind") == every_kind().segments);
-    assert!(stored("sealed") == sealed());
-    assert!(stored("torn_tail") == torn_tail());
-    assert!(stored("rewritten") == rewritten());
+fn the_same_inputs_are_encoded_to_the_same_bytes() {
+    assert!(read_fixture("every_kind") == every_kind().segments);
+    assert!(read_fixture("sealed") == sealed());
+    assert!(read_fixture("torn_tail") == torn_tail());
+    assert!(read_fixture("rewritten") == rewritten());
 }
--- a/crates/writeback/tests/overlay.rs
+++ b/crates/writeback/tests/overlay.rs
@@ -1,4 +1,4 @@
-//! What reads see of buffered writes.
+//! Reads see buffered writes through the overlay.
 
 use bytes::Bytes;
 use shaletack_wal::{Identity, LogConfig};
@@ -17,9 +17,9 @@
 }
 
 #[test]
-fn spans_are_laid_over_what_a_read_brings_and_the_later_one_counts() {
+fn spans_are_applied_to_the_data_of_a_read_and_the_later_one_wins() {
     let spans = overlay(&[(8, b"aaaa"), (10, b"bbbb"), (18, b"cccc"), (30, b"dd")]);
-    // Of the first and third only the part within the range, of the last nothing.
+    // Only parts of the first and third span lie within the range, and the last lies outside.
     assert_eq!(spans.apply(10, b"..........".to_vec()), b"bbbb....cc");
     assert_eq!(spans.apply(0, b"........".to_vec()), b"........");
     assert_eq!(Overlay::default().apply(5, b"..".to_vec()), b"..");
@@ -35,7 +35,8 @@
     assert!(Overlay::default().is_empty() && !Overlay::default().covers(0, 1));
 }
 
-/// A write is seen from its acknowledgement on, by its own volume only, and in the order of arrival.
+/// A write is visible from its acknowledgement on, to its own volume only, and writes apply in the order of
+/// arrival.
 #[test]
 fn a_buffered_write_is_in_the_overlay_of_its_volume_at_once() {
     let log = LogConfig { segment_bytes: 8 * BLOCK, max_bytes: 48 * BLOCK, reserved_bytes: 12 * BLOCK };
