--- a/src/writeback/attempts.rs
+++ b/src/writeback/attempts.rs
@@ -1,4 +1,4 @@
-//! Requests for buffered pieces: sent to their endpoints through the core, as any client's are.
+//! Requests for buffered pieces, sent to their endpoints through the core like requests of clients.
 
 use crate::broker::{Answer, IncomingRequest};
 use crate::nbd::codec::cmd;
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A piece that a request is about, and the export that it is written to.
+/// A piece and the export that it belongs to.
 #[derive(Clone, Debug)]
 pub(super) struct PieceToSend {
     pub id: PieceId,
@@ -18,14 +18,14 @@
     pub piece: Piece,
 }
 
-/// What a request does with a piece.
+/// The operation of a request for a piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestKind {
     Write,
     ReadBack,
 }
 
-/// How requests for pieces are made.
+/// Sends write and read-back requests for pieces.
 pub(super) struct Attempts {
     host: Host,
     endpoints: Rc<EndpointClient>,
@@ -37,21 +37,21 @@
         Attempts { host, endpoints, operator }
     }
 
-    /// The size of a piece of so many bytes, in units.
+    /// Returns the size of a piece of `length` bytes, in units. At least 1.
     pub fn units(&self, length: usize) -> u64 {
         (length as u64).div_ceil(self.operator.unit_bytes.into()).max(1)
     }
 
-    /// The export of a volume.
+    /// Returns the export of a volume.
     pub fn export(&self, volume: u64) -> Option<&Export> {
         self.operator.exports.iter().find(|export| export.volume == volume)
     }
 
-    /// Writes a piece to its endpoint, once.
+    /// Writes a piece to its endpoint once.
     pub async fn write(&self, to_send: PieceToSend) -> AttemptOutcome {
         match self.request(RequestKind::Write, to_send).await {
             Answer::Served(_) => AttemptOutcome::Completed,
-            // Only what provably never ran is rejected.
+            // A request is rejected only if it provably never ran.
             Answer::Rejected(retry_after) => {
                 tokio::time::sleep(retry_after).await;
                 AttemptOutcome::NeverRan
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Reads what the endpoint holds where a piece belongs; `None`: it could not be read.
+    /// Reads the endpoint's data at the location of a piece. Returns `None` if it could not be read.
     pub async fn read_back(&self, to_send: PieceToSend) -> Option<Bytes> {
         match self.request(RequestKind::ReadBack, to_send).await {
             Answer::Served(data) => Some(data),
@@ -73,7 +73,7 @@
         let length = piece.data.len() as u32;
         let request = self.incoming_request(kind, id, &export, piece.shard, length);
         let (command, fua, data) = match kind {
-            // On stable storage at the endpoint before it leaves the log.
+            // FUA: the data has to be on the endpoint's stable storage before the log releases it.
             RequestKind::Write => (cmd::WRITE, true, piece.data),
             RequestKind::ReadBack => (cmd::READ, false, Bytes::new()),
         };
--- a/src/writeback/cache.rs
+++ b/src/writeback/cache.rs
@@ -1,4 +1,4 @@
-//! The write-back cache of one process: the buffer, and what carries out its effects.
+//! The write-back cache of one process: the buffer, and the executor of its effects.
 
 use super::attempts::{Attempts, PieceToSend};
 use super::client_demand::{ClientDemand, ClientDemandGuard};
@@ -23,28 +23,28 @@
 use tokio::sync::Notify;
 use tracing::{info, warn};
 
-/// The log is sealed when nothing was written for this long.
+/// Idle time after which the log is sealed.
 const SEAL_AFTER_IDLE: Duration = Duration::from_secs(1);
-/// A write that the log has no room for is tried again after this time, while its client waits.
-const FULL_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a stop waits for the log to become durable.
+/// Interval at which a write is retried that the log has no space for, until its client's deadline.
+const LOG_FULL_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum time that closing the cache waits for the log to become durable.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often a stop looks whether the log is durable.
+/// Interval at which closing the cache checks whether the log is durable.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The shortest wait of the timer.
+/// Minimum wait of the timer.
 const MIN_TIMER_WAIT: Duration = Duration::from_millis(1);
 
-/// The class of sending pieces, the only one of the background scheduler.
+/// Work class of sending pieces, the only class of the background scheduler.
 const SEND_CLASS: usize = 0;
 const SEND_PRIORITY: u8 = 1;
-/// How long unused budget of sending is saved up.
+/// Duration for which unused send budget accumulates.
 const SEND_BURST: Duration = Duration::from_secs(1);
-/// The most pieces in flight, over all shards.
+/// Maximum number of pieces in flight, over all shards.
 const MAX_IN_FLIGHT: usize = 64;
-/// The most pieces in flight at one shard.
+/// Maximum number of pieces in flight at one shard.
 const MAX_IN_FLIGHT_PER_SHARD: usize = 8;
 
-/// The write-back cache of one process. Clones share it.
+/// Handle to the write-back cache of one process. Clones share the same cache.
 #[derive(Clone)]
 pub struct WriteBackCache(Rc<Shared>);
 
@@ -55,41 +55,42 @@
     attempts: Attempts,
     commands: PendingCommands,
     client_demand: RefCell<ClientDemand>,
-    /// Times of the buffer and of the background scheduler are since then.
+    /// Origin of the times that are passed to the buffer and to the background scheduler.
     origin: Instant,
-    /// When the buffer asked to be called again.
+    /// Time of the last [`Effect::SetTimer`], if any.
     timer_at: Cell<Option<Duration>>,
-    /// Rung when the timer has to look again at what it waits for.
+    /// Notified when the timer task has to compute its wait again.
     timer_changed: Notify,
     is_committing: Cell<bool>,
     last_commit_at: Cell<Duration>,
-    /// Nothing has happened since the buffer was last told that it is idle.
+    /// Whether [`Input::Idle`] was the last input of the buffer.
     is_idle: Cell<bool>,
 }
 
 impl WriteBackCache {
-    /// Opens the log and goes on where it ended.
+    /// Opens the log and resumes from its contents.
     ///
     /// # Errors
-    /// The log can't be read, is another process's or another purpose's, or is damaged.
+    /// Fails if the log can't be read, is open in another process, was created for another purpose, or is
+    /// damaged.
     pub fn open(
         host: Host,
         endpoints: Rc<EndpointClient>,
         operator: &Operator,
         settings: &WriteBack,
     ) -> Result<Self, OpenError> {
-        let new_log = RandomState::new().build_hasher().finish();
-        let OpenedLog { files, identity, found } =
-            SegmentFiles::open(&settings.folder, new_log, purpose(operator))?;
+        let new_log_id = RandomState::new().build_hasher().finish();
+        let OpenedLog { files, identity, recovered } =
+            SegmentFiles::open(&settings.folder, new_log_id, purpose(operator))?;
         let RecoveredBuffer { buffer, effects } =
-            Buffer::recover(identity, buffer_config(settings), &found, Duration::ZERO)
-                .map_err(|error| OpenFailure::from(error).of(&settings.folder))?;
+            Buffer::recover(identity, buffer_config(settings), &recovered, Duration::ZERO)
+                .map_err(|error| OpenFailure::from(error).in_folder(&settings.folder))?;
         info!(
             folder = %settings.folder.display(),
-            records = found.records.len(),
-            torn = found.torn_tail.is_some(),
+            records = recovered.records.len(),
+            torn = recovered.torn_tail.is_some(),
             unsettled = buffer.usage().pieces,
-            "write-back is on"
+            "write-back enabled"
         );
         let cache = WriteBackCache(Rc::new(Shared {
             buffer: RefCell::new(buffer),
@@ -110,10 +111,10 @@
         Ok(cache)
     }
 
-    /// Takes a write. While the log is full it waits, as long as its client does.
+    /// Buffers a write. Waits while the log is full, for at most `time_remaining`.
     ///
     /// # Errors
-    /// The write was not taken, or a write with `fua` was not durable in time.
+    /// Fails if the write was not accepted, or if a write with `fua` was not durable within `time_remaining`.
     pub async fn write(
         &self,
         export: &Export,
@@ -124,10 +125,10 @@
         let deadline = Instant::now() + time_remaining;
         loop {
             let result = self.try_write(export, pieces.clone(), fua, deadline).await;
-            if result != Err(WriteError::LogFull) || Instant::now() + FULL_RETRY_INTERVAL >= deadline {
+            if result != Err(WriteError::LogFull) || Instant::now() + LOG_FULL_RETRY_INTERVAL >= deadline {
                 return result;
             }
-            tokio::time::sleep(FULL_RETRY_INTERVAL).await;
+            tokio::time::sleep(LOG_FULL_RETRY_INTERVAL).await;
         }
     }
 
@@ -138,7 +139,7 @@
         fua: bool,
         deadline: Instant,
     ) -> Result<(), WriteError> {
-        // While the disk refuses writes, nobody could promise anything of what is taken.
+        // While the disk rejects writes, the cache could not make an accepted write durable.
         if self.0.log_writer.is_failing() {
             return Err(WriteError::LogFull);
         }
@@ -146,22 +147,22 @@
         self.run_command(deadline, |command| Input::Write { command, volume, pieces, fua }).await
     }
 
-    /// Ends once all writes to an export that were taken so far are durable.
+    /// Completes once all writes accepted so far for an export are durable.
     ///
     /// # Errors
-    /// They are not durable within `time_remaining`.
+    /// Fails if these writes are not durable within `time_remaining`.
     pub async fn flush(&self, export: &Export, time_remaining: Duration) -> Result<(), WriteError> {
         let deadline = Instant::now() + time_remaining;
         let volume = export.volume;
         self.run_command(deadline, |command| Input::Flush { command, volume }).await
     }
 
-    /// What a read of `length` bytes is overlaid with. To be taken before any endpoint is asked.
+    /// Returns the overlay for a read of `length` bytes. To be taken before the read is sent to any endpoint.
     pub fn overlay(&self, export: &Export, offset: u64, length: u32) -> Overlay {
         self.0.buffer.borrow().overlay(export.volume, offset, length.into())
     }
 
-    /// A request of a client waits for a shard until the guard is dropped.
+    /// Counts a client's request as waiting for a shard until the guard is dropped.
     pub fn client_request(&self, shard: u16) -> ClientDemandGuard {
         let requests = self.0.client_demand.borrow_mut().add(shard);
         self.0.background.borrow_mut().set_client_demand(shard.into(), requests);
@@ -174,7 +175,8 @@
         self.0.timer_changed.notify_one();
     }
 
-    /// Waits until all that was taken is in the log, and for no endpoint.
+    /// Waits until everything accepted is durable in the log, for at most `CLOSE_TIMEOUT`. Does not wait
+    /// for endpoints.
     pub async fn close(&self) {
         let deadline = Instant::now() + CLOSE_TIMEOUT;
         while !self.is_durable() && Instant::now() < deadline {
@@ -182,7 +184,7 @@
         }
         let usage = self.0.buffer.borrow().usage();
         let durable = self.0.buffer.borrow().is_durable();
-        info!(unsettled = usage.pieces, bytes = usage.log_bytes, durable, "write-back stops");
+        info!(unsettled = usage.pieces, bytes = usage.log_bytes, durable, "write-back stopped");
     }
 
     fn is_durable(&self) -> bool {
@@ -193,8 +195,10 @@
         self.0.origin.elapsed()
     }
 
-    /// What comes of a command. One that is not acknowledged by its deadline may be durable later: nothing is
-    /// promised.
+    /// Passes a command to the buffer and waits for its result.
+    ///
+    /// A command that is not acknowledged by its deadline fails, although its write may still become durable
+    /// later.
     async fn run_command(
         &self,
         deadline: Instant,
@@ -225,7 +229,7 @@
                 Effect::Reject { command, reason } => {
                     shared.commands.complete(command, Err(reason.into()));
                 }
-                Effect::Ready(id) => self.queue(id),
+                Effect::Ready(id) => self.schedule(id),
                 Effect::Withdraw(id) => shared.background.borrow_mut().remove(id),
                 Effect::Send(id) => self.send(id),
                 Effect::ReadBack(id) => self.read_back(id),
@@ -248,8 +252,8 @@
         });
     }
 
-    /// Gives a piece that may be sent to the background scheduler.
-    fn queue(&self, id: PieceId) {
+    /// Hands a piece that may be sent to the background scheduler.
+    fn schedule(&self, id: PieceId) {
         let Some(piece) = self.0.buffer.borrow().piece(id).cloned() else { return };
         let task = Task {
             class: SEND_CLASS,
@@ -259,17 +263,17 @@
             since: self.now(),
         };
         let mut background = self.0.background.borrow_mut();
-        // A piece that could not start still counts as in flight.
+        // A piece whose start was postponed still counts as in flight in the scheduler.
         background.remove(id);
         background.add(id, task);
     }
 
-    /// Starts the pieces that may go to their endpoints now.
+    /// Starts the pieces that the background scheduler lets go to their endpoints now.
     fn start_ready(&self) {
         let started = self.0.background.borrow_mut().start_ready(self.now());
         for id in started {
             let cache = self.clone();
-            // A step must not run inside the one that it follows from.
+            // Spawned because a step of the buffer must not run inside the step that caused it.
             actix_rt::spawn(async move { cache.step(Input::Start(id)) });
         }
     }
@@ -300,7 +304,7 @@
         Some(PieceToSend { id, export, piece })
     }
 
-    /// How long the timer may wait if nothing else happens.
+    /// Returns how long the timer task may wait unless it is notified.
     fn timer_wait(&self, seal_at: Option<Duration>) -> Duration {
         let background = self.0.background.borrow().next_start_at();
         let next = [self.0.timer_at.get(), background, seal_at].into_iter().flatten().min();
@@ -308,7 +312,7 @@
         wait.max(MIN_TIMER_WAIT)
     }
 
-    /// When the buffer is told that it is idle, if nothing happens until then; `None`: it has been.
+    /// Returns when to report [`Input::Idle`] to the buffer, or `None` if that was the last input.
     fn seal_at(&self) -> Option<Duration> {
         (!self.0.is_idle.get()).then_some(self.0.last_commit_at.get() + SEAL_AFTER_IDLE)
     }
@@ -325,7 +329,7 @@
     }
 }
 
-/// The settings of the buffer. Also for an offline log.
+/// Returns the configuration of the buffer, which is the same for an offline log.
 pub(super) fn buffer_config(settings: &WriteBack) -> Config {
     Config {
         log: settings.log,
@@ -346,13 +350,13 @@
     }
 }
 
-/// Runs as long as the cache is there.
+/// Fires the timers of the cache. Returns once the cache is dropped.
 async fn run_timer(shared: Weak<Shared>) {
     loop {
         let Some(cache) = shared.upgrade().map(WriteBackCache) else { return };
         let seal_at = cache.seal_at();
         let wait = cache.timer_wait(seal_at);
-        // What is rung before it is waited for is kept, so that nothing is missed in between.
+        // `Notify` stores a notification that arrives before the wait, so that none is lost in between.
         let _ = tokio::time::timeout(wait, cache.0.timer_changed.notified()).await;
         cache.timer_fired(seal_at);
     }
--- a/src/writeback/client_demand.rs
+++ b/src/writeback/client_demand.rs
@@ -1,23 +1,24 @@
-//! How many requests of clients wait for each shard: background work leaves these shards alone.
+//! Counts the client requests that wait for each shard, so that background work leaves these shards to
+//! clients.
 
 use super::cache::WriteBackCache;
 use std::collections::BTreeMap;
 
-/// Requests of clients by shard.
+/// Number of waiting client requests by shard.
 #[derive(Debug, Default)]
 pub(super) struct ClientDemand {
     requests: BTreeMap<u16, usize>,
 }
 
 impl ClientDemand {
-    /// Counts a request; returns how many there are now.
+    /// Adds a request and returns the new number of requests of the shard.
     pub fn add(&mut self, shard: u16) -> usize {
         let requests = self.requests.entry(shard).or_default();
         *requests += 1;
         *requests
     }
 
-    /// Counts a request no more; returns how many are left.
+    /// Removes a request and returns the remaining number of requests of the shard.
     pub fn remove(&mut self, shard: u16) -> usize {
         let requests = self.requests.entry(shard).or_default();
         *requests = requests.saturating_sub(1);
@@ -25,7 +26,7 @@
     }
 }
 
-/// A request of a client that waits for a shard until this is dropped.
+/// Counts a client's request as waiting for a shard until the guard is dropped.
 pub struct ClientDemandGuard {
     cache: WriteBackCache,
     shard: u16,
--- a/src/writeback/error.rs
+++ b/src/writeback/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a log or a buffered write.
+//! Errors of logs and buffered writes.
 
 use shaletack_wal::RecoveryError;
 use shaletack_writeback::{RejectReason, UnreadableRecord};
@@ -6,13 +6,13 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A log can't be opened.
+/// The log in a folder can't be opened.
 #[derive(Debug, Error)]
 #[error("{}: {failure}", folder.display())]
 pub struct OpenError {
     /// The folder of the log.
     pub folder: PathBuf,
-    /// Why.
+    /// The reason.
     pub failure: OpenFailure,
 }
 
@@ -22,20 +22,20 @@
     /// The folder or a file in it can't be read or written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Another process has the log open: stop that one first.
-    #[error("another process has this log")]
+    /// Another process has the log open, and has to be stopped first.
+    #[error("another process has the log open")]
     Locked,
-    /// The log belongs to something else, or is damaged. Nothing was changed.
+    /// The log has another version or purpose, or is damaged. Nothing on disk was changed.
     #[error(transparent)]
     Recovery(#[from] RecoveryError),
-    /// The log holds a record that this program can't read.
+    /// The log holds a record that can't be decoded.
     #[error(transparent)]
     UnreadableRecord(#[from] UnreadableRecord),
 }
 
 impl OpenFailure {
-    /// Names the log that can't be opened.
-    pub(super) fn of(self, folder: &Path) -> OpenError {
+    /// Adds the folder of the log that can't be opened.
+    pub(super) fn in_folder(self, folder: &Path) -> OpenError {
         OpenError { folder: folder.into(), failure: self }
     }
 }
@@ -43,14 +43,15 @@
 /// Why a write or flush failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum WriteError {
-    /// The log had no room, or could not be written, for as long as the client waits. Nothing of the write is kept.
+    /// The log had no space or could not be written until the client's deadline. No part of the write is
+    /// kept.
     #[error("the log is full")]
     LogFull,
-    /// The write is larger than the log takes.
+    /// A record of the write is larger than the log accepts.
     #[error("the write is too large for the log")]
     TooLarge,
-    /// It was not durable by its deadline. It may be so later: nothing is promised.
-    #[error("the log could not be written in time")]
+    /// The write or flush was not durable by its deadline. It may still become durable later.
+    #[error("the log was not durable by the deadline")]
     NotDurableInTime,
 }
 
--- a/src/writeback/identity.rs
+++ b/src/writeback/identity.rs
@@ -1,12 +1,13 @@
-//! What a log was made for. A log that was made for other exports would put its writes in the wrong place.
+//! The purpose of a log: the exports and extents that it was created for. Replaying the log for other exports
+//! would write its data to the wrong place.
 
 use crate::operator::{Export, Extent, Operator};
 use shaletack_wal::format;
 
-/// Hash of the exports that may be buffered, of where their bytes lie, and of the export on the endpoints.
+/// Hashes the buffered exports, the location of their bytes, and the name of the export on the endpoints.
 ///
-/// Every stored log holds this hash, so the text that it is taken from must stay as it is, whatever the types are
-/// called.
+/// Every stored log contains this hash, so the hashed text must never change, even when the types are
+/// renamed.
 pub(super) fn purpose(operator: &Operator) -> u64 {
     let buffered = operator.exports.iter().filter(|export| export.write_back);
     let exports: Vec<String> = buffered.map(describe_export).collect();
--- a/src/writeback/mod.rs
+++ b/src/writeback/mod.rs
@@ -1,10 +1,12 @@
-//! Write-back of exports whose writes are buffered on this initiator's disk: files, sockets and timers round
-//! `shaletack-writeback`. Off unless the operator's file says otherwise, and never on the platform.
+//! Write-back for exports whose writes are buffered on this initiator's disk: the files, sockets and timers
+//! around `shaletack-writeback`. Disabled unless the operator's file enables it; not available on the
+//! platform.
 //!
-//! [`WriteBackCache`] carries out what the buffer asks for. Commits go to the segment files, and are repeated until
-//! they are durable. Pieces that are ready go to the background scheduler, and from there to the core as requests
-//! like any other, so that limits and priorities hold. The order of writes and what is in doubt are decided in the
-//! buffer, not here. [`offline`] is what operators do to a log that no process has open.
+//! [`WriteBackCache`] executes the effects of the buffer. Commits are written to the segment files, and
+//! repeated until they are durable. Pieces that are ready go to the background scheduler, and from there to
+//! the core as ordinary requests, so that limits and priorities apply to them. The buffer alone decides the
+//! order of writes and which of them are in doubt. [`offline`] lets operators list and settle the writes of a
+//! log that no process has open.
 
 mod attempts;
 mod cache;
--- a/src/writeback/offline.rs
+++ b/src/writeback/offline.rs
@@ -1,4 +1,4 @@
-//! What operators do to a log that no process has open: list unsettled writes, and settle them.
+//! Operations on a log that no process has open: listing unsettled writes and settling them.
 
 use super::cache::buffer_config;
 use super::error::{OpenError, OpenFailure};
@@ -14,16 +14,16 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// No time passes for an offline log.
+/// An offline log needs no clock: all steps of its buffer happen at the same time.
 const NOW: Duration = Duration::ZERO;
 
-/// Why a log can't be listed, or a write not settled.
+/// Why a log could not be listed or a write not settled.
 #[derive(Debug, Error)]
 pub enum OfflineError {
-    /// The operator's file does not switch write-back on.
+    /// The operator's file does not enable write-back.
     #[error("the operator's file has no 'write_back'")]
     NotConfigured,
-    /// The folder that the operator's file names is not there.
+    /// The folder named in the operator's file does not exist.
     #[error("{}: there is no log", folder.display())]
     NoLog {
         /// The folder.
@@ -32,37 +32,37 @@
     /// The log can't be opened.
     #[error(transparent)]
     Open(#[from] OpenError),
-    /// There is no unsettled write of this number: list them.
+    /// No unsettled write has this number; [`list`] returns those that exist.
     #[error("there is no unsettled write {0}")]
     UnknownWrite(PieceId),
-    /// The write needs no decision.
-    #[error("write {0} was never sent: it goes to its box with the next start")]
+    /// The write was never sent, and therefore needs no decision.
+    #[error("write {0} was never sent and needs no decision: it is sent to its box after the next start")]
     NeverSent(PieceId),
-    /// The decision is not durable.
+    /// The decision could not be made durable.
     #[error("the log can't be written: {0}")]
     Write(#[source] io::Error),
-    /// The decision is durable, but a segment that is not in use any more is still there.
-    #[error("segment {segment}: {source}")]
+    /// The decision is durable, but a segment that is no longer in use could not be removed.
+    #[error("segment {segment} can't be removed: {source}")]
     RemoveSegment {
         /// The segment.
         segment: SegmentNumber,
-        /// What the disk says.
+        /// The error of the file system.
         source: io::Error,
     },
 }
 
-/// All unsettled writes, in the order of arrival.
+/// Returns all unsettled writes, in the order of arrival.
 ///
 /// # Errors
-/// The log can't be opened.
+/// Fails if the log can't be opened.
 pub fn list(operator: &Operator) -> Result<Vec<UnsettledPiece>, OfflineError> {
     Ok(OfflineLog::open(operator)?.buffer.list())
 }
 
-/// Settles a write by an operator's decision, which is durable when this returns.
+/// Settles a write by an operator's decision, which is durable when this function returns.
 ///
 /// # Errors
-/// The log can't be opened or written, or the write needs no decision.
+/// Fails if the log can't be opened or written, if the write does not exist, or if it needs no decision.
 pub fn settle(operator: &Operator, id: PieceId, decision: OperatorDecision) -> Result<(), OfflineError> {
     let log = OfflineLog::open(operator)?;
     let unsettled = log.buffer.list().into_iter().find(|piece| piece.id == id);
@@ -73,10 +73,11 @@
     log.decide(id, decision)
 }
 
+/// A log opened without a running cache.
 struct OfflineLog {
     files: SegmentFiles,
     buffer: Buffer,
-    /// What recovery asks for.
+    /// The effects of recovery, not executed yet.
     effects: Vec<Effect>,
 }
 
@@ -87,24 +88,25 @@
         if !folder.is_dir() {
             return Err(OfflineError::NoLog { folder: folder.clone() });
         }
-        let OpenedLog { files, identity, found } = SegmentFiles::open(folder, 0, purpose(operator))?;
+        let OpenedLog { files, identity, recovered } = SegmentFiles::open(folder, 0, purpose(operator))?;
         let RecoveredBuffer { buffer, effects } =
-            Buffer::recover(identity, buffer_config(settings), &found, NOW)
-                .map_err(|error| OpenFailure::from(error).of(folder))?;
+            Buffer::recover(identity, buffer_config(settings), &recovered, NOW)
+                .map_err(|error| OpenFailure::from(error).in_folder(folder))?;
         Ok(OfflineLog { files, buffer, effects })
     }
 
     fn decide(mut self, id: PieceId, decision: OperatorDecision) -> Result<(), OfflineError> {
         let mut effects = std::mem::take(&mut self.effects);
         effects.extend(self.buffer.step(NOW, Input::Decide { piece: id, decision }));
-        // One commit follows from another, until nothing waits.
+        // A finished commit can lead to another one, until nothing is left to write.
         while !effects.is_empty() {
             effects = self.carry_out(effects)?;
         }
         Ok(())
     }
 
-    /// Carries out what concerns the log; nothing is sent from here. Returns what follows from that.
+    /// Executes the effects that concern the log and ignores all others: an offline log sends nothing.
+    /// Returns the effects that follow.
     fn carry_out(&mut self, effects: Vec<Effect>) -> Result<Vec<Effect>, OfflineError> {
         let mut next = Vec::new();
         for effect in effects {
--- a/src/writeback/pending_commands.rs
+++ b/src/writeback/pending_commands.rs
@@ -1,4 +1,4 @@
-//! Commands of clients that wait for their acknowledgement from the buffer.
+//! Client commands that wait for the buffer to acknowledge or reject them.
 
 use super::error::WriteError;
 use shaletack_writeback::CommandId;
@@ -6,13 +6,14 @@
 use std::collections::HashMap;
 use tokio::sync::oneshot;
 
+/// The commands that have no result yet.
 #[derive(Debug, Default)]
 pub(super) struct PendingCommands {
     last: Cell<CommandId>,
     waiting: RefCell<HashMap<CommandId, oneshot::Sender<Result<(), WriteError>>>>,
 }
 
-/// A command that waits, and where its result comes.
+/// A registered command and the receiver of its result.
 pub(super) struct PendingCommand {
     pub id: CommandId,
     pub result: oneshot::Receiver<Result<(), WriteError>>,
@@ -29,7 +30,7 @@
 
     pub fn complete(&self, id: CommandId, result: Result<(), WriteError>) {
         if let Some(sender) = self.waiting.borrow_mut().remove(&id) {
-            // If the client is gone by now, nobody reads it.
+            // Sending fails if the client has stopped waiting. Its result is then discarded.
             let _ = sender.send(result);
         }
     }
--- a/src/writeback/segment_files.rs
+++ b/src/writeback/segment_files.rs
@@ -1,4 +1,4 @@
-//! The segments of a log as files of one folder, which one process has open at a time.
+//! Stores the segments of a log as files in one folder, which only one process has open at a time.
 
 use super::error::{OpenError, OpenFailure};
 use shaletack_wal::{
@@ -9,20 +9,20 @@
 use std::os::unix::fs::{DirBuilderExt, FileExt, OpenOptionsExt};
 use std::path::{Path, PathBuf};
 
-/// The file that is locked by the process that has the log.
+/// Name of the file that is locked by the process that has the log open.
 const LOCK_FILE: &str = "lock";
-/// The files of segments are named by their numbers in hexadecimal, with this extension.
+/// Extension of segment files, whose names are the segment numbers in hexadecimal.
 const SEGMENT_EXTENSION: &str = "log";
-/// Nobody but the owner of the process may read what clients write.
+/// Only the user that runs the process may read what clients write.
 const FOLDER_MODE: u32 = 0o700;
 const FILE_MODE: u32 = 0o600;
 
-/// One folder of segments. Dropping it lets another process open the log.
+/// A folder of segment files, locked until this is dropped.
 #[derive(Debug)]
 pub(super) struct SegmentFiles {
     folder: PathBuf,
     _lock: File,
-    /// The segment that was written to last.
+    /// The segment that was written last.
     open_segment: Option<OpenSegment>,
 }
 
@@ -36,27 +36,28 @@
 pub(super) struct OpenedLog {
     pub files: SegmentFiles,
     pub identity: Identity,
-    pub found: RecoveredLog,
+    pub recovered: RecoveredLog,
 }
 
 impl SegmentFiles {
-    /// Locks the folder, reads what is there, and cuts a torn tail. `new_log` names the log if there is none yet.
-    pub fn open(folder: &Path, new_log: u64, purpose: u64) -> Result<OpenedLog, OpenError> {
-        Self::open_folder(folder, new_log, purpose).map_err(|failure| failure.of(folder))
+    /// Locks the folder, recovers the log, and truncates a torn tail. `new_log_id` becomes [`Identity::log`]
+    /// if the folder holds no log yet.
+    pub fn open(folder: &Path, new_log_id: u64, purpose: u64) -> Result<OpenedLog, OpenError> {
+        Self::open_folder(folder, new_log_id, purpose).map_err(|failure| failure.in_folder(folder))
     }
 
-    fn open_folder(folder: &Path, new_log: u64, purpose: u64) -> Result<OpenedLog, OpenFailure> {
+    fn open_folder(folder: &Path, new_log_id: u64, purpose: u64) -> Result<OpenedLog, OpenFailure> {
         DirBuilder::new().recursive(true).mode(FOLDER_MODE).create(folder)?;
         let lock = lock_folder(folder)?;
         let mut files = SegmentFiles { folder: folder.into(), _lock: lock, open_segment: None };
         let segments = files.read_all()?;
-        let named = segments.iter().find_map(|segment| format::peek_identity(&segment.bytes));
-        let identity = Identity { log: named.map_or(new_log, |identity| identity.log), purpose };
-        let found = recover(identity, &segments)?;
-        if let Some(torn) = found.torn_tail {
+        let stored = segments.iter().find_map(|segment| format::peek_identity(&segment.bytes));
+        let identity = Identity { log: stored.map_or(new_log_id, |identity| identity.log), purpose };
+        let recovered = recover(identity, &segments)?;
+        if let Some(torn) = recovered.torn_tail {
             files.truncate(torn.segment, torn.offset)?;
         }
-        Ok(OpenedLog { files, identity, found })
+        Ok(OpenedLog { files, identity, recovered })
     }
 
     fn read_all(&mut self) -> io::Result<Vec<StoredSegment>> {
@@ -69,13 +70,13 @@
         self.folder.join(format!("{segment:016x}.{SEGMENT_EXTENSION}"))
     }
 
-    /// The names of files are durable once their folder is.
+    /// Syncs the folder, which makes the names of new and removed files durable.
     fn sync_folder(&self) -> io::Result<()> {
         File::open(&self.folder)?.sync_all()
     }
 
     fn write_and_sync(&mut self, commit: &Commit) -> io::Result<()> {
-        let file = self.file_of(commit.segment)?;
+        let file = self.segment_file(commit.segment)?;
         file.write_all_at(&commit.bytes, commit.offset)?;
         file.sync_data()?;
         if commit.creates_segment {
@@ -84,7 +85,7 @@
         Ok(())
     }
 
-    fn file_of(&mut self, number: SegmentNumber) -> io::Result<&File> {
+    fn segment_file(&mut self, number: SegmentNumber) -> io::Result<&File> {
         let open = match self.open_segment.take().filter(|open| open.number == number) {
             Some(open) => open,
             None => OpenSegment { number, file: create_file(&self.path(number))? },
@@ -110,7 +111,7 @@
     fn commit(&mut self, commit: &Commit) -> io::Result<()> {
         let written = self.write_and_sync(commit);
         if written.is_err() {
-            // The next attempt opens the file anew, so that the result of its sync is about its own bytes.
+            // The next attempt opens the file again, so that the result of its sync covers its own writes.
             self.open_segment = None;
         }
         written
@@ -141,7 +142,7 @@
     OpenOptions::new().create(true).truncate(false).write(true).mode(FILE_MODE).open(path)
 }
 
-/// The number of a segment's file; `None`: it is another file.
+/// Returns the segment number in a file name, or `None` if the file is not a segment.
 fn segment_number(path: &Path) -> Option<SegmentNumber> {
     if path.extension()? != SEGMENT_EXTENSION {
         return None;
--- a/tests/writeback.rs
+++ b/tests/writeback.rs
@@ -1,4 +1,4 @@
-//! Write-back on real files and sockets: the process is killed, and what it promised is there.
+//! Write-back with real files and sockets: the process is killed, and no acknowledged data is lost.
 
 mod common;
 use common::faults::Faults;
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-const CELL: u32 = 512;
+const CELL_BYTES: u32 = 512;
 
 fn folder(name: &str) -> PathBuf {
     let folder =
@@ -19,10 +19,10 @@
     folder
 }
 
-fn file(at: SocketAddr, folder: &std::path::Path, unsettled: &str) -> String {
-    let lane = |name: &str, effect: &str| {
+fn operator_file(endpoint: SocketAddr, folder: &std::path::Path, unsettled: &str) -> String {
+    let lane = |name: &str, idempotency: &str| {
         format!(
-            r#"{{"name":"{name}","aim":400000000,"deadline":1500000000,"idempotency":"{effect}","value":1}}"#
+            r#"{{"name":"{name}","aim":400000000,"deadline":1500000000,"idempotency":"{idempotency}","value":1}}"#
         )
     };
     let lanes =
@@ -33,7 +33,7 @@
         "exports":[{{"name":"serra","team":"t","plan":"p","volume":"a1","size":65536,"write_back":true,
             "extents":[{{"length":65536,"shard":0}}]}}],
         "write_back":{{"folder":"{}","most_mib":64,"attempt_lives_ms":300,"unsettled":"{unsettled}"}},
-        "boxes":[{{"id":"s-1","host_port":"{at}","phase":"up"}}],
+        "boxes":[{{"id":"s-1","host_port":"{endpoint}","phase":"up"}}],
         "settings":{{"balancers":1,"step":1000000,"lanes":[{}],
             "limits":{{"connect-timeout":200000000,"try-limit":3,"cancelling":true}},
             "domain":{{"units-top":8,"unit-mean":2}}}}}}"#,
@@ -43,31 +43,31 @@
 }
 
 async fn write(client: &mut NbdClient, cell: u64, value: u8, flags: u16) -> u32 {
-    let data = [value; CELL as usize];
-    client.send(cmd::WRITE, flags, cell, cell * u64::from(CELL), CELL, &data).await;
+    let data = [value; CELL_BYTES as usize];
+    client.send(cmd::WRITE, flags, cell, cell * u64::from(CELL_BYTES), CELL_BYTES, &data).await;
     client.reply().await.error
 }
 
 async fn read(client: &mut NbdClient, cell: u64) -> u8 {
-    client.send(cmd::READ, 0, 1000 + cell, cell * u64::from(CELL), CELL, &[]).await;
-    let got = client.reply().await;
-    assert_eq!(got.error, 0, "{}", got.text);
-    let bytes = got.bytes();
-    assert!(bytes.iter().all(|b| *b == bytes[0]), "a cell of two writes");
+    client.send(cmd::READ, 0, 1000 + cell, cell * u64::from(CELL_BYTES), CELL_BYTES, &[]).await;
+    let reply = client.reply().await;
+    assert_eq!(reply.error, 0, "{}", reply.text);
+    let bytes = reply.bytes();
+    assert!(bytes.iter().all(|b| *b == bytes[0]), "a cell holds the data of a single write");
     bytes[0]
 }
 
-/// How often a write of each cell reached the box.
-fn reached(boxed: &NbdBox) -> BTreeMap<u64, usize> {
+/// Returns how many writes of each cell reached the endpoint.
+fn write_counts(endpoint: &NbdBox) -> BTreeMap<u64, usize> {
     let mut counts = BTreeMap::new();
-    for request in boxed.seen.borrow().iter().filter(|r| r.command == cmd::WRITE) {
-        *counts.entry(request.offset / u64::from(CELL)).or_default() += 1;
+    for request in endpoint.seen.borrow().iter().filter(|r| r.command == cmd::WRITE) {
+        *counts.entry(request.offset / u64::from(CELL_BYTES)).or_default() += 1;
     }
     counts
 }
 
-async fn until(mut done: impl FnMut() -> bool) {
-    while !done() {
+async fn wait_until(mut condition: impl FnMut() -> bool) {
+    while !condition() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -75,9 +75,9 @@
 #[test]
 fn a_stalled_endpoint_delays_no_write_flush_or_read_and_a_kill_loses_nothing() {
     story(async {
-        let boxed = NbdBox::start(Script::Silent, 1 << 16).await;
+        let endpoint = NbdBox::start(Script::Silent, 1 << 16).await;
         let folder = folder("stands");
-        let text = file(boxed.address, &folder, "ask");
+        let text = operator_file(endpoint.address, &folder, "ask");
         let mut first = Process::start("stands.json", &text);
         let mut client = NbdClient::go(first.place().await).await;
         assert_eq!(write(&mut client, 1, 11, command_flag::FUA).await, 0);
@@ -85,24 +85,25 @@
         client.send(cmd::FLUSH, 0, 99, 0, 0, &[]).await;
         assert_eq!(client.reply().await.error, 0);
         assert_eq!((read(&mut client, 1).await, read(&mut client, 2).await), (11, 22));
-        // A second process on the same log is refused, clearly.
+        // A second process with the same log exits and reports the reason.
         let mut second = Process::start("stands.json", &text);
-        second.says("another process has this log").await;
+        second.says("another process has the log open").await;
         assert!(!second.0.wait().unwrap().success());
-        until(|| boxed.count(cmd::WRITE) == 2).await;
+        wait_until(|| endpoint.count(cmd::WRITE) == 2).await;
         first.0.kill().unwrap();
         drop(first);
-        // Both were sent and never answered: they are read back, and not sent again.
-        boxed.script.set(Script::Serve);
+        // Both writes were sent and never answered: the new process reads them back instead of sending them
+        // again.
+        endpoint.script.set(Script::Serve);
         let mut again = Process::start("stands.json", &text);
         let mut client = NbdClient::go(again.place().await).await;
         assert_eq!((read(&mut client, 1).await, read(&mut client, 2).await), (11, 22));
-        until(|| reached(&boxed).len() == 2).await;
-        // Long enough to be at rest, and to serve on from there.
+        wait_until(|| write_counts(&endpoint).len() == 2).await;
+        // Long enough for the log to be sealed. Reads are still served after that.
         tokio::time::sleep(Duration::from_millis(2500)).await;
         assert_eq!((read(&mut client, 1).await, read(&mut client, 2).await), (11, 22));
-        assert_eq!(reached(&boxed), BTreeMap::from([(1, 1), (2, 1)]), "each once");
-        // A log of other exports is refused.
+        assert_eq!(write_counts(&endpoint), BTreeMap::from([(1, 1), (2, 1)]), "each write is sent once");
+        // A log that was created for other exports is rejected.
         drop(again);
         let mut other = Process::start(
             "stands-other.json",
@@ -113,30 +114,32 @@
     });
 }
 
-/// One whose box took nothing of it: it is in doubt, shown, held against what overlaps, and settled by hand.
+/// The endpoint received a write but did not apply it. After a restart the write is in doubt: it is listed,
+/// still served to reads, blocks writes that overlap, and can be settled by an operator.
 #[test]
 fn a_write_in_doubt_stays_readable_until_an_operator_settles_it() {
     story(async {
-        let boxed = NbdBox::start(Script::Swallow, 1 << 16).await;
+        let endpoint = NbdBox::start(Script::Swallow, 1 << 16).await;
         let folder = folder("doubt");
-        let text = file(boxed.address, &folder, "ask");
+        let text = operator_file(endpoint.address, &folder, "ask");
         let path = folder.with_extension("json");
         std::fs::write(&path, &text).unwrap();
-        let operate = |words: &[&str]| {
+        let run_writeback = |arguments: &[&str]| {
             let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_shaletack"));
-            let output = command.arg("writeback").args(words).arg("--operator").arg(&path).output().unwrap();
-            let both = [output.stdout, output.stderr].concat();
-            (output.status.success(), String::from_utf8(both).unwrap())
+            let output =
+                command.arg("writeback").args(arguments).arg("--operator").arg(&path).output().unwrap();
+            let printed = [output.stdout, output.stderr].concat();
+            (output.status.success(), String::from_utf8(printed).unwrap())
         };
-        assert!(operate(&["list"]).1.contains("there is no log"));
+        assert!(run_writeback(&["list"]).1.contains("there is no log"));
         let mut first = Process::start("doubt.json", &text);
         let mut client = NbdClient::go(first.place().await).await;
         assert_eq!(write(&mut client, 1, 11, command_flag::FUA).await, 0);
-        until(|| boxed.count(cmd::WRITE) == 1).await;
-        assert!(operate(&["list"]).1.contains("another process has this log"));
+        wait_until(|| endpoint.count(cmd::WRITE) == 1).await;
+        assert!(run_writeback(&["list"]).1.contains("another process has the log open"));
         first.0.kill().unwrap();
         drop(first);
-        boxed.script.set(Script::Serve);
+        endpoint.script.set(Script::Serve);
         let mut again = Process::start("doubt.json", &text);
         let mut client = NbdClient::go(again.place().await).await;
         again.says("can't be settled without an operator").await;
@@ -144,97 +147,100 @@
         assert_eq!(
             write(&mut client, 1, 12, command_flag::FUA).await,
             0,
-            "it waits behind, and is taken all the same"
+            "a write that overlaps one in doubt is accepted and waits"
         );
         assert_eq!(read(&mut client, 1).await, 12);
-        assert_eq!(boxed.count(cmd::WRITE), 1);
+        assert_eq!(endpoint.count(cmd::WRITE), 1);
         again.0.kill().unwrap();
         drop(again);
-        let (_, listed) = operate(&["list"]);
+        let (_, listed) = run_writeback(&["list"]);
         assert!(
             listed.starts_with("1 export=serra from=512 length=512 shard=0 at=512 may_have_run=true\n2 "),
             "{listed}"
         );
-        assert!(!operate(&["settle", "2", "drop"]).0, "it was never sent");
-        assert!(!operate(&["settle", "9", "drop"]).0 && !operate(&["settle", "x", "drop"]).0);
-        assert_eq!(operate(&["settle", "1", "drop"]), (true, String::new()));
+        assert!(!run_writeback(&["settle", "2", "drop"]).0, "a write that was never sent needs no decision");
+        assert!(!run_writeback(&["settle", "9", "drop"]).0 && !run_writeback(&["settle", "x", "drop"]).0);
+        assert_eq!(run_writeback(&["settle", "1", "drop"]), (true, String::new()));
         let mut last = Process::start("doubt.json", &text);
         let mut client = NbdClient::go(last.place().await).await;
-        until(|| boxed.count(cmd::WRITE) == 2).await;
+        wait_until(|| endpoint.count(cmd::WRITE) == 2).await;
         assert_eq!(read(&mut client, 1).await, 12);
     });
 }
 
-/// Killed again and again while clients write: what was acknowledged with FUA is there each time, and no write
-/// reaches the box twice.
+/// The process is killed repeatedly while clients write. Data acknowledged with FUA is there after each
+/// restart, and no write reaches the endpoint twice.
 #[test]
-fn kills_in_the_midst_of_writing_lose_nothing_acknowledged_and_send_nothing_twice() {
+fn kills_during_writes_lose_no_acknowledged_data_and_send_no_write_twice() {
     story(async {
-        let boxed = NbdBox::start(Script::Serve, 1 << 16).await;
+        let endpoint = NbdBox::start(Script::Serve, 1 << 16).await;
         let folder = folder("kills");
-        // A write that was to be sent when the process was killed goes again, once it can't run any more.
-        let text = file(boxed.address, &folder, "resend");
-        let mut promised = BTreeMap::new();
-        for life in 0..6u64 {
+        // A write with an intent and no outcome at the kill is sent again once the earlier attempt can no
+        // longer run.
+        let text = operator_file(endpoint.address, &folder, "resend");
+        let mut acknowledged = BTreeMap::new();
+        for run in 0..6u64 {
             let mut process = Process::start("kills.json", &text);
             let mut client = NbdClient::go(process.place().await).await;
-            for (cell, value) in &promised {
-                assert_eq!(read(&mut client, *cell).await, *value, "cell {cell} in life {life}");
+            for (cell, value) in &acknowledged {
+                assert_eq!(read(&mut client, *cell).await, *value, "cell {cell} in run {run}");
             }
-            // Each cell is written once in all, so that what reaches the box can be counted.
-            for n in 0..=life * 3 {
-                let (cell, value) = (life * 16 + n, (life * 16 + n) as u8 + 1);
+            // Each cell is written once over all runs, so that the writes that reach the endpoint can be
+            // counted.
+            for n in 0..=run * 3 {
+                let (cell, value) = (run * 16 + n, (run * 16 + n) as u8 + 1);
                 assert_eq!(write(&mut client, cell, value, command_flag::FUA).await, 0);
-                promised.insert(cell, value);
+                acknowledged.insert(cell, value);
             }
             process.0.kill().unwrap();
         }
         let mut last = Process::start("kills.json", &text);
         let mut client = NbdClient::go(last.place().await).await;
-        until(|| reached(&boxed).len() == promised.len()).await;
-        for (cell, value) in &promised {
+        wait_until(|| write_counts(&endpoint).len() == acknowledged.len()).await;
+        for (cell, value) in &acknowledged {
             assert_eq!(read(&mut client, *cell).await, *value);
         }
-        assert!(reached(&boxed).values().all(|count| *count == 1), "{:?}", reached(&boxed));
-        // A planned stop leaves the log whole.
+        assert!(write_counts(&endpoint).values().all(|count| *count == 1), "{:?}", write_counts(&endpoint));
+        // After a graceful stop everything in the log is durable.
         let pid = last.0.id().to_string();
         assert!(std::process::Command::new("kill").args(["-TERM", &pid]).status().unwrap().success());
-        let line = last.says("write-back stops").await;
+        let line = last.says("write-back stopped").await;
         assert!(line.contains("durable=true"), "{line}");
     });
 }
 
-/// A command's error number, and how long its answer took.
+/// Sends a command, and returns the error number of its reply and the time until the reply.
 async fn timed(client: &mut NbdClient, command: u16, cell: u64, value: u8, flags: u16) -> (u32, Duration) {
     let start = Instant::now();
     let (data, length) =
-        if command == cmd::WRITE { (vec![value; CELL as usize], CELL) } else { (Vec::new(), 0) };
-    let offset = if command == cmd::WRITE { cell * u64::from(CELL) } else { 0 };
+        if command == cmd::WRITE { (vec![value; CELL_BYTES as usize], CELL_BYTES) } else { (Vec::new(), 0) };
+    let offset = if command == cmd::WRITE { cell * u64::from(CELL_BYTES) } else { 0 };
     client.send(command, flags, cell, offset, length, &data).await;
     (client.reply().await.error, start.elapsed())
 }
 
-/// The disk refuses one write and sync in 20, then all of them for a while, then none: what was acknowledged is there
-/// after a kill, every command has its answer in time, and the process goes on by itself.
+/// The disk fails one write or sync in 20, then all of them for a while, then none. Acknowledged data is
+/// there after a kill, every command is answered in time, and the process recovers by itself.
 #[test]
 fn a_log_that_can_not_be_written_for_a_while_recovers_and_keeps_what_it_accepted() {
     const DEADLINE: Duration = Duration::from_millis(1500);
-    const IN_TIME: Duration = Duration::from_millis(1700);
+    const MAX_REPLY_TIME: Duration = Duration::from_millis(1700);
     story(async {
-        let boxed = NbdBox::start(Script::Serve, 1 << 16).await;
+        let endpoint = NbdBox::start(Script::Serve, 1 << 16).await;
         let folder = folder("refuses");
-        let text = file(boxed.address, &folder, "resend");
+        let text = operator_file(endpoint.address, &folder, "resend");
         let faults = Faults::new("disk", "disk 50\n");
         let mut process = Process::start_under(&faults, "refuses.json", &text);
         let mut client = NbdClient::go(process.place().await).await;
-        let mut promised = BTreeMap::new();
+        let mut acknowledged = BTreeMap::new();
         for cell in 0..60_u64 {
             let value = cell as u8 + 1;
             let (error, took) = timed(&mut client, cmd::WRITE, cell, value, command_flag::FUA).await;
-            assert!(took < IN_TIME && error == 0, "cell {cell}: {error} after {took:?}");
-            promised.insert(cell, value);
+            assert!(took < MAX_REPLY_TIME && error == 0, "cell {cell}: {error} after {took:?}");
+            acknowledged.insert(cell, value);
         }
-        // With all of that settled and sealed, one is taken without a promise, and then nothing more can be promised.
+        // All of these writes are settled and the log is sealed. One write without FUA is still accepted on
+        // the failing disk. From then on no command can be acknowledged.
         faults.set("");
         tokio::time::sleep(Duration::from_millis(1500)).await;
         faults.set("disk 1000\n");
@@ -244,33 +250,33 @@
             [(cmd::FLUSH, 0, 0), (cmd::WRITE, 71, command_flag::FUA), (cmd::WRITE, 72, 0), (cmd::FLUSH, 0, 0)]
         {
             let (error, took) = timed(&mut client, command, cell, 73, flags).await;
-            assert!(error != 0 && took < IN_TIME, "{command} of {cell}: {error} after {took:?}");
+            assert!(error != 0 && took < MAX_REPLY_TIME, "{command} of {cell}: {error} after {took:?}");
         }
-        // Reads go on, and the boxes get what was promised.
+        // Reads are still served, and the endpoint receives the acknowledged writes.
         assert_eq!(read(&mut client, 5).await, 6);
         faults.set("");
         let (error, took) = timed(&mut client, cmd::FLUSH, 0, 0, 0).await;
         assert!(error == 0 && took < DEADLINE, "flush: {error} after {took:?}");
-        promised.insert(70, 70);
+        acknowledged.insert(70, 70);
         assert_eq!(timed(&mut client, cmd::WRITE, 80, 80, command_flag::FUA).await.0, 0);
-        promised.insert(80, 80);
-        // Killed while the disk refuses.
+        acknowledged.insert(80, 80);
+        // The process is killed while every second write or sync fails.
         faults.set("disk 500\n");
         for cell in 81..90_u64 {
             let (error, took) = timed(&mut client, cmd::WRITE, cell, cell as u8, command_flag::FUA).await;
-            assert!(took < IN_TIME);
+            assert!(took < MAX_REPLY_TIME);
             if error == 0 {
-                promised.insert(cell, cell as u8);
+                acknowledged.insert(cell, cell as u8);
             }
         }
         process.0.kill().unwrap();
         process.0.wait().unwrap();
         let mut last = Process::start("refuses.json", &text);
         let mut client = NbdClient::go(last.place().await).await;
-        for (cell, value) in &promised {
+        for (cell, value) in &acknowledged {
             assert_eq!(read(&mut client, *cell).await, *value, "cell {cell}");
         }
-        until(|| promised.keys().all(|cell| reached(&boxed).contains_key(cell))).await;
-        assert!(reached(&boxed).values().all(|count| *count == 1), "{:?}", reached(&boxed));
+        wait_until(|| acknowledged.keys().all(|cell| write_counts(&endpoint).contains_key(cell))).await;
+        assert!(write_counts(&endpoint).values().all(|count| *count == 1), "{:?}", write_counts(&endpoint));
     });
 }
