--- a/crates/wal/src/pending.rs
+++ b/crates/wal/src/pending.rs
@@ -59,11 +59,11 @@
 
     /// Removes and returns the `count` oldest records.
     pub fn take(&mut self, count: usize) -> Vec<PendingRecord> {
-        let taken: Vec<PendingRecord> = self.queue.drain(..count).collect();
-        for record in &taken {
+        let records: Vec<PendingRecord> = self.queue.drain(..count).collect();
+        for record in &records {
             self.reserved_bytes -= single_record_batch_size(record.bytes.len());
         }
-        taken
+        records
     }
 }
 
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -64,7 +64,7 @@
     Damaged {
         /// The damaged segment.
         segment: SegmentNumber,
-        /// The first damaged byte.
+        /// Where the first damaged batch begins in the segment, in bytes.
         offset: u64,
     },
     /// A segment is missing at the start of the log or between other segments.
--- a/crates/wal/tests/faults.rs
+++ b/crates/wal/tests/faults.rs
@@ -155,8 +155,8 @@
             match step {
                 Step::Append(size) => {
                     let number = log.last_record() + 1;
-                    if let Ok(taken) = log.append(RecordKind::Data, record(number, size)) {
-                        prop_assert_eq!(taken, number);
+                    if let Ok(accepted) = log.append(RecordKind::Data, record(number, size)) {
+                        prop_assert_eq!(accepted, number);
                         model.insert(number, record(number, size));
                     }
                     prop_assert!(log.used_bytes() <= CONFIG.max_bytes - CONFIG.reserved_bytes);
@@ -314,21 +314,21 @@
 #[test]
 fn a_full_log_rejects_data_and_still_takes_control_records() {
     let (mut disk, mut log) = (FaultyDisk::default(), Log::new(IDENTITY, CONFIG));
-    let mut taken = 0;
-    while log.append(RecordKind::Data, record(taken + 1, 4000)).is_ok() {
-        taken += 1;
+    let mut accepted = 0;
+    while log.append(RecordKind::Data, record(accepted + 1, 4000)).is_ok() {
+        accepted += 1;
         while let Some(commit) = log.next_commit() {
             disk.commit(&commit).unwrap();
             log.commit_succeeded();
         }
     }
-    assert_eq!(taken, 56);
+    assert_eq!(accepted, 56);
     assert_eq!(log.append(RecordKind::Data, vec![1]), Err(AppendError::Full));
     assert_eq!(log.append(RecordKind::Data, vec![1; 9 * BLOCK_BYTES]), Err(AppendError::TooLarge));
     (0..8).for_each(|_| assert!(log.append(RecordKind::Control, vec![1; 30]).is_ok()));
     assert_eq!(log.append(RecordKind::Control, vec![1; 30]), Err(AppendError::Full));
     // Releasing the newest records first frees no segment before the oldest record is released.
-    for number in (2..=taken).rev() {
+    for number in (2..=accepted).rev() {
         log.release(number);
     }
     while let Some(commit) = log.next_commit() {
@@ -349,7 +349,7 @@
         removed += 1;
     }
     assert_eq!(removed, 7);
-    assert!(log.append(RecordKind::Data, record(taken + 9, 4000)).is_ok());
+    assert!(log.append(RecordKind::Data, record(accepted + 9, 4000)).is_ok());
 }
 
 #[test]
--- a/crates/writeback/src/piece.rs
+++ b/crates/writeback/src/piece.rs
@@ -41,9 +41,10 @@
     IntentPending,
     /// The piece is sent, and its outcome is unknown so far.
     InFlight,
-    /// An earlier attempt may still run until this time.
+    /// The piece is read back at this time. Until then an earlier attempt may still run, or a failed
+    /// read-back waits for its retry.
     AwaitingExpiry(Duration),
-    /// The endpoint's data is being read to find out whether the piece ran.
+    /// The endpoint's data is being read, to find out whether an earlier attempt wrote the piece.
     ReadingBack,
     /// Only an operator can settle the piece.
     InDoubt,
--- a/crates/writeback/src/piece_table.rs
+++ b/crates/writeback/src/piece_table.rs
@@ -130,8 +130,8 @@
         overlapping.into_iter().take_while(|older| *older < id).filter(is_superseded).collect()
     }
 
-    /// Moves the pieces whose earlier attempts can no longer run to [`PieceState::ReadingBack`], and returns
-    /// them in ascending order.
+    /// Moves the pieces whose [`PieceState::AwaitingExpiry`] is over to [`PieceState::ReadingBack`], and
+    /// returns them in ascending order.
     pub fn start_expired_read_backs(&mut self, now: Duration) -> Vec<PieceId> {
         let mut expired = Vec::new();
         for (id, buffered) in &mut self.pieces {
@@ -143,7 +143,7 @@
         expired
     }
 
-    /// Returns when the next earlier attempt can no longer run.
+    /// Returns the earliest time of [`PieceState::AwaitingExpiry`].
     pub fn next_expiry(&self) -> Option<Duration> {
         let expiry = |buffered: &BufferedPiece| match buffered.state {
             PieceState::AwaitingExpiry(expiry) => Some(expiry),
--- a/src/writeback/cache.rs
+++ b/src/writeback/cache.rs
@@ -57,7 +57,7 @@
     client_demand: RefCell<ClientDemand>,
     /// Origin of the times that are passed to the buffer and to the background scheduler.
     origin: Instant,
-    /// Time of the last [`Effect::SetTimer`], if any.
+    /// When the buffer's timer fires, as set by [`Effect::SetTimer`], if one is set.
     timer_at: Cell<Option<Duration>>,
     /// Notified when the timer task has to compute its wait again.
     timer_changed: Notify,
@@ -106,7 +106,7 @@
             last_commit_at: Cell::new(Duration::ZERO),
             is_idle: Cell::new(false),
         }));
-        cache.carry_out(effects);
+        cache.execute_effects(effects);
         actix_rt::spawn(run_timer(Rc::downgrade(&cache.0)));
         Ok(cache)
     }
@@ -215,10 +215,10 @@
     fn step(&self, input: Input) {
         self.0.is_idle.set(matches!(input, Input::Idle));
         let effects = self.0.buffer.borrow_mut().step(self.now(), input);
-        self.carry_out(effects);
+        self.execute_effects(effects);
     }
 
-    fn carry_out(&self, effects: Vec<Effect>) {
+    fn execute_effects(&self, effects: Vec<Effect>) {
         let shared = &self.0;
         shared.timer_at.set(None);
         for effect in effects {
--- a/src/writeback/log_writer.rs
+++ b/src/writeback/log_writer.rs
@@ -39,8 +39,11 @@
     pub async fn write_until_durable(&self, commit: Commit) {
         let commit = Arc::new(commit);
         let mut backoff = MIN_BACKOFF;
-        while let Err(why) = self.write(commit.clone()).await {
-            error!(%why, "write-back: the log can't be written; retrying, and accepting no writes meanwhile");
+        while let Err(error) = self.write(commit.clone()).await {
+            error!(
+                why = %error,
+                "write-back: the log can't be written; retrying, and accepting no writes meanwhile"
+            );
             self.is_failing.set(true);
             tokio::time::sleep(backoff).await;
             backoff = (backoff * 2).min(MAX_BACKOFF);
@@ -55,7 +58,7 @@
         let written = actix_rt::task::spawn_blocking(move || {
             files.lock().unwrap_or_else(PoisonError::into_inner).commit(&commit)
         });
-        written.await.unwrap_or_else(|why| Err(io::Error::other(why.to_string())))
+        written.await.unwrap_or_else(|error| Err(io::Error::other(error.to_string())))
     }
 
     /// Removes a segment that is no longer in use, in the background.
@@ -63,9 +66,13 @@
         let files = self.files.clone();
         actix_rt::task::spawn_blocking(move || {
             let removed = files.lock().unwrap_or_else(PoisonError::into_inner).remove(segment);
-            if let Err(why) = removed {
+            if let Err(error) = removed {
                 // A leftover segment takes up disk space and does no other harm. The next start finds it.
-                warn!(segment, %why, "write-back: a log segment that is no longer in use can't be removed");
+                warn!(
+                    segment,
+                    why = %error,
+                    "write-back: a log segment that is no longer in use can't be removed"
+                );
             }
         });
     }
--- a/src/writeback/offline.rs
+++ b/src/writeback/offline.rs
@@ -100,14 +100,14 @@
         effects.extend(self.buffer.step(NOW, Input::Decide { piece: id, decision }));
         // A finished commit can lead to another one, until nothing is left to write.
         while !effects.is_empty() {
-            effects = self.carry_out(effects)?;
+            effects = self.execute_log_effects(effects)?;
         }
         Ok(())
     }
 
     /// Executes the effects that concern the log and ignores all others: an offline log sends nothing.
     /// Returns the effects that follow.
-    fn carry_out(&mut self, effects: Vec<Effect>) -> Result<Vec<Effect>, OfflineError> {
+    fn execute_log_effects(&mut self, effects: Vec<Effect>) -> Result<Vec<Effect>, OfflineError> {
         let mut next = Vec::new();
         for effect in effects {
             match effect {
--- a/tests/writeback.rs
+++ b/tests/writeback.rs
@@ -76,9 +76,9 @@
 fn a_stalled_endpoint_delays_no_write_flush_or_read_and_a_kill_loses_nothing() {
     story(async {
         let endpoint = NbdBox::start(Script::Silent, 1 << 16).await;
-        let folder = folder("stands");
+        let folder = folder("stalled");
         let text = operator_file(endpoint.address, &folder, "ask");
-        let mut first = Process::start("stands.json", &text);
+        let mut first = Process::start("stalled.json", &text);
         let mut client = NbdClient::go(first.place().await).await;
         assert_eq!(write(&mut client, 1, 11, command_flag::FUA).await, 0);
         assert_eq!(write(&mut client, 2, 22, 0).await, 0);
@@ -86,7 +86,7 @@
         assert_eq!(client.reply().await.error, 0);
         assert_eq!((read(&mut client, 1).await, read(&mut client, 2).await), (11, 22));
         // A second process with the same log exits and reports the reason.
-        let mut second = Process::start("stands.json", &text);
+        let mut second = Process::start("stalled.json", &text);
         second.says("another process has the log open").await;
         assert!(!second.0.wait().unwrap().success());
         wait_until(|| endpoint.count(cmd::WRITE) == 2).await;
@@ -95,7 +95,7 @@
         // Both writes were sent and never answered: the new process reads them back instead of sending them
         // again.
         endpoint.script.set(Script::Serve);
-        let mut again = Process::start("stands.json", &text);
+        let mut again = Process::start("stalled.json", &text);
         let mut client = NbdClient::go(again.place().await).await;
         assert_eq!((read(&mut client, 1).await, read(&mut client, 2).await), (11, 22));
         wait_until(|| write_counts(&endpoint).len() == 2).await;
@@ -106,7 +106,7 @@
         // A log that was created for other exports is rejected.
         drop(again);
         let mut other = Process::start(
-            "stands-other.json",
+            "stalled-other.json",
             &text.replace("\"at\":0", "\"at\":1").replace("\"a1\"", "\"a2\""),
         );
         other.says("the log was made for other exports or boxes").await;
