--- a/crates/writeback/src/buffer.rs
+++ b/crates/writeback/src/buffer.rs
@@ -1,7 +1,7 @@
 //! The buffer: a reducer that passes each input through the components that own the state.
 
 use crate::barriers::Barriers;
-use crate::config::{Config, DoubtPolicy};
+use crate::config::{Config, InDoubtPolicy};
 use crate::events::{AttemptOutcome, CommandId, Effect, Input, OperatorDecision, RejectReason};
 use crate::journal::Journal;
 use crate::overlay::Overlay;
@@ -255,9 +255,9 @@
         let Some(buffered) = self.pieces.get_in_state(id, PieceState::ReadingBack) else { return };
         match data {
             Some(data) if data == buffered.piece.data => self.settle(id, effects),
-            Some(_) => match self.config.doubt_policy {
-                DoubtPolicy::Resend => self.allow_resend(id, effects),
-                DoubtPolicy::AskOperator => {
+            Some(_) => match self.config.in_doubt_policy {
+                InDoubtPolicy::Resend => self.allow_resend(id, effects),
+                InDoubtPolicy::AskOperator => {
                     buffered.state = PieceState::InDoubt;
                     effects.push(Effect::InDoubt(id));
                 }
--- a/crates/writeback/src/config.rs
+++ b/crates/writeback/src/config.rs
@@ -5,7 +5,7 @@
 
 /// How a piece is settled whose data is not at its endpoint once no earlier attempt can still run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DoubtPolicy {
+pub enum InDoubtPolicy {
     /// The piece stays in doubt until an operator decides.
     AskOperator,
     /// The piece is sent again. The operator guarantees that no attempt outlives
@@ -22,5 +22,5 @@
     /// process ended.
     pub attempt_lifetime: Duration,
     /// How a piece is settled that is not at its endpoint after that time.
-    pub doubt_policy: DoubtPolicy,
+    pub in_doubt_policy: InDoubtPolicy,
 }
--- a/crates/writeback/src/lib.rs
+++ b/crates/writeback/src/lib.rs
@@ -16,7 +16,7 @@
 //!   intent.
 //!
 //! A piece is sent to its endpoint only after its intent is durable. It is sent again only after proof that
-//! it never ran, by an operator's decision, or where [`DoubtPolicy::Resend`] is configured.
+//! it never ran, by an operator's decision, or where [`InDoubtPolicy::Resend`] is configured.
 
 mod barriers;
 mod buffer;
@@ -31,7 +31,7 @@
 mod send_queue;
 
 pub use buffer::{Buffer, BufferUsage, RecoveredBuffer};
-pub use config::{Config, DoubtPolicy};
+pub use config::{Config, InDoubtPolicy};
 pub use events::{AttemptOutcome, CommandId, Effect, Input, OperatorDecision, RejectReason};
 pub use overlay::{Overlay, OverlaySpan};
 pub use piece::{Piece, PieceId, PieceState, UnsettledPiece};
--- a/crates/writeback/tests/crashes.rs
+++ b/crates/writeback/tests/crashes.rs
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 use shaletack_wal::{recover, Commit, Identity, LogConfig, StoredSegment};
 use shaletack_writeback::{
-    AttemptOutcome, Buffer, CommandId, Config, DoubtPolicy, Effect, Input, OperatorDecision, Piece, PieceId,
-    PieceState, RecoveredBuffer, RejectReason,
+    AttemptOutcome, Buffer, CommandId, Config, Effect, InDoubtPolicy, Input, OperatorDecision, Piece,
+    PieceId, PieceState, RecoveredBuffer, RejectReason,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,9 +20,9 @@
 const CELLS: u64 = 32;
 const VOLUME: u64 = 77;
 
-fn config(doubt_policy: DoubtPolicy) -> Config {
+fn config(in_doubt_policy: InDoubtPolicy) -> Config {
     let log = LogConfig { segment_bytes: 8 * BLOCK, max_bytes: 48 * BLOCK, reserved_bytes: 12 * BLOCK };
-    Config { log, attempt_lifetime: ATTEMPT_LIFETIME, doubt_policy }
+    Config { log, attempt_lifetime: ATTEMPT_LIFETIME, in_doubt_policy }
 }
 
 /// A disk on which any subset of the unsynced sectors may survive a crash.
@@ -64,7 +64,7 @@
     now: Duration,
     disk: Disk,
     buffer: Buffer,
-    doubt_policy: DoubtPolicy,
+    in_doubt_policy: InDoubtPolicy,
     commit: Option<Commit>,
     ready: BTreeSet<PieceId>,
     in_doubt: BTreeSet<PieceId>,
@@ -84,12 +84,12 @@
 }
 
 impl Simulation {
-    fn new(doubt_policy: DoubtPolicy) -> Self {
+    fn new(in_doubt_policy: InDoubtPolicy) -> Self {
         Simulation {
             now: Duration::ZERO,
             disk: Disk::default(),
-            buffer: Buffer::new(IDENTITY, config(doubt_policy)),
-            doubt_policy,
+            buffer: Buffer::new(IDENTITY, config(in_doubt_policy)),
+            in_doubt_policy,
             commit: None,
             ready: BTreeSet::new(),
             in_doubt: BTreeSet::new(),
@@ -274,7 +274,7 @@
             self.disk.files.entry(torn.segment).or_default().truncate(torn.offset as usize);
         }
         let RecoveredBuffer { buffer, effects } =
-            Buffer::recover(IDENTITY, config(self.doubt_policy), &recovered, now)
+            Buffer::recover(IDENTITY, config(self.in_doubt_policy), &recovered, now)
                 .expect("all records can be decoded");
         self.buffer = buffer;
         self.execute(effects);
@@ -319,8 +319,8 @@
     prop::collection::vec((0u8..20, any::<u64>()), 1..160)
 }
 
-fn run_simulation(doubt_policy: DoubtPolicy, steps: Vec<(u8, u64)>) {
-    let mut simulation = Simulation::new(doubt_policy);
+fn run_simulation(in_doubt_policy: InDoubtPolicy, steps: Vec<(u8, u64)>) {
+    let mut simulation = Simulation::new(in_doubt_policy);
     for (kind, random) in steps {
         match kind {
             0..=4 => simulation.write(random % CELLS, 1 + random / 64 % 8, random >> 32 & 3 == 0),
@@ -377,12 +377,12 @@
 
     #[test]
     fn no_crash_loses_acknowledged_writes_or_sends_a_write_twice(steps in steps()) {
-        run_simulation(DoubtPolicy::AskOperator, steps);
+        run_simulation(InDoubtPolicy::AskOperator, steps);
     }
 
     #[test]
     fn no_crash_loses_acknowledged_writes_or_sends_a_write_twice_when_pieces_are_resent(steps in steps()) {
-        run_simulation(DoubtPolicy::Resend, steps);
+        run_simulation(InDoubtPolicy::Resend, steps);
     }
 }
 
@@ -391,7 +391,7 @@
 #[test]
 fn a_start_without_log_space_is_postponed_and_retried() {
     let log = LogConfig { segment_bytes: 8 * BLOCK, max_bytes: 16 * BLOCK, reserved_bytes: BLOCK };
-    let config = Config { log, ..config(DoubtPolicy::AskOperator) };
+    let config = Config { log, ..config(InDoubtPolicy::AskOperator) };
     let mut buffer = Buffer::new(IDENTITY, config);
     let piece = |n: u64| Piece {
         export_offset: n * 4000,
@@ -433,7 +433,7 @@
 #[test]
 fn an_intent_is_never_appended_before_a_pending_outcome() {
     let log = LogConfig { segment_bytes: 8 * BLOCK, max_bytes: 16 * BLOCK, reserved_bytes: 4 * BLOCK };
-    let mut buffer = Buffer::new(IDENTITY, Config { log, ..config(DoubtPolicy::AskOperator) });
+    let mut buffer = Buffer::new(IDENTITY, Config { log, ..config(InDoubtPolicy::AskOperator) });
     for n in 1..=12u64 {
         // The second write overlaps the first in part. All others overlap nothing.
         let from = if n == 2 { 2000 } else { n * 8000 - 8000 };
--- a/crates/writeback/tests/fixtures.rs
+++ b/crates/writeback/tests/fixtures.rs
@@ -6,7 +6,7 @@
     recover, Commit, Identity, LogConfig, RecordNumber, RecoveredLog, StoredSegment, TornTail,
 };
 use shaletack_writeback::{
-    AttemptOutcome, Buffer, Config, DoubtPolicy, Effect, Input, Piece, PieceId, RecoveredBuffer,
+    AttemptOutcome, Buffer, Config, Effect, InDoubtPolicy, Input, Piece, PieceId, RecoveredBuffer,
     UnsettledPiece,
 };
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 const CONFIG: Config = Config {
     log: LogConfig { segment_bytes: 4 * BLOCK, max_bytes: 32 * BLOCK, reserved_bytes: 8 * BLOCK },
     attempt_lifetime: ATTEMPT_LIFETIME,
-    doubt_policy: DoubtPolicy::AskOperator,
+    in_doubt_policy: InDoubtPolicy::AskOperator,
 };
 
 type Segments = BTreeMap<u64, Vec<u8>>;
--- a/crates/writeback/tests/overlay.rs
+++ b/crates/writeback/tests/overlay.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use shaletack_wal::{Identity, LogConfig};
-use shaletack_writeback::{Buffer, Config, DoubtPolicy, Effect, Input, Overlay, OverlaySpan, Piece};
+use shaletack_writeback::{Buffer, Config, Effect, InDoubtPolicy, Input, Overlay, OverlaySpan, Piece};
 use std::time::Duration;
 
 const BLOCK: u64 = 4096;
@@ -41,7 +41,7 @@
 fn a_buffered_write_is_in_the_overlay_of_its_volume_at_once() {
     let log = LogConfig { segment_bytes: 8 * BLOCK, max_bytes: 48 * BLOCK, reserved_bytes: 12 * BLOCK };
     let config =
-        Config { log, attempt_lifetime: Duration::from_secs(5), doubt_policy: DoubtPolicy::AskOperator };
+        Config { log, attempt_lifetime: Duration::from_secs(5), in_doubt_policy: InDoubtPolicy::AskOperator };
     let mut buffer = Buffer::new(Identity { log: 1, purpose: 2 }, config);
     for (command, export_offset, data) in [(1, 100, &b"older"[..]), (2, 103, &b"newer"[..])] {
         let piece = Piece { export_offset, shard: 0, endpoint_offset: 0, data: Bytes::from_static(data) };
--- a/src/nbd/front/execute.rs
+++ b/src/nbd/front/execute.rs
@@ -187,7 +187,7 @@
     /// Asks the core for one part. Background work on the shard waits meanwhile.
     async fn request_part(&self, request: &Request, part: Part, data: Bytes) -> Answer {
         let write_back = self.shared.write_back.as_ref();
-        let _demand = write_back.map(|cache| cache.client_request(part.shard));
+        let _demand = write_back.map(|cache| cache.register_client_request(part.shard));
         let command = EndpointCommand {
             client: self.shared.endpoints.clone(),
             command: request.command,
--- a/src/operator/check.rs
+++ b/src/operator/check.rs
@@ -8,7 +8,7 @@
 use crate::endpoint_list::{EndpointList, EndpointRecord};
 use crate::interface::{EndpointListKind, Readiness, Settings};
 use shaletack_wal::LogConfig;
-use shaletack_writeback::DoubtPolicy;
+use shaletack_writeback::InDoubtPolicy;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -106,9 +106,9 @@
             reserved_bytes: max_bytes / LOG_RESERVE_DIVISOR,
         },
         attempt_lifetime: Duration::from_millis(write_back.attempt_lives_ms),
-        doubt_policy: match write_back.unsettled {
-            Unsettled::Ask => DoubtPolicy::AskOperator,
-            Unsettled::Resend => DoubtPolicy::Resend,
+        in_doubt_policy: match write_back.unsettled {
+            Unsettled::Ask => InDoubtPolicy::AskOperator,
+            Unsettled::Resend => InDoubtPolicy::Resend,
         },
         units_per_second: write_back.units,
         max_age: Duration::from_millis(write_back.age_ms),
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -13,7 +13,7 @@
 use crate::endpoint_list::EndpointList;
 use crate::interface::{Settings, VolumeId};
 use records::File;
-use shaletack_writeback::DoubtPolicy;
+use shaletack_writeback::InDoubtPolicy;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -88,7 +88,7 @@
     /// The longest that an attempt may still run at an endpoint after its connection closed.
     pub attempt_lifetime: Duration,
     /// What becomes of a write that is not at its endpoint after that.
-    pub doubt_policy: DoubtPolicy,
+    pub in_doubt_policy: InDoubtPolicy,
     /// The most units a second that are sent to endpoints; 0: no limit.
     pub units_per_second: u64,
     /// A write that has waited so long is sent even while clients need its endpoint.
--- a/src/writeback/cache.rs
+++ b/src/writeback/cache.rs
@@ -163,13 +163,13 @@
     }
 
     /// Counts a client's request as waiting for a shard until the guard is dropped.
-    pub fn client_request(&self, shard: u16) -> ClientDemandGuard {
+    pub fn register_client_request(&self, shard: u16) -> ClientDemandGuard {
         let requests = self.0.client_demand.borrow_mut().add(shard);
         self.0.background.borrow_mut().set_client_demand(shard.into(), requests);
         ClientDemandGuard::new(self.clone(), shard)
     }
 
-    pub(super) fn client_request_ended(&self, shard: u16) {
+    pub(super) fn unregister_client_request(&self, shard: u16) {
         let requests = self.0.client_demand.borrow_mut().remove(shard);
         self.0.background.borrow_mut().set_client_demand(shard.into(), requests);
         self.0.timer_changed.notify_one();
@@ -334,7 +334,7 @@
     Config {
         log: settings.log,
         attempt_lifetime: settings.attempt_lifetime,
-        doubt_policy: settings.doubt_policy,
+        in_doubt_policy: settings.in_doubt_policy,
     }
 }
 
--- a/src/writeback/client_demand.rs
+++ b/src/writeback/client_demand.rs
@@ -40,6 +40,6 @@
 
 impl Drop for ClientDemandGuard {
     fn drop(&mut self) {
-        self.cache.client_request_ended(self.shard);
+        self.cache.unregister_client_request(self.shard);
     }
 }
