--- a/crates/writeback/src/recovery.rs
+++ b/crates/writeback/src/recovery.rs
@@ -92,7 +92,7 @@
 
     /// Applies a control record, which changes the state of a piece. The control record is needed only as
     /// long as the record that holds the piece is in use. Segments are removed oldest first, so the control
-    /// record never goes before that one and is not tracked itself.
+    /// record is never removed before that one, and is not tracked itself.
     fn set_state(&mut self, number: RecordNumber, id: PieceId, state: PieceState) {
         self.last_piece = self.last_piece.max(id);
         self.pieces.set_state(id, state);
