--- a/crates/writeback/tests/overlay.rs
+++ b/crates/writeback/tests/overlay.rs
@@ -1,8 +1,8 @@
-//! What reads see of buffered writes.
+//! Reads see buffered writes through the overlay.
 
 use bytes::Bytes;
 use shaletack_wal::{Identity, LogConfig};
-use shaletack_writeback::{Buffer, Config, DoubtPolicy, Effect, Input, Overlay, OverlaySpan, Piece};
+use shaletack_writeback::{Buffer, Config, Effect, InDoubtPolicy, Input, Overlay, OverlaySpan, Piece};
 use std::time::Duration;
 
 const BLOCK: u64 = 4096;
@@ -17,9 +17,9 @@
 }
 
 #[test]
-fn spans_are_laid_over_what_a_read_brings_and_the_later_one_counts() {
+fn spans_are_applied_to_the_data_of_a_read_and_the_later_one_wins() {
     let spans = overlay(&[(8, b"aaaa"), (10, b"bbbb"), (18, b"cccc"), (30, b"dd")]);
-    // Of the first and third only the part within the range, of the last nothing.
+    // Only parts of the first and third span lie within the range, and the last lies outside.
     assert_eq!(spans.apply(10, b"..........".to_vec()), b"bbbb....cc");
     assert_eq!(spans.apply(0, b"........".to_vec()), b"........");
     assert_eq!(Overlay::default().apply(5, b"..".to_vec()), b"..");
@@ -35,12 +35,13 @@
     assert!(Overlay::default().is_empty() && !Overlay::default().covers(0, 1));
 }
 
-/// A write is seen from its acknowledgement on, by its own volume only, and in the order of arrival.
+/// A write is visible from its acknowledgement on, to its own volume only, and writes apply in the order of
+/// arrival.
 #[test]
 fn a_buffered_write_is_in_the_overlay_of_its_volume_at_once() {
     let log = LogConfig { segment_bytes: 8 * BLOCK, max_bytes: 48 * BLOCK, reserved_bytes: 12 * BLOCK };
     let config =
-        Config { log, attempt_lifetime: Duration::from_secs(5), doubt_policy: DoubtPolicy::AskOperator };
+        Config { log, attempt_lifetime: Duration::from_secs(5), in_doubt_policy: InDoubtPolicy::AskOperator };
     let mut buffer = Buffer::new(Identity { log: 1, purpose: 2 }, config);
     for (command, export_offset, data) in [(1, 100, &b"older"[..]), (2, 103, &b"newer"[..])] {
         let piece = Piece { export_offset, shard: 0, endpoint_offset: 0, data: Bytes::from_static(data) };
--- a/src/nbd/front/execute.rs
+++ b/src/nbd/front/execute.rs
@@ -192,7 +192,7 @@
     /// Submits one part to the core and waits for the answer. Background work on the shard pauses meanwhile.
     async fn request_part(&self, request: &Request, part: Part, data: Bytes) -> Answer {
         let write_back = self.shared.write_back.as_ref();
-        let _demand_guard = write_back.map(|cache| cache.client_request(part.shard));
+        let _demand_guard = write_back.map(|cache| cache.register_client_request(part.shard));
         let command = EndpointCommand {
             client: self.shared.endpoints.clone(),
             command: request.command,
