--- a/src/net/downstream/client_stream.rs
+++ b/src/net/downstream/client_stream.rs
@@ -1,5 +1,7 @@
-//! A client's connection as actix-http reads it: heads are bounded, what is sent ahead of answers waits for its turn, and a
-//! close loses no answer.
+//! The stream from which actix-http reads a client's connection.
+//!
+//! The stream limits the length of heads, holds pipelined requests until earlier ones are answered, and
+//! closes without a reset, which could lose the last response.
 
 use super::connection::{Connection, Stage};
 use super::read_ahead::{ReadAhead, ReadAheadTotal};
@@ -13,30 +15,36 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// How many bytes of requests sent ahead of an answer actix-http is given; more wait until it has room,
-const MAX_AHEAD_IN_LIBRARY: usize = 16 * 1024;
-/// and where there is no room left for them either what comes is read and dropped, and the connection ends with the answer,
-/// or after so many bytes.
-const MAX_FLOOD: usize = 4 << 20;
-/// Bytes read at one go; a client that sends at full speed must not keep others waiting.
-const MAX_READ: usize = 16 * 1024;
+/// The number of bytes of pipelined requests from which on actix-http is given no more before the response.
+/// Further bytes are held in [`ReadAhead`].
+const MAX_PIPELINED_IN_LIBRARY: usize = 16 * 1024;
+/// The number of bytes after which a connection is closed before the response, if the client sent more
+/// pipelined requests than are held. Up to then the bytes are read and dropped, and the connection closes
+/// after the response.
+const MAX_DISCARDED: usize = 4 << 20;
+/// The maximum number of bytes read in one turn of the task: a client that sends at full speed must not delay
+/// others.
+const MAX_READ_PER_TURN: usize = 16 * 1024;
+/// The size of the buffer for bytes that are held or dropped.
+const BUFFER_SIZE: usize = 4096;
 
 /// A client's connection as actix-http reads it.
 pub struct ClientStream {
     socket: Rc<RefCell<Uninterrupted<TcpStream>>>,
     connection: Rc<Connection>,
-    /// Read ahead of an answer, beyond what actix-http holds.
+    /// Pipelined requests that actix-http has not been given yet.
     read_ahead: ReadAhead,
-    /// Bytes read since others last had their turn.
+    /// The number of bytes read since the task last yielded to others.
     read_in_turn: usize,
-    /// Nothing more comes: its client closed it, or it was lost.
+    /// Whether no more bytes arrive: the client closed the connection, or it was lost.
     read_ended: bool,
-    /// Nothing more goes out.
+    /// Whether the sending half is closed.
     write_ended: bool,
 }
 
 impl ClientStream {
-    /// Just accepted; `total` counts what waits on all connections.
+    /// Creates the stream of a connection that was just accepted. `total` counts the bytes held for all
+    /// connections.
     pub fn new(
         socket: Rc<RefCell<Uninterrupted<TcpStream>>>,
         connection: Rc<Connection>,
@@ -53,7 +61,7 @@
         }
     }
 
-    /// The state of the connection.
+    /// Returns the state of the connection.
     pub fn connection(&self) -> Rc<Connection> {
         self.connection.clone()
     }
@@ -62,17 +70,19 @@
         Pin::new(&mut *self.socket.borrow_mut()).poll_read(cx, out)
     }
 
-    /// Reads on ahead of an answer and holds what comes, for a client's close stands behind all that it sent. What there is
-    /// no room for makes it a flood.
+    /// Reads and holds pipelined requests before the response, because a client's close can only be read
+    /// after all that the client sent. If they exceed the limit, all of them are dropped and the connection
+    /// is marked as overflowed.
     fn poll_read_ahead(&mut self, cx: &mut Context<'_>) {
         if self.connection.closes_when_idle.get() {
-            // It ends with what it has; a close behind the rest shows without reading it.
+            // The connection closes after the requests that it already has. A close by the client is detected
+            // without reading the rest (`Connection::is_closed_by_client`).
             self.connection.reader.replace(Some(cx.waker().clone()));
             return;
         }
-        let mut room = [0; 4096];
-        for _ in 0..MAX_READ / room.len() {
-            let mut part = ReadBuf::new(&mut room);
+        let mut buffer = [0; BUFFER_SIZE];
+        for _ in 0..MAX_READ_PER_TURN / BUFFER_SIZE {
+            let mut part = ReadBuf::new(&mut buffer);
             let Poll::Ready(read) = self.poll_socket(cx, &mut part) else {
                 self.connection.reader.replace(Some(cx.waker().clone()));
                 return;
@@ -80,13 +90,13 @@
             let bytes = part.filled();
             if read.is_err() || bytes.is_empty() {
                 self.read_ended = true;
-                self.connection.close.notify_one();
+                self.connection.close_requested.notify_one();
                 return;
             }
             self.connection.arrivals.borrow_mut().arrived(Instant::now(), bytes.len());
             if !self.read_ahead.push(bytes) {
                 self.read_ahead.clear();
-                self.connection.flooded.set(true);
+                self.connection.read_ahead_overflowed.set(true);
                 break;
             }
             self.connection.read_ahead_bytes.set(self.read_ahead.len());
@@ -94,9 +104,9 @@
         cx.waker().wake_by_ref();
     }
 
-    /// What was read ahead comes next, before anything else is read.
-    fn give_read_ahead(&mut self, out: &mut ReadBuf<'_>) {
-        let bytes = self.read_ahead.pop(out.remaining().min(MAX_READ - self.read_in_turn));
+    /// Gives actix-http the held bytes, which come before any that are still to be read.
+    fn take_read_ahead(&mut self, out: &mut ReadBuf<'_>) {
+        let bytes = self.read_ahead.pop(out.remaining().min(MAX_READ_PER_TURN - self.read_in_turn));
         out.put_slice(&bytes);
         self.connection.read_ahead_bytes.set(self.read_ahead.len());
         if self.connection.is_idle() {
@@ -107,11 +117,11 @@
         self.connection.last_read_at.set(Instant::now());
     }
 
-    /// Reads and drops what comes: ready once nothing more does.
+    /// Reads and drops bytes. Ready once the client has closed its sending half or the connection is lost.
     fn poll_discard(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut scrap = [0; 4096];
-        for _ in 0..MAX_READ / scrap.len() {
-            let mut part = ReadBuf::new(&mut scrap);
+        let mut buffer = [0; BUFFER_SIZE];
+        for _ in 0..MAX_READ_PER_TURN / BUFFER_SIZE {
+            let mut part = ReadBuf::new(&mut buffer);
             let read = ready!(self.poll_socket(cx, &mut part));
             if read.is_err() || part.filled().is_empty() {
                 self.read_ended = true;
@@ -125,25 +135,29 @@
 }
 
 impl ClientStream {
-    /// Whether what comes now was sent ahead of an answer, and the library holds enough of that.
+    /// Returns whether the next bytes are to be held: a response is outstanding, and actix-http has been
+    /// given as many bytes of pipelined requests as it may.
     fn reads_ahead(&self) -> bool {
         let connection = &self.connection;
-        let library_is_full = connection.stage_bytes.get() >= MAX_AHEAD_IN_LIBRARY;
-        connection.stage.get() == Stage::InProgress && library_is_full && !connection.flooded.get()
+        let library_is_full = connection.stage_bytes.get() >= MAX_PIPELINED_IN_LIBRARY;
+        connection.stage.get() == Stage::InProgress
+            && library_is_full
+            && !connection.has_read_ahead_overflowed()
     }
 
-    /// Drops what comes until the present answer has gone; a flood that goes on and on ends the connection at once.
-    fn poll_flood(&mut self, cx: &mut Context<'_>) {
+    /// Drops bytes until the present response is sent. Requests that the connection be closed at once if the
+    /// client closes it, or sends more than [`MAX_DISCARDED`].
+    fn poll_overflow(&mut self, cx: &mut Context<'_>) {
         let ended = self.poll_discard(cx).is_ready();
-        if ended || self.connection.stage_bytes.get() >= MAX_FLOOD {
-            self.connection.close.notify_one();
+        if ended || self.connection.stage_bytes.get() >= MAX_DISCARDED {
+            self.connection.close_requested.notify_one();
         }
     }
 
     fn poll_read_socket(&mut self, cx: &mut Context<'_>, out: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let connection = self.connection.clone();
-        // The buffer may have room for far more than its reader is meant to hold.
-        let room = out.remaining().min(MAX_READ - self.read_in_turn);
+        // actix-http's buffer may have room for far more bytes than it is to be given.
+        let room = out.remaining().min(MAX_READ_PER_TURN - self.read_in_turn);
         let mut part = ReadBuf::new(out.initialize_unfilled_to(room));
         let Poll::Ready(read) = self.poll_socket(cx, &mut part) else {
             self.read_in_turn = 0;
@@ -156,16 +170,17 @@
         let count = part.filled().len();
         self.read_ended = count == 0;
         if self.read_ended && connection.has_request() {
-            // Its request ends now, not once what is on its way out has gone.
-            connection.close.notify_one();
+            // The request is cancelled now, and not only after the data being sent to the client.
+            connection.close_requested.notify_one();
         }
         read?;
         out.advance(count);
-        self.note_read(count);
+        self.record_read(count);
         Poll::Ready(connection.check_head_size())
     }
 
-    fn note_read(&mut self, count: usize) {
+    /// Records that `count` bytes were read.
+    fn record_read(&mut self, count: usize) {
         let (connection, now) = (&self.connection, Instant::now());
         if count > 0 && connection.is_idle() {
             connection.enter(Stage::ReadingHead);
@@ -184,7 +199,7 @@
         cx: &mut Context<'_>,
         out: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.read_in_turn >= MAX_READ {
+        if self.read_in_turn >= MAX_READ_PER_TURN {
             self.read_in_turn = 0;
             cx.waker().wake_by_ref();
             return Poll::Pending;
@@ -193,12 +208,12 @@
             self.poll_read_ahead(cx);
             return Poll::Pending;
         }
-        if self.connection.flooded.get() {
-            self.poll_flood(cx);
+        if self.connection.has_read_ahead_overflowed() {
+            self.poll_overflow(cx);
             return Poll::Pending;
         }
         if !self.read_ahead.is_empty() {
-            self.give_read_ahead(out);
+            self.take_read_ahead(out);
             return Poll::Ready(self.connection.check_head_size());
         }
         self.poll_read_socket(cx, out)
@@ -214,8 +229,9 @@
         Pin::new(&mut *self.socket.borrow_mut()).poll_flush(cx)
     }
 
-    /// Its own end first; then what still comes is read and dropped until its client's. A close over bytes that
-    /// nobody read would be a reset, and the last answer could be lost with it. `Stage::Closing` bounds the wait.
+    /// Closes the sending half, and then reads and drops bytes until the client closes its own. Closing
+    /// with unread bytes would reset the connection, and the last response could be lost. The wait is
+    /// limited by the timeout of `Stage::Closing`.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = &mut *self;
         if !this.write_ended {
--- a/src/net/downstream/connection.rs
+++ b/src/net/downstream/connection.rs
@@ -1,7 +1,9 @@
-//! The state of one client connection: what it is doing, since when, and whether its time is over.
+//! The state of one client connection: its stage, since when it is in it, and whether that stage has timed
+//! out.
 //!
-//! actix-http has one clock for a connection's first head, one for an idle connection and none for a body, and reads up
-//! to 128 KiB of a head and as much again of requests sent ahead. Here each of these has a bound of its own.
+//! actix-http has one timeout for a connection's first head, one for an idle connection and none for a
+//! body. It reads up to 128 KiB of a head, and as much again of pipelined requests. Here each of these has
+//! a limit of its own.
 
 use super::read_ahead::ArrivalTimes;
 use crate::runtime::sockets::Uninterrupted;
@@ -15,56 +17,59 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// A client that connects has something to ask: its first byte comes within this time.
+/// How long after the connect the first byte may arrive. A client that connects has a request to send.
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A head is complete within this time of its first byte; a connection's first one within this time of the connect. Slow
-/// clients take 2 s, and half a request is owed an end within 3 s of the connect.
+/// How long a head may take from its first byte, or from the connect if it is the connection's first. Slow
+/// clients take 2 s for a head, and a connection with an incomplete request must be closed within 3 s of the
+/// connect.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A body comes at this rate, in bytes a second; slow clients send 64 kB a second.
+/// The minimum rate of a body, in bytes per second. Slow clients send 64 kB per second.
 const MIN_BODY_RATE: f64 = 48e3;
-/// A body may be this far behind that rate.
+/// How far a body may lag behind the minimum rate.
 const BODY_SLACK: Duration = Duration::from_millis(2000);
-/// What still comes behind a last answer is read for this long,
+/// How long a closing connection is read after the last response, until the client closes it too.
 const CLOSING_TIMEOUT: Duration = Duration::from_millis(2100);
-/// and for this long at a shutdown, which ends before a kill.
+/// The same at a shutdown, which has to end before the process is killed.
 const CLOSING_TIMEOUT_AT_SHUTDOWN: Duration = Duration::from_millis(300);
-/// While no place is left for others, a connection on which nothing came yet has this long,
+/// How long after the connect the first byte may arrive while the connection limit is reached.
 const FIRST_BYTE_TIMEOUT_WHEN_FULL: Duration = Duration::from_millis(100);
-/// one that is closing this long,
+/// How long a closing connection is read while the connection limit is reached.
 const CLOSING_TIMEOUT_WHEN_FULL: Duration = Duration::from_millis(200);
-/// and one whose request has begun this long between two reads.
+/// The maximum time between two reads of an incomplete request while the connection limit is reached.
 const READ_TIMEOUT_WHEN_FULL: Duration = Duration::from_millis(700);
-/// On a connection that has been idle for this long the next request is not expected just now.
-const IDLE_BEFORE_DRAIN: Duration = Duration::from_millis(250);
-/// The longest head, in bytes, with what of its body is read along with it.
+/// How long a connection must have been idle to count as long idle during a drain: its next request is not
+/// expected at this instant.
+const LONG_IDLE: Duration = Duration::from_millis(250);
+/// The maximum length of a head, in bytes, including the part of the body that is read along with it.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
-/// What a connection is doing.
+/// The stage of a connection, or of the request on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Stage {
-    /// Nothing has come yet.
+    /// No byte has arrived yet.
     New,
-    /// A request has begun to come.
+    /// The first bytes of a request have arrived.
     ReadingHead,
-    /// Its head is complete.
+    /// The head is complete, and the body is being buffered.
     ReadingBody,
-    /// Its body is passed on as it comes, at the pace of who takes it.
+    /// The body is streamed to the endpoint, at the pace at which the endpoint reads it.
     StreamingBody,
-    /// The core has the request.
+    /// The request is complete, and is waiting for its response.
     InProgress,
-    /// Every request is answered.
+    /// Every request has been answered.
     Idle,
-    /// It ends; what still comes is read and dropped, so that the last answer is not lost by a reset.
+    /// The last response is being sent. Further bytes are read and dropped: closing with unread bytes would
+    /// reset the connection, and the response could be lost.
     Closing,
 }
 
-/// When connections close while clients are to go elsewhere, counted from when that began.
+/// When connections close during a drain, counted from the beginning of the drain.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct DrainTimes {
-    /// From then on those that have been idle for a while close,
-    pub(super) idle: Duration,
-    /// and from then on all on which there is no request.
-    pub(super) all: Duration,
+pub(super) struct DrainSchedule {
+    /// From then on, connections that have been idle for longer than [`LONG_IDLE`] close.
+    pub(super) close_long_idle_after: Duration,
+    /// From then on, all connections without a request close.
+    pub(super) close_all_idle_after: Duration,
 }
 
 /// One client's connection.
@@ -72,27 +77,27 @@
 pub struct Connection {
     pub(super) stage: Cell<Stage>,
     stage_since: Cell<Instant>,
-    /// Bytes of the head that is coming, or sent ahead of an answer.
+    /// The number of bytes read in the present stage: of a head, of a body, or of pipelined requests.
     pub(super) stage_bytes: Cell<usize>,
-    /// When the last byte came.
+    /// When bytes were last read.
     pub(super) last_read_at: Cell<Instant>,
-    /// The task that reads the connection, while it waits.
+    /// Wakes the task that waits to read from the connection.
     pub(super) reader: RefCell<Option<Waker>>,
     /// Notified when the connection is to be closed at once.
-    pub(super) close: Notify,
-    /// The connection ends once nothing more has come on it.
+    pub(super) close_requested: Notify,
+    /// Whether the connection is to close as soon as it has no request and no unread bytes.
     pub(super) closes_when_idle: Cell<bool>,
-    /// More came ahead of an answer than is held.
-    pub(super) flooded: Cell<bool>,
-    /// Bytes that were read ahead of an answer and wait for their turn.
+    /// Whether the client sent more pipelined requests than are held.
+    pub(super) read_ahead_overflowed: Cell<bool>,
+    /// The number of bytes of pipelined requests that are held outside actix-http.
     pub(super) read_ahead_bytes: Cell<usize>,
-    /// When what came on the connection came.
+    /// When the bytes of the requests arrived.
     pub(super) arrivals: RefCell<ArrivalTimes>,
     socket: Weak<RefCell<Uninterrupted<TcpStream>>>,
 }
 
 impl Connection {
-    /// A connection that was just accepted.
+    /// Creates the state of a connection that was just accepted.
     pub(super) fn new(socket: Weak<RefCell<Uninterrupted<TcpStream>>>) -> Self {
         Connection {
             stage: Cell::new(Stage::New),
@@ -100,17 +105,18 @@
             stage_bytes: Cell::new(0),
             last_read_at: Cell::new(Instant::now()),
             reader: RefCell::new(None),
-            close: Notify::new(),
+            close_requested: Notify::new(),
             closes_when_idle: Cell::new(false),
-            flooded: Cell::new(false),
+            read_ahead_overflowed: Cell::new(false),
             read_ahead_bytes: Cell::new(0),
             arrivals: RefCell::default(),
             socket,
         }
     }
 
+    /// Enters a stage, resets its byte count, and wakes the reader.
     pub(super) fn enter(&self, stage: Stage) {
-        // A connection's first head counts from the connect.
+        // The timeout of a connection's first head runs from the connect.
         if (self.stage.get(), stage) != (Stage::New, Stage::ReadingHead) {
             self.stage_since.set(Instant::now());
         }
@@ -125,27 +131,27 @@
         }
     }
 
-    /// A request's head is complete; its body may be still to come.
+    /// Records that a request's head is complete. Its body may still have to arrive.
     pub fn head_complete(&self) {
         self.enter(Stage::ReadingBody);
     }
 
-    /// The core has the request, and its body is still to come.
+    /// Records that the core has the request, and that its body is being streamed.
     pub fn body_streaming(&self) {
         self.enter(Stage::StreamingBody);
     }
 
-    /// The request is complete, and answered in its own time.
+    /// Records that the request is complete. The response has no timeout here.
     pub fn request_in_progress(&self) {
         self.enter(Stage::InProgress);
     }
 
-    /// The last answer is on the way out.
+    /// Records that the last response is being sent, after which the connection closes.
     pub fn closing(&self) {
         self.enter(Stage::Closing);
     }
 
-    /// The request's answer is on the way out; what was sent ahead comes next.
+    /// Records that the request's response is being sent. Pipelined requests are read next.
     pub fn answered(&self) {
         if self.stage.get() == Stage::Closing {
             return;
@@ -154,46 +160,53 @@
         self.enter(if next_has_begun { Stage::ReadingHead } else { Stage::Idle });
     }
 
-    /// A request of that many bytes is complete: when its last byte came. It may have waited behind others.
+    /// Takes a complete request of `bytes` bytes, and returns when its last byte arrived. That may be long
+    /// ago if the request was pipelined.
     pub fn request_arrived(&self, bytes: u64) -> Instant {
         self.arrivals.borrow_mut().take(bytes).unwrap_or_else(Instant::now)
     }
 
-    /// Waits until the connection is to be closed.
-    pub async fn closed(&self) {
-        self.close.notified().await;
+    /// Waits until the connection is to be closed at once.
+    pub async fn close_requested(&self) {
+        self.close_requested.notified().await;
     }
 
-    /// More came ahead of an answer than is held: nothing behind that answer can be served.
-    pub fn is_flooded(&self) -> bool {
-        self.flooded.get()
+    /// Returns whether the client sent more pipelined requests than are held. None of them can be served, and
+    /// the connection closes after the present response.
+    pub fn has_read_ahead_overflowed(&self) -> bool {
+        self.read_ahead_overflowed.get()
     }
 
-    /// Requests were read that are still to be answered: the connection does not end with the present answer.
+    /// Returns whether pipelined requests are held, so that the connection cannot close after the present
+    /// response.
     pub fn has_requests_waiting(&self) -> bool {
-        self.read_ahead_bytes.get() > 0 && !self.is_flooded()
+        self.read_ahead_bytes.get() > 0 && !self.has_read_ahead_overflowed()
     }
 
+    /// Checks the length of the head that is being read.
+    ///
     /// # Errors
-    /// A head goes on and on.
+    /// The head is longer than 32 KiB.
     pub(super) fn check_head_size(&self) -> io::Result<()> {
         if self.stage.get() == Stage::ReadingHead && self.stage_bytes.get() > MAX_HEAD_BYTES {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "a head without end"));
+            let message = format!("the request head is longer than {MAX_HEAD_BYTES} bytes");
+            return Err(io::Error::new(io::ErrorKind::InvalidData, message));
         }
         Ok(())
     }
 
-    /// There is no request on it.
+    /// Returns whether there is no request on the connection.
     pub(super) fn is_idle(&self) -> bool {
         matches!(self.stage.get(), Stage::New | Stage::Idle)
     }
 
-    /// There is a request that its client waits for.
+    /// Returns whether there is a request with a complete head that has not been answered.
     pub(super) fn has_request(&self) -> bool {
         matches!(self.stage.get(), Stage::ReadingBody | Stage::StreamingBody | Stage::InProgress)
     }
 
-    /// Whether its client has closed it, or its sending half, behind whatever is still unread.
+    /// Returns whether the client has closed the connection, or its sending half, after whatever is still
+    /// unread.
     pub(super) fn is_closed_by_client(&self) -> bool {
         let Some(socket) = self.socket.upgrade() else { return false };
         let socket = socket.borrow();
@@ -201,34 +214,35 @@
         ready.is_some_and(|ready| ready.is_ok_and(|ready| ready.is_read_closed()))
     }
 
-    /// Lets it end as if its client had closed it, unless a request has come that nobody read yet.
+    /// Makes the connection end as if the client had closed it, unless it has a request or unread bytes.
     pub(super) fn close_when_idle(&self) {
         self.closes_when_idle.set(true);
         self.wake_reader();
     }
 
-    /// Whether it may close while clients are to go elsewhere, which began at `since`: first those that have been idle
-    /// for a while, later all without a request.
-    pub(super) fn may_drain(&self, now: Instant, since: Instant, times: DrainTimes) -> bool {
+    /// Returns whether the connection is to close at `now` in a drain that began at `since`: first
+    /// connections that have been idle for long, later all without a request.
+    pub(super) fn is_due_to_drain(&self, now: Instant, since: Instant, schedule: DrainSchedule) -> bool {
         let draining_for = now.saturating_duration_since(since);
         let idle_for = now.saturating_duration_since(self.stage_since.get());
-        let idle_long = draining_for > times.idle && idle_for > IDLE_BEFORE_DRAIN;
-        self.is_idle() && (draining_for > times.all || idle_long)
+        let long_idle = draining_for > schedule.close_long_idle_after && idle_for > LONG_IDLE;
+        self.is_idle() && (draining_for > schedule.close_all_idle_after || long_idle)
     }
 
-    /// Whether all its requests were answered longer ago than `timeout`.
+    /// Returns whether all requests were answered longer than `timeout` ago.
     pub(super) fn is_idle_longer_than(&self, now: Instant, timeout: Duration) -> bool {
         self.stage.get() == Stage::Idle && now.saturating_duration_since(self.stage_since.get()) > timeout
     }
 
-    /// Whether its present stage takes too long; `full`: no place is left for others.
+    /// Returns whether the present stage has timed out. Timeouts are shorter if the connection limit is
+    /// reached (`full`) and at a shutdown.
     pub(super) fn is_timed_out(&self, now: Instant, full: bool, shutting_down: bool) -> bool {
-        let quiet_for = now.saturating_duration_since(self.last_read_at.get());
+        let silent_for = now.saturating_duration_since(self.last_read_at.get());
         let timeout = match self.stage.get() {
             Stage::New if full => FIRST_BYTE_TIMEOUT_WHEN_FULL,
             Stage::New => FIRST_BYTE_TIMEOUT,
             Stage::Closing if full => CLOSING_TIMEOUT_WHEN_FULL,
-            Stage::ReadingHead | Stage::ReadingBody if full && quiet_for > READ_TIMEOUT_WHEN_FULL => {
+            Stage::ReadingHead | Stage::ReadingBody if full && silent_for > READ_TIMEOUT_WHEN_FULL => {
                 return true;
             }
             Stage::ReadingHead => HEAD_TIMEOUT,
@@ -240,7 +254,7 @@
         now.saturating_duration_since(self.stage_since.get()) > timeout
     }
 
-    /// What the bytes that have come may have taken.
+    /// Returns how long the bytes of the body that have arrived may have taken since the head was complete.
     fn body_timeout(&self) -> Duration {
         BODY_SLACK + Duration::from_secs_f64(self.stage_bytes.get() as f64 / MIN_BODY_RATE)
     }
--- a/src/net/downstream/connection_registry.rs
+++ b/src/net/downstream/connection_registry.rs
@@ -1,11 +1,12 @@
-//! All connections of a front, and which of them close for the others' sake.
+//! Tracks all connections of a front, and closes those that are idle or too slow.
 //!
-//! Clients may hold far more connections than there are descriptors. Connections that ask nothing close the earlier the
-//! more places are taken; those that are slow have a clock of their own; while clients are to go elsewhere, and at a
-//! shutdown, all close on which there is no request.
+//! Clients may keep far more connections open than there are file descriptors. The idle timeout is
+//! therefore shorter the closer the front is to its connection limit. Slow connections have timeouts for
+//! each stage of a request. During a drain, after a hand-over and at a shutdown, connections without a
+//! request are closed.
 
 use super::client_stream::ClientStream;
-use super::connection::{Connection, DrainTimes};
+use super::connection::{Connection, DrainSchedule};
 use super::read_ahead::ReadAheadTotal;
 use crate::runtime::host::Host;
 use crate::runtime::shutdown::Shutdown;
@@ -16,49 +17,56 @@
 use tokio::net::TcpStream;
 use tracing::warn;
 
-/// How often connections are looked at.
-const REVIEW_INTERVAL: Duration = Duration::from_millis(20);
-/// How often it is logged at most that no place is left.
-const FULL_LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// When connections close after an operator drained the initiator: newcomers stop 0.3 s after the first unready
-/// `_health`, and at 4 s no connection may be idle or have had a request in 2 s.
-const DRAIN_TIMES: DrainTimes =
-    DrainTimes { idle: Duration::from_millis(1000), all: Duration::from_millis(1600) };
-/// The same once a successor takes the newcomers: what is asked more than 0.7 s after SIGTERM may be cut off.
-const SUCCEEDED_TIMES: DrainTimes =
-    DrainTimes { idle: Duration::from_millis(250), all: Duration::from_millis(600) };
+/// How often connections are checked for their timeouts.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The minimum interval between two warnings that the connection limit is reached.
+const LIMIT_LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// When connections close after an operator has drained the initiator. New clients stop arriving 0.3 s
+/// after the first `_health` response that says not ready, and at 4 s no connection may be idle or have had
+/// a request in the last 2 s.
+const OPERATOR_DRAIN: DrainSchedule = DrainSchedule {
+    close_long_idle_after: Duration::from_millis(1000),
+    close_all_idle_after: Duration::from_millis(1600),
+};
+/// When connections close after a successor has begun to accept clients. A request that arrives more than
+/// 0.7 s after SIGTERM may be cut off by SIGKILL.
+const HANDOVER_DRAIN: DrainSchedule = DrainSchedule {
+    close_long_idle_after: Duration::from_millis(250),
+    close_all_idle_after: Duration::from_millis(600),
+};
 
-/// How long a connection on which nothing is asked may stay.
+/// The idle timeout from a number of open connections on.
 struct IdleTimeout {
-    /// From this part of the places taken on,
-    from_taken: f64,
-    /// this long.
+    /// The number of open connections from which the timeout applies, as a fraction of the connection limit.
+    min_occupancy: f64,
+    /// How long a connection may be idle.
     timeout: Duration,
 }
 
-/// Clients can have a third of the descriptors for requests, less than half of the places: those that asked once and keep
-/// their connection would fill it, and requests of others would find none.
+/// The idle timeouts, by falling occupancy. Clients have a third of the file descriptors for their requests,
+/// which is less than half of the connection limit. Clients that keep a connection open after one request
+/// would use up that third, and leave none for the requests of others.
 const IDLE_TIMEOUTS: [IdleTimeout; 3] = [
-    IdleTimeout { from_taken: 0.4, timeout: Duration::from_millis(300) },
-    IdleTimeout { from_taken: 0.25, timeout: Duration::from_millis(2100) },
-    IdleTimeout { from_taken: 0.0, timeout: Duration::from_secs(20) },
+    IdleTimeout { min_occupancy: 0.4, timeout: Duration::from_millis(300) },
+    IdleTimeout { min_occupancy: 0.25, timeout: Duration::from_millis(2100) },
+    IdleTimeout { min_occupancy: 0.0, timeout: Duration::from_secs(20) },
 ];
-/// How long it may stay while no place is left.
+/// The idle timeout while the connection limit is reached.
 const IDLE_TIMEOUT_WHEN_FULL: Duration = Duration::from_millis(200);
 
-/// All connections of a front.
+/// The connections of a front. Clones share the same connections.
 #[derive(Clone, Default)]
 pub struct ConnectionRegistry {
     connections: Rc<RefCell<Vec<Weak<Connection>>>>,
     read_ahead: ReadAheadTotal,
 }
 
-/// How the places of a front are taken.
+/// How many connections of a front are open, and how many may be.
 #[derive(Clone, Copy)]
 struct Occupancy {
     open: usize,
     max: usize,
-    /// Others wait for a place.
+    /// Whether further clients cannot connect to this process until a connection closes.
     full: bool,
 }
 
@@ -67,13 +75,13 @@
         if self.full {
             return IDLE_TIMEOUT_WHEN_FULL;
         }
-        let applies = |idle: &&IdleTimeout| self.open as f64 >= idle.from_taken * self.max as f64;
+        let applies = |idle: &&IdleTimeout| self.open as f64 >= idle.min_occupancy * self.max as f64;
         IDLE_TIMEOUTS.iter().find(applies).map_or(IDLE_TIMEOUT_WHEN_FULL, |idle| idle.timeout)
     }
 }
 
 impl ConnectionRegistry {
-    /// Registers a connection that was just accepted.
+    /// Registers a connection that was just accepted, and returns the stream to serve it from.
     pub fn register(&self, socket: TcpStream) -> ClientStream {
         let socket = Rc::new(RefCell::new(Uninterrupted(socket)));
         let connection = Rc::new(Connection::new(Rc::downgrade(&socket)));
@@ -81,18 +89,19 @@
         ClientStream::new(socket, connection, self.read_ahead.clone())
     }
 
-    /// Closes connections whose time is over, for as long as the front serves; `max` are accepted.
-    pub async fn review(self, host: Host, max: usize, shutdown: Shutdown) {
+    /// Closes connections that have timed out, at an interval of 20 ms. Never completes; the caller aborts it
+    /// once the front has stopped. At most `max` connections are accepted at a time.
+    pub async fn close_timed_out(self, host: Host, max: usize, shutdown: Shutdown) {
         let mut logged_at: Option<Instant> = None;
         loop {
-            tokio::time::sleep(REVIEW_INTERVAL).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
             let now = Instant::now();
             let occupancy = self.occupancy(&host, max, &shutdown);
-            let closed = self.review_once(now, &host, &shutdown, occupancy);
-            if occupancy.full && logged_at.is_none_or(|at| now > at + FULL_LOG_INTERVAL) {
+            let closed = self.check_connections(now, &host, &shutdown, occupancy);
+            if occupancy.full && logged_at.is_none_or(|at| now > at + LIMIT_LOG_INTERVAL) {
                 warn!(
                     open = occupancy.open,
-                    closed, "the connection limit is reached: silent and idle connections are closed"
+                    closed, "the connection limit is reached: idle and slow connections are closed early"
                 );
                 logged_at = Some(now);
             }
@@ -104,21 +113,29 @@
         connections.retain(|connection| connection.strong_count() > 0);
         let open = connections.len();
         let max = (max as f64 * host.budget_share()).ceil() as usize;
-        let taken = open >= max || shutdown.is_short_of_descriptors();
-        // Nobody waits for a place of a process that another one has succeeded.
-        Occupancy { open, max, full: taken && host.handed_over_since().is_none() }
+        let limit_reached = open >= max || shutdown.is_short_of_descriptors();
+        // After a hand-over the successor accepts all further clients, so none wait for this process.
+        Occupancy { open, max, full: limit_reached && host.handed_over_since().is_none() }
     }
 
-    /// Lets go what has to; how many connections that was for the sake of others.
-    fn review_once(&self, now: Instant, host: &Host, shutdown: &Shutdown, occupancy: Occupancy) -> usize {
+    /// Closes the connections whose client has left, whose timeout has expired, or that are to close
+    /// because of a drain or a shutdown. Returns how many of them were closed for a timeout.
+    fn check_connections(
+        &self,
+        now: Instant,
+        host: &Host,
+        shutdown: &Shutdown,
+        occupancy: Occupancy,
+    ) -> usize {
         let connections = self.live();
         let abandoned = connections.iter().filter(|c| c.has_request() && c.is_closed_by_client());
-        abandoned.for_each(|connection| connection.close.notify_one());
+        abandoned.for_each(|connection| connection.close_requested.notify_one());
         let closed = if shutdown.is_closing() {
             connections.iter().for_each(|connection| connection.close_when_idle());
             0
-        } else if let Some((since, times)) = drain(host) {
-            let leaving = connections.iter().filter(|connection| connection.may_drain(now, since, times));
+        } else if let Some((since, schedule)) = current_drain(host) {
+            let leaving =
+                connections.iter().filter(|connection| connection.is_due_to_drain(now, since, schedule));
             leaving.for_each(|connection| connection.close_when_idle());
             0
         } else {
@@ -126,7 +143,7 @@
         };
         let shutting_down = shutdown.is_closing();
         let timed_out = connections.iter().filter(|c| c.is_timed_out(now, occupancy.full, shutting_down));
-        closed + timed_out.map(|connection| connection.close.notify_one()).count()
+        closed + timed_out.map(|connection| connection.close_requested.notify_one()).count()
     }
 
     fn live(&self) -> Vec<Rc<Connection>> {
@@ -134,13 +151,14 @@
     }
 }
 
-/// Since when clients are to go elsewhere, if they are, and when connections close then.
-fn drain(host: &Host) -> Option<(Instant, DrainTimes)> {
-    let succeeded = host.handed_over_since().map(|since| (since, SUCCEEDED_TIMES));
-    succeeded.or_else(|| host.drained_since().map(|since| (since, DRAIN_TIMES)))
+/// Returns since when this process is handed over or drained, and the schedule by which its connections
+/// close; `None` if it is neither.
+fn current_drain(host: &Host) -> Option<(Instant, DrainSchedule)> {
+    let handed_over = host.handed_over_since().map(|since| (since, HANDOVER_DRAIN));
+    handed_over.or_else(|| host.drained_since().map(|since| (since, OPERATOR_DRAIN)))
 }
 
-/// Closes those that have been idle for too long; how many.
+/// Closes the connections that have been idle for longer than `timeout`, and returns how many.
 fn close_idle(connections: &[Rc<Connection>], now: Instant, timeout: Duration) -> usize {
     let mut closed = 0;
     for connection in connections {
--- a/src/net/downstream/front.rs
+++ b/src/net/downstream/front.rs
@@ -1,7 +1,12 @@
 //! The platform's front: serves clients' HTTP/1.1 requests with actix-http.
 //!
-//! A request goes through these steps: its body is read, or as much of it as is held; its head is read; its id is checked;
-//! the core is asked; the one final answer goes out.
+//! A request goes through these steps:
+//!
+//! 1. Its body is read; a large one only as far as it is buffered.
+//! 2. Its head is parsed.
+//! 3. Its id is checked for repetition.
+//! 4. The request is submitted to the core.
+//! 5. The core's one final answer is sent as the response.
 
 use super::client_stream::ClientStream;
 use super::connection::Connection;
@@ -31,24 +36,25 @@
 use tokio::net::TcpListener;
 use tracing::error;
 
-/// How long a client has to read the last byte of a closing answer.
+/// How long a client has to read the last response of a connection to its end.
 const DISCONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the front needs to serve.
+/// What the front needs in order to serve.
 pub struct Front {
     /// The core.
     pub host: Host,
-    /// The connections to endpoints.
+    /// The HTTP clients of all endpoints.
     pub endpoint_clients: Rc<EndpointClients>,
-    /// The most client connections at a time.
+    /// The maximum number of client connections at a time.
     pub max_connections: usize,
     /// The ids of recent requests.
     pub request_ids: Rc<RefCell<RequestIds>>,
-    /// Asked at a shutdown: whether a successor accepts clients from now on.
+    /// Called once at a shutdown. Hands over to the successor and returns `true` if there is one, which
+    /// accepts clients from then on.
     pub hand_over: Rc<dyn Fn() -> bool>,
 }
 
-/// Serves until `stop` ends, and then what was taken.
+/// Serves clients until `stop` completes, and then until all accepted requests are answered.
 pub async fn serve(front: Front, listener: TcpListener, stop: impl std::future::Future<Output = ()>) {
     let Front { host, endpoint_clients, max_connections, request_ids, hand_over } = front;
     let shutdown = Shutdown::default();
@@ -69,15 +75,17 @@
             let mut response = service.handle(request).await;
             let draining = service.host.drained_since().or(service.host.handed_over_since()).is_some();
             let closes = draining || closing.is_closing();
-            if connection.is_some_and(|c| c.is_flooded() || closes && !c.has_requests_waiting()) {
+            if connection
+                .is_some_and(|c| c.has_read_ahead_overflowed() || closes && !c.has_requests_waiting())
+            {
                 response.head_mut().set_connection_type(ConnectionType::Close);
             }
             Ok::<_, Infallible>(response)
         }
     });
-    // A client that closes its connection while its request is open has left: the service future is
-    // dropped then, which half-closed connections would prevent.
-    // How long a connection may wait for what is in `connection`.
+    // A client that closes its connection, or its sending half, while its request is open has left: the
+    // service future is then dropped, which it would not be if half-closed connections were allowed. The
+    // timeouts for heads and idle connections are in `connection`, so the library's own are switched off.
     let http = HttpService::<ClientStream, _, BoxBody>::build()
         .keep_alive(KeepAlive::Os)
         .client_request_timeout(Duration::ZERO)
@@ -87,10 +95,11 @@
         .client_disconnect_timeout(DISCONNECT_TIMEOUT)
         .h1_allow_half_closed(false)
         .h1(handler);
-    let Ok(http) = http.new_service(()).await else { return error!("the front could not be set up") };
+    let Ok(http) = http.new_service(()).await else { return error!("the HTTP service could not be set up") };
     let registry = ConnectionRegistry::default();
-    let review = actix_rt::spawn(registry.clone().review(core, max_connections, shutdown));
-    // How a client's connection ends is the client's affair; its request knows by being dropped.
+    let timeouts = actix_rt::spawn(registry.clone().close_timed_out(core, max_connections, shutdown));
+    // The result of a client's connection is not needed: if the connection is lost, its request is dropped,
+    // and the core is told.
     let serve = |stream| {
         let stream = registry.register(stream);
         let connection = stream.connection();
@@ -98,22 +107,22 @@
         async move {
             tokio::select! {
                 _ = served => {}
-                () = connection.closed() => {}
+                () = connection.close_requested() => {}
             }
         }
     };
     listener.serve(stop, serve).await;
-    review.abort();
+    timeouts.abort();
 }
 
-/// What all requests share.
+/// Handles the requests of all connections.
 struct RequestService {
     host: Host,
     endpoint_clients: Rc<EndpointClients>,
     request_ids: Rc<RefCell<RequestIds>>,
 }
 
-/// Tells a connection that its request is over, also where the client left.
+/// Tells a connection on drop that its request has been answered, or that the client has left.
 struct AnsweredOnDrop(Rc<Connection>);
 
 impl Drop for AnsweredOnDrop {
@@ -123,6 +132,7 @@
 }
 
 impl RequestService {
+    /// Handles one request. `/_health` is answered here; all other requests go to the core.
     async fn handle(&self, mut request: Request) -> Response<BoxBody> {
         let connection = request.conn_data::<Rc<Connection>>().cloned();
         let connection = AnsweredOnDrop(connection.expect("every connection has its state"));
@@ -134,24 +144,24 @@
         }
         let body = match read_body(&mut request, &connection.0).await {
             Ok(body) => body,
-            Err(status) => return malformed(&connection.0, status),
+            Err(status) => return reject_and_close(&connection.0, status),
         };
         if request.method() != Method::PUT && !matches!(body, RequestBody::None) {
-            return malformed(&connection.0, StatusCode::BAD_REQUEST);
+            return reject_and_close(&connection.0, StatusCode::BAD_REQUEST);
         }
-        let waited = waited_behind_others(&request, &body, &connection.0);
+        let waited = waiting_time(&request, &body, &connection.0);
         let Some(mut head) = self.host.with_broker(|core| request_head::parse(&request, core)) else {
-            return malformed(&connection.0, StatusCode::BAD_REQUEST);
+            return reject_and_close(&connection.0, StatusCode::BAD_REQUEST);
         };
         let longest_deadline = self.host.settings().longest_deadline();
         if !self.request_ids.borrow_mut().insert(&head.trace_id, longest_deadline) {
-            return malformed(&connection.0, StatusCode::CONFLICT);
+            return reject_and_close(&connection.0, StatusCode::CONFLICT);
         }
         head.request.time_remaining = head.request.time_remaining.saturating_sub(waited);
         self.forward(&request, head, body, connection).await
     }
 
-    /// Asks the core, and turns its one final answer into a response.
+    /// Submits the request to the core, and turns the one final answer into a response.
     async fn forward(
         &self,
         request: &Request,
@@ -179,18 +189,19 @@
             streamed_response: streamed_response.clone(),
         };
         let answer = self.host.submit(head.request, Rc::new(call)).await;
-        // What is still to come of a body that nobody takes would be read as requests.
-        let body_cut = upload.is_some_and(|upload| !upload.is_fully_forwarded.get());
-        if body_cut {
+        // The rest of a body that is not forwarded would be parsed as further requests.
+        let is_body_incomplete = upload.is_some_and(|upload| !upload.is_fully_forwarded.get());
+        if is_body_incomplete {
             connection.0.closing();
         }
         let mut response = self.respond(answer, streamed_response, connection);
-        if body_cut {
+        if is_body_incomplete {
             response.head_mut().set_connection_type(ConnectionType::Close);
         }
         response
     }
 
+    /// Returns the response for an answer of the core.
     fn respond(
         &self,
         answer: Answer,
@@ -214,9 +225,10 @@
     }
 }
 
-/// How long ago the last byte of a request came: it may have waited behind others. The time of a request whose body is
-/// still to come begins with that body's last byte.
-fn waited_behind_others(request: &Request, body: &RequestBody, connection: &Connection) -> Duration {
+/// Returns how long ago the last byte of a request arrived: a pipelined request has waited for the
+/// responses to earlier ones. Zero if the body is being streamed, because the request's time begins with
+/// the body's last byte.
+fn waiting_time(request: &Request, body: &RequestBody, connection: &Connection) -> Duration {
     let body_bytes = match body {
         RequestBody::Streaming(_) => return Duration::ZERO,
         RequestBody::Buffered(bytes) => bytes.len() as u64,
@@ -225,7 +237,8 @@
     connection.request_arrived(head_bytes(request) + body_bytes).elapsed()
 }
 
-/// A large response, as its client takes it. Its request is answered with its last byte.
+/// Returns a response that is streamed at the pace at which the client reads it. The request counts as
+/// answered once the last byte is sent, because the guards are dropped with the stream.
 fn stream_response(
     streamed: StreamedResponse,
     guards: (AnsweredOnDrop, StreamingResponseGuard),
@@ -243,14 +256,17 @@
     }
 }
 
-/// The answer to what is no request. The connection ends with it: its client would send more of the kind, and
-/// of a body that is too large or malformed the rest would be taken for requests.
-fn malformed(connection: &Connection, status: StatusCode) -> Response<BoxBody> {
+/// Returns an error response after which the connection closes. The client would send more malformed
+/// requests, and the rest of a body that is too large or malformed would be parsed as requests.
+fn reject_and_close(connection: &Connection, status: StatusCode) -> Response<BoxBody> {
     connection.closing();
     Response::build(status).force_close().body(()).map_into_boxed_body()
 }
 
-/// A request's body: all of it, or of a large one as much as is held.
+/// Reads a request's body: the whole body, or the beginning of a large one, which is streamed.
+///
+/// # Errors
+/// The status to respond with, if the body is too large or malformed.
 async fn read_body(request: &mut Request, connection: &Rc<Connection>) -> Result<RequestBody, StatusCode> {
     let content_length =
         single_header(request.headers(), "Content-Length").and_then(|v| v.parse::<u64>().ok());
@@ -264,7 +280,8 @@
     {
         match payload.next().await {
             Some(chunk) => body.extend_from_slice(&chunk.map_err(|_| StatusCode::BAD_REQUEST)?),
-            // A GET has no body; an empty one would be passed on with a length it did not come with.
+            // A request other than PUT has no body. An empty one would be forwarded with a Content-Length
+            // that the client did not send.
             None if request.method() != Method::PUT && body.is_empty() => return Ok(RequestBody::None),
             None => return Ok(RequestBody::Buffered(body.freeze())),
         }
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -1,9 +1,13 @@
-//! The clients' side: HTTP/1.1 from connections to requests of the core, and its answers back.
+//! The HTTP/1.1 server for clients: turns their requests into requests to the core, and the core's answers
+//! into responses.
 //!
-//! [`front`] serves requests; [`request_head`] reads what a head says; [`request_ids`] rejects a second request under one
-//! id. Connections are bounded apart from the HTTP library, which has no clocks for bodies and later heads:
-//! [`connection`] is the state of one, [`connection_registry`] ends those whose time is over, [`client_stream`] is what
-//! the library reads from, and [`read_ahead`] holds what clients send ahead of answers.
+//! [`front`] serves requests, [`request_head`] parses their heads, and [`request_ids`] rejects a second
+//! request with the same id.
+//!
+//! The HTTP library, actix-http, has no timeouts for bodies, or for the heads of later requests on a
+//! connection. These modules limit connections instead: [`connection`] is the state of one connection,
+//! [`connection_registry`] closes connections that have timed out, [`client_stream`] is the stream that the
+//! library reads from, and [`read_ahead`] holds pipelined requests.
 
 pub mod client_stream;
 pub mod connection;
--- a/src/net/downstream/read_ahead.rs
+++ b/src/net/downstream/read_ahead.rs
@@ -1,5 +1,8 @@
-//! What a client sends ahead of an answer (HTTP pipelining): when each of its bytes came, and those that wait for their
-//! turn. A request behind others has the time that its client counts, which is from its own last byte.
+//! Pipelined requests (RFC 9112, section 9.3.2): holds the bytes that a client sends before its previous
+//! request is answered, and when they arrived.
+//!
+//! A client counts the time that a request may take from the request's own last byte, also if the request has
+//! to wait for the responses to earlier ones. So the arrival time of each request is kept.
 
 use bytes::{Buf, BytesMut};
 use std::cell::Cell;
@@ -7,47 +10,48 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The most bytes of one connection that wait,
+/// The maximum number of bytes that are held for one connection.
 const MAX_READ_AHEAD: usize = 256 * 1024;
-/// and of all connections of a front.
+/// The maximum number of bytes that are held for all connections of a front together.
 const MAX_READ_AHEAD_TOTAL: usize = 2 << 20;
-/// Reads this close together count as one.
-const SAME_READ: Duration = Duration::from_millis(2);
+/// Reads that follow another one within this time share its arrival time.
+const SAME_READ_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How many bytes had come by some moment.
+/// The total number of bytes that had arrived after a read.
 #[derive(Debug)]
 struct Read {
     bytes_arrived: u64,
     at: Instant,
 }
 
-/// When the bytes of one connection came, from when it last rested.
+/// The arrival times of the bytes of one connection, counted from when the connection was last idle.
 #[derive(Debug, Default)]
 pub struct ArrivalTimes {
-    /// In the order they came.
+    /// In order of arrival. Reads that end before the last byte taken are dropped.
     reads: VecDeque<Read>,
     bytes_arrived: u64,
     bytes_taken: u64,
 }
 
 impl ArrivalTimes {
-    /// Nothing of what came before is still to be taken.
+    /// Forgets all bytes. Called when every request before the next byte has been answered.
     pub fn restart(&mut self) {
         *self = ArrivalTimes::default();
     }
 
-    /// So many bytes have come now.
+    /// Records that `count` bytes arrived at `now`.
     pub fn arrived(&mut self, now: Instant, count: usize) {
         self.bytes_arrived += count as u64;
         match self.reads.back_mut() {
-            Some(last) if now.saturating_duration_since(last.at) < SAME_READ => {
+            Some(last) if now.saturating_duration_since(last.at) < SAME_READ_INTERVAL => {
                 last.bytes_arrived = self.bytes_arrived;
             }
             _ => self.reads.push_back(Read { bytes_arrived: self.bytes_arrived, at: now }),
         }
     }
 
-    /// The next request is complete, and had this many bytes: when its last byte came.
+    /// Takes the next `bytes` bytes, those of one request, and returns when the last of them arrived;
+    /// `None` if no arrival is recorded. A size beyond the bytes that have arrived counts as all of them.
     pub fn take(&mut self, bytes: u64) -> Option<Instant> {
         self.bytes_taken = (self.bytes_taken + bytes).min(self.bytes_arrived);
         while self.reads.front().is_some_and(|read| read.bytes_arrived < self.bytes_taken) {
@@ -57,11 +61,11 @@
     }
 }
 
-/// How many bytes wait on all connections of a front.
+/// The number of bytes that are held for all connections of a front. Clones share the same count.
 #[derive(Clone, Debug, Default)]
 pub struct ReadAheadTotal(Rc<Cell<usize>>);
 
-/// Bytes of one connection that were read and wait for their turn.
+/// The bytes of one connection that were read and are to be processed once earlier requests are answered.
 #[derive(Debug)]
 pub struct ReadAhead {
     bytes: BytesMut,
@@ -69,22 +73,22 @@
 }
 
 impl ReadAhead {
-    /// Nothing yet.
+    /// Creates an empty buffer whose bytes count towards `total`.
     pub fn new(total: ReadAheadTotal) -> Self {
         ReadAhead { bytes: BytesMut::new(), total }
     }
 
-    /// How many there are.
+    /// Returns the number of bytes held.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether no bytes are held.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Adds more; false where there is no room for them.
+    /// Appends bytes. Returns `false`, and appends nothing, if that would exceed a limit.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         let has_room = self.len() + bytes.len() <= MAX_READ_AHEAD
             && self.total.0.get() + bytes.len() <= MAX_READ_AHEAD_TOTAL;
@@ -95,7 +99,7 @@
         has_room
     }
 
-    /// Takes the first of them, at most `count`.
+    /// Removes and returns the first bytes, at most `count`.
     pub fn pop(&mut self, count: usize) -> BytesMut {
         let bytes = self.bytes.split_to(count.min(self.bytes.len()));
         self.total.0.set(self.total.0.get() - bytes.len());
@@ -105,7 +109,7 @@
         bytes
     }
 
-    /// Drops them all.
+    /// Drops all bytes.
     pub fn clear(&mut self) {
         self.total.0.set(self.total.0.get() - self.bytes.remaining());
         self.bytes = BytesMut::new();
--- a/src/net/downstream/request_head.rs
+++ b/src/net/downstream/request_head.rs
@@ -1,4 +1,5 @@
-//! What a request's head says, in the core's terms: the platform's header fields are mapped to them here and nowhere else.
+//! Parses the head of a client's request into the core's terms. The platform's header fields are
+//! interpreted here and nowhere else.
 
 use crate::broker::{Broker, IncomingRequest};
 use crate::interface::VolumeId;
@@ -8,29 +9,29 @@
 use std::ops::RangeInclusive;
 use std::time::{Duration, Instant};
 
-/// The longest `Idempotency-Key`, in bytes.
-const MAX_KEY_BYTES: usize = 255;
-/// The longest `X-Trace-Id`, in bytes.
+/// The maximum length of an `Idempotency-Key`, in bytes.
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
+/// The maximum length of an `X-Trace-Id`, in bytes.
 const MAX_TRACE_ID_BYTES: usize = 64;
-/// A longer wait than this, in seconds, is no client's.
+/// The upper limit of `X-Expires-In`, in seconds. No client waits as long.
 const MAX_TIME_REMAINING_SECONDS: f64 = 86400.0;
-/// Through how many initiators a volume's requests may come.
-const INITIATORS: RangeInclusive<f64> = 1.0..=65536.0;
-/// Hex digits of a volume's number and of a key.
+/// The valid numbers of initiators through which a volume's requests arrive.
+const INITIATOR_COUNTS: RangeInclusive<f64> = 1.0..=65536.0;
+/// The number of hexadecimal digits of a volume's number and of a key.
 const HEX_DIGITS: usize = 16;
 
-/// A request's head, as far as it concerns the core and the endpoint.
+/// The parts of a request's head that the core and the endpoint need.
 pub struct RequestHead {
     /// The request in the core's terms.
     pub request: IncomingRequest,
-    /// The id that an endpoint is given too.
+    /// The request's id, which is sent to the endpoint too.
     pub trace_id: String,
-    /// The key by which endpoints drop a repeat, as it came.
+    /// The idempotency key by which endpoints detect a retry, as the client sent it.
     pub idempotency_key: Option<HeaderValue>,
 }
 
-/// Reads a head; `None` where it is malformed. So is a request of a keyed class without its one key: no endpoint could
-/// drop its repeat.
+/// Parses a head; returns `None` if it is malformed. A request of a class that requires an idempotency key is
+/// malformed unless it has exactly one, because no endpoint could detect its retry.
 pub fn parse(request: &Request, core: &Broker) -> Option<RequestHead> {
     let headers = request.headers();
     let idempotency_key = idempotency_key(headers)?;
@@ -58,7 +59,7 @@
     Some(RequestHead { request: parsed, trace_id, idempotency_key })
 }
 
-/// What `X-Placement` says.
+/// The contents of the `X-Placement` header.
 struct Placement {
     volume: VolumeId,
     units: f64,
@@ -67,6 +68,7 @@
 }
 
 impl Placement {
+    /// Parses `name=value` fields separated by commas. Shard -1 means any shard.
     fn parse(text: &str, core: &Broker) -> Option<Self> {
         let field = |name: &str| {
             let value = text.split(',').find_map(|part| part.trim().strip_prefix(name)?.strip_prefix('='));
@@ -77,7 +79,7 @@
         let initiators = parse_decimal(field("hosts")?)?;
         let max_units = core.settings().max_request_units;
         let units_fit = units > 0.0 && (max_units <= 0.0 || units <= max_units);
-        if !units_fit || !INITIATORS.contains(&initiators) {
+        if !units_fit || !INITIATOR_COUNTS.contains(&initiators) {
             return None;
         }
         Some(Placement {
@@ -89,14 +91,16 @@
     }
 }
 
-/// How long the client waits. No client of the class waits longer than its deadline: the scheduler would take those who
-/// wait less for late repeats.
+/// Returns how long the client still waits, at most the deadline of the request's class. If one client
+/// stated more than that, the scheduler would take the requests of clients that state less for late
+/// retries.
 fn time_remaining(headers: &HeaderMap, class_deadline: Duration) -> Option<Duration> {
     let seconds = parse_decimal(single_header(headers, "X-Expires-In")?)?;
     let stated = (seconds < MAX_TIME_REMAINING_SECONDS).then(|| Duration::from_secs_f64(seconds))?;
     Some(if class_deadline.is_zero() { stated } else { stated.min(class_deadline) })
 }
 
+/// Returns the request's id: 1 to 64 ASCII letters, digits, `-` or `_`.
 fn trace_id(headers: &HeaderMap) -> Option<String> {
     let id = single_header(headers, "X-Trace-Id")?;
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
@@ -104,35 +108,36 @@
     valid.then(|| id.to_owned())
 }
 
-/// The key by which endpoints drop a repeat; `None`: there are several, or it is no key.
+/// Returns the idempotency key, if the request has one; `None` if it has several, or if the key is malformed.
 fn idempotency_key(headers: &HeaderMap) -> Option<Option<HeaderValue>> {
     let mut all = headers.get_all(IDEMPOTENCY_KEY);
     let Some(key) = all.next() else { return Some(None) };
-    let valid = key.to_str().is_ok_and(|text| (1..=MAX_KEY_BYTES).contains(&text.trim().len()));
+    let valid = key.to_str().is_ok_and(|text| (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&text.trim().len()));
     (valid && all.next().is_none()).then(|| Some(key.clone()))
 }
 
-/// The value of a header that comes once.
+/// Returns the value of a header that occurs exactly once; `None` if it is missing, repeated or not text.
 pub fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut all = headers.get_all(name);
     let value = all.next()?;
     all.next().is_none().then(|| value.to_str().ok().map(str::trim))?
 }
 
-/// How many bytes a request's head took, but for spaces that it need not have.
+/// Returns the length of a request's head in bytes, without optional whitespace.
 pub fn head_bytes(request: &Request) -> u64 {
-    const LINE: usize = " ".len() + " HTTP/1.1\r\n".len();
+    const REQUEST_LINE: usize = " ".len() + " HTTP/1.1\r\n".len();
     const HEADER: usize = ": \r\n".len();
     let target = request.uri().path_and_query().map_or(1, |target| target.as_str().len());
     let headers = request.headers().iter().map(|(name, value)| name.as_str().len() + HEADER + value.len());
-    (request.method().as_str().len() + LINE + target + headers.sum::<usize>() + "\r\n".len()) as u64
+    (request.method().as_str().len() + REQUEST_LINE + target + headers.sum::<usize>() + "\r\n".len()) as u64
 }
 
-/// Digits with or without decimals: no sign, exponent, infinity or NaN.
+/// Parses digits with or without a fraction. A sign, an exponent, infinity and NaN are rejected.
 fn parse_decimal(text: &str) -> Option<f64> {
     text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.').then(|| text.parse().ok())?
 }
 
+/// Parses a hexadecimal number of exactly 16 digits.
 fn parse_hex(digits: &str) -> Option<u64> {
     let fits = digits.len() == HEX_DIGITS && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
     fits.then(|| u64::from_str_radix(digits, 16).ok())?
--- a/src/net/downstream/request_ids.rs
+++ b/src/net/downstream/request_ids.rs
@@ -1,15 +1,16 @@
-//! The ids of recent requests. Each request has its own: an endpoint would take a second one under it for the first.
+//! The ids of recent requests. Each request must have an id of its own, because an endpoint would take a
+//! second request with the same id for the first.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
-/// An id and when its request was received.
+/// A request's id and when the request was received.
 struct ReceivedId {
     received_at: Instant,
     id: String,
 }
 
-/// The ids of requests, from when each was received and for as long as any can be open.
+/// The ids of the requests of the last two longest deadlines, during which a request may still be open.
 #[derive(Default)]
 pub struct RequestIds {
     known: HashSet<String>,
@@ -17,13 +18,13 @@
 }
 
 impl RequestIds {
-    /// All of them, and how long ago each request was received.
+    /// Returns all ids, oldest first, and how long ago each request was received.
     pub fn all(&self) -> Vec<(Duration, String)> {
         let ids = self.oldest_first.iter();
         ids.map(|received| (received.received_at.elapsed(), received.id.clone())).collect()
     }
 
-    /// Adds those that a predecessor received, and how long ago.
+    /// Adds the ids of requests that a predecessor received, and how long ago it received each.
     pub fn restore(&mut self, ids: Vec<(Duration, String)>) {
         let now = Instant::now();
         for (age, id) in ids {
@@ -31,7 +32,8 @@
         }
     }
 
-    /// Adds an id that was received now; false where one like it was within two of the longest deadlines.
+    /// Adds the id of a request that was received now. Returns `false` if a request with the same id was
+    /// received within the last two `longest_deadline`s.
     pub fn insert(&mut self, id: &str, longest_deadline: Duration) -> bool {
         let now = Instant::now();
         while self.oldest_first.front().is_some_and(|oldest| now > oldest.received_at + 2 * longest_deadline)
@@ -43,6 +45,7 @@
         self.add(id.to_owned(), now)
     }
 
+    /// Adds an id. Returns `false` if the id is known already.
     fn add(&mut self, id: String, received_at: Instant) -> bool {
         let is_new = self.known.insert(id.clone());
         if is_new {
--- a/src/net/management.rs
+++ b/src/net/management.rs
@@ -1,5 +1,6 @@
-//! The management address: one operator's call on each connection, with places of its own, so that operators are
-//! answered however many clients there are.
+//! The HTTP server at the management address, for operators' calls: one call on each connection. Its
+//! connection limit is separate from the clients', so that operators are answered however many clients
+//! there are.
 
 use super::handover::HandoverLink;
 use crate::broker::OperatorCommand;
@@ -17,25 +18,26 @@
 use tokio::task::AbortHandle;
 use tracing::{error, warn};
 
-/// Calls at a time. When all are taken, the oldest that is not complete is closed for the next.
+/// The maximum number of calls at a time. When it is reached, the oldest call whose request is incomplete
+/// is closed for the next one, or the oldest of all if every request is complete.
 pub const MAX_CALLS: usize = 16;
-/// A call is complete within this time.
+/// The time limit for receiving the head of a call's request.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// After its answer a caller closes within this time.
+/// How long a caller has to close its connection after the response.
 const DISCONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// After a failure to accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// The pause after a connection could not be accepted.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// A call of the management address.
+/// A call at the management address.
 #[derive(Clone, Debug)]
 pub enum Call {
-    /// Whether this process takes clients.
+    /// Asks whether this process accepts clients.
     Ready,
-    /// A command to the core, and to the other process where there are two.
+    /// A command to the core, and during a hand-over to the other process too.
     Command(OperatorCommand),
 }
 
-/// A connection's mark that its call is complete.
+/// Attached to a connection; set once the head of its call's request has been received.
 struct CallComplete(Rc<Cell<bool>>);
 
 /// A call in progress.
@@ -44,10 +46,13 @@
     complete: Rc<Cell<bool>>,
 }
 
-/// A call as its path names it; `Err` is the status of one that is not known.
+/// Parses a call from the request's method and path.
+///
+/// # Errors
+/// 404 if there is no such path, 405 if the path requires another method.
 fn parse_call(method: &Method, path: &str) -> Result<Call, StatusCode> {
     let parts: Vec<&str> = path.split('/').skip(1).collect();
-    let (call, wants) = match parts[..] {
+    let (call, expected_method) = match parts[..] {
         ["v1", "readyz"] => (Call::Ready, Method::GET),
         ["v1", "targets", id, "suspend"] => {
             (Call::Command(OperatorCommand::Suspend(id.into())), Method::POST)
@@ -57,13 +62,14 @@
         ["v1", "initiator", "activate"] => (Call::Command(OperatorCommand::Activate), Method::POST),
         _ => return Err(StatusCode::NOT_FOUND),
     };
-    if *method == wants {
+    if *method == expected_method {
         Ok(call)
     } else {
         Err(StatusCode::METHOD_NOT_ALLOWED)
     }
 }
 
+/// Carries out a call, and returns the status and text of the response.
 async fn answer(
     host: &Host,
     link: &HandoverLink,
@@ -75,7 +81,7 @@
         Err(status) => (status, "another method is wanted\n"),
         Ok(Call::Ready) if ready.get() && !host.is_stopping() => (StatusCode::OK, "ready\n"),
         Ok(Call::Ready) => (StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-        // In force before the answer leaves, in both processes where there are two.
+        // The command is in force before the response is sent, in both processes if there are two.
         Ok(Call::Command(command)) => {
             let here = host.apply_command(command.clone());
             match link.forward_command(command).await || here {
@@ -86,10 +92,11 @@
     }
 }
 
-/// Answers calls for as long as the program runs; `ready` says whether clients are taken.
+/// Answers calls for as long as the process runs. `ready` is set once this process accepts clients.
 pub async fn serve(host: Host, link: HandoverLink, listener: TcpListener, ready: Rc<Cell<bool>>) {
-    let next: Rc<RefCell<Rc<Cell<bool>>>> = Rc::default();
-    let connecting = next.clone();
+    // `on_connect_ext` runs within `http.call`, and takes the flag of the connection that was accepted last.
+    let last_accepted: Rc<RefCell<Rc<Cell<bool>>>> = Rc::default();
+    let connecting = last_accepted.clone();
     let handler = fn_service(move |request: Request| {
         let (host, link, ready) = (host.clone(), link.clone(), ready.clone());
         async move {
@@ -110,7 +117,7 @@
         })
         .h1(handler);
     let Ok(http) = http.new_service(()).await else {
-        return error!("the management address could not be set up");
+        return error!("the management service could not be set up");
     };
     let mut open: VecDeque<OpenCall> = VecDeque::new();
     loop {
@@ -123,17 +130,17 @@
                     open.remove(oldest).inspect(|call| call.task.abort());
                 }
                 let complete: Rc<Cell<bool>> = Rc::default();
-                next.replace(complete.clone());
+                last_accepted.replace(complete.clone());
                 let call = http.call((Uninterrupted(stream), None));
                 let task = actix_rt::spawn(async move {
-                    // How a call's connection ends is its caller's affair.
+                    // The result is not needed: a caller may close its connection at any time.
                     let _ = call.await;
                 });
                 open.push_back(OpenCall { task: task.abort_handle(), complete });
             }
             Err(error) => {
                 warn!(why = %error, "a management call could not be accepted");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
