--- a/src/net/handover/message.rs
+++ b/src/net/handover/message.rs
@@ -1,7 +1,7 @@
-//! What two processes of one initiator send each other: one JSON text a line.
+//! The messages between two processes of one initiator: one JSON text per line.
 //!
-//! The names that go over the socket are those of version 2 of the hand-over and stay; the code's own differ where an
-//! attribute says so.
+//! The names on the wire belong to version 2 of the hand-over and must not change. A `serde` attribute
+//! gives the name on the wire where it differs from the one in the code.
 
 use crate::broker::{CoreSnapshot, OperatorCommand};
 use serde::{Deserialize, Serialize};
@@ -9,22 +9,22 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The version of the hand-over that this program speaks; both ends need the same.
+/// The version of the hand-over protocol. Both processes must have the same.
 pub(super) const VERSION: u32 = 2;
-/// The longest part of a name or address in the socket's file name, in characters.
-const MAX_NAME_CHARACTERS: usize = 40;
+/// The maximum length of the initiator's name, and of its address, in the socket's file name, in characters.
+const MAX_FILE_NAME_PART: usize = 40;
 
-/// Which initiator a process is: its successor has the same identity.
+/// Identifies an initiator. A process and its successor have the same identity.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// The initiator's name.
     pub name: String,
-    /// Where its clients connect.
+    /// The address at which clients connect.
     pub clients: SocketAddr,
 }
 
 impl Identity {
-    /// The Unix socket in `folder` at which the processes of this initiator meet.
+    /// Returns the path of the Unix socket in `folder` at which successors of this initiator connect.
     pub fn socket(&self, folder: &Path) -> PathBuf {
         let name = file_name_part(&self.name);
         let clients = file_name_part(&self.clients.to_string());
@@ -32,13 +32,14 @@
     }
 }
 
-/// The text with everything but letters and digits replaced, and cut to a length that a socket's path can hold.
+/// Replaces everything but ASCII letters and digits by `_`, and cuts the text to a length that a socket's
+/// path can hold.
 fn file_name_part(text: &str) -> String {
     let plain = text.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '_' });
-    plain.take(MAX_NAME_CHARACTERS).collect()
+    plain.take(MAX_FILE_NAME_PART).collect()
 }
 
-/// A successor's first message.
+/// The first message, from the successor.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Hello {
     pub(super) version: u32,
@@ -49,22 +50,23 @@
 /// The predecessor's answer to a [`Hello`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Reply {
+    /// The process is a successor, and gets the state.
     #[serde(rename = "Will")]
     State(Box<HandoverState>),
-    /// The process is no successor of this one, for this reason.
+    /// The process is not a successor of this one, for this reason.
     #[serde(rename = "Refused")]
     Rejected(String),
-    /// The two latest versions still share every budget.
+    /// Two processes already share every budget. The process may ask again once one of them has ended.
     Busy,
 }
 
-/// What a process hands over to its successor.
+/// The state that a process hands over to its successor.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HandoverState {
-    /// What its core knows.
+    /// The core's state.
     #[serde(rename = "legacy")]
     pub core: CoreSnapshot,
-    /// Ids of recent requests, and how long ago each was received.
+    /// The ids of recent requests, and how long ago each was received.
     #[serde(rename = "traces")]
     pub request_ids: Vec<(Duration, String)>,
     /// The text of the configuration in force.
@@ -72,19 +74,19 @@
     pub configuration: String,
 }
 
-/// Tells an operator's command from others on the same link.
+/// Identifies an operator's command among those that one process sends on a link.
 pub(super) type CommandNumber = u64;
 
 /// A message between two processes that share the budgets.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Message {
-    /// An operator's command, to be carried out by the receiver as well.
+    /// An operator's command, which the receiver is to carry out as well.
     #[serde(rename = "Order")]
     Command(CommandNumber, OperatorCommand),
-    /// Whether the command of that number was carried out.
+    /// The result for the command of that number: whether it was carried out.
     #[serde(rename = "Done")]
     CommandDone(CommandNumber, bool),
-    /// The part of every budget that the receiver may spend from now on, from 0 to 1.
+    /// The share of every budget that the receiver may spend from now on, from 0 to 1.
     #[serde(rename = "Part")]
     BudgetShare(f64),
 }
--- a/tests/handover_format.rs
+++ b/tests/handover_format.rs
@@ -1,7 +1,9 @@
-//! A new version takes over from a running one, and an older one from a newer: what they hand each other keeps its form.
+//! The format of the hand-over state stays compatible: a new version may take over from an older one, and
+//! an older one from a newer.
 //!
-//! The fixtures were written by the release before the renaming of December 2026. Each is decoded and encoded again: a
-//! field or variant renamed without its stored name would lose what the other process knows, or end the hand-over.
+//! The fixtures were written by the release before the renaming of December 2026. Each is decoded and
+//! encoded again. A field or variant that is renamed without a `serde` attribute for its stored name would
+//! lose the other process's state, or make the hand-over fail.
 
 use serde_json::Value;
 use shaletack::broker::OperatorCommand;
@@ -10,26 +12,27 @@
 const HANDOVER_STATE: &str = include_str!("fixtures/handover-state.json");
 const OPERATOR_COMMANDS: &str = include_str!("fixtures/operator-commands.json");
 
-fn json(text: &str) -> Value {
+fn parse_json(text: &str) -> Value {
     serde_json::from_str(text).unwrap()
 }
 
 #[test]
-fn the_state_handed_over_by_an_earlier_release_is_read_and_written_alike() {
+fn the_state_of_an_earlier_release_is_decoded_and_encoded_unchanged() {
     let state: HandoverState = serde_json::from_str(HANDOVER_STATE).unwrap();
     let written = serde_json::to_string(&state).unwrap();
-    assert_eq!(json(&written), json(HANDOVER_STATE));
+    assert_eq!(parse_json(&written), parse_json(HANDOVER_STATE));
 }
 
-/// Fields that are left out read as defaults, so a lost name would not show in decoding alone: each has to be there.
+/// Missing fields are decoded as defaults, so decoding alone would not detect a lost name. The fixture must
+/// contain each field.
 #[test]
-fn the_fixture_holds_every_part_that_a_successor_needs() {
-    let state = json(HANDOVER_STATE);
-    let legacy = &state["legacy"];
-    assert_eq!(legacy["heard"].as_object().unwrap().len(), 5);
-    assert_eq!(legacy["learnt"]["volumes"].as_array().unwrap().len(), 3);
-    assert!(!legacy["learnt"]["nodes"].as_array().unwrap().is_empty());
-    assert!(legacy["starts"]["wall"].is_object() && legacy["now"].is_object());
+fn the_fixture_contains_every_part_that_a_successor_needs() {
+    let state = parse_json(HANDOVER_STATE);
+    let core = &state["legacy"];
+    assert_eq!(core["heard"].as_object().unwrap().len(), 5);
+    assert_eq!(core["learnt"]["volumes"].as_array().unwrap().len(), 3);
+    assert!(!core["learnt"]["nodes"].as_array().unwrap().is_empty());
+    assert!(core["starts"]["wall"].is_object() && core["now"].is_object());
     assert_eq!(state["traces"].as_array().unwrap().len(), 2);
 }
 
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -1,5 +1,5 @@
-//! Two events that cross, each time in the bad order: scripted peers hold their bytes or their close until told.
-//! `docs/CROSSINGS.md` lists them.
+//! Races between two events, each forced into the order that is hard to handle: scripted peers hold back
+//! their bytes or their close until told.
 
 mod common;
 use common::net::*;
@@ -19,58 +19,61 @@
 use tokio::net::{TcpStream, UnixListener, UnixStream};
 use tokio::sync::Notify;
 
-/// A client that goes is noticed behind all that it sent ahead: the close was not read past 16 KiB.
+/// Guards against requests of clients that have left staying open: a close behind more than 16 KiB of
+/// pipelined requests was not read.
 #[test]
-fn a_client_that_disconnects_is_noticed_behind_whatever_it_sent() {
+fn a_disconnect_is_detected_behind_any_amount_of_pipelined_requests() {
     story(async {
-        let boxed = HttpBox::start(|_, _| None).await;
-        let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
-        let mut flood = Vec::new();
-        while flood.len() < 1 << 20 {
-            flood.extend(platform_request("GET", "leitura", 0, 1, b""));
+        let endpoint = HttpBox::start(|_, _| None).await;
+        let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
+        let mut pipelined = Vec::new();
+        while pipelined.len() < 1 << 20 {
+            pipelined.extend(platform_request("GET", "leitura", 0, 1, b""));
         }
         for ahead in [0, 300, 20 << 10, 200 << 10, 1 << 20] {
-            for way in ["close", "reset", "half"] {
+            for ending in ["close", "reset", "half"] {
                 let mut client = HttpClient::connect(front).await;
                 client.0.write_all(&platform_request("PUT", "gravacao", 0, 2, b"w")).await.unwrap();
-                boxed.came.notified().await;
-                client.0.write_all(&flood[..ahead]).await.unwrap();
-                assert_eq!(host.open_requests(), 1, "{ahead} {way}");
-                if way == "reset" {
+                endpoint.came.notified().await;
+                client.0.write_all(&pipelined[..ahead]).await.unwrap();
+                assert_eq!(host.open_requests(), 1, "{ahead} {ending}");
+                if ending == "reset" {
                     socket2::SockRef::from(client.0.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
                 }
-                if way == "half" {
+                if ending == "half" {
                     client.0.shutdown().await.unwrap();
                 } else {
                     drop(client);
                 }
-                // The rule leaves 100 ms; the box says nothing for 1.5 s.
+                // A disconnect must be handled within 100 ms. The endpoint does not respond for 1.5 s.
                 let took = until(|| host.open_requests() == 0).await;
-                assert!(took < Duration::from_millis(400), "{ahead} {way}: {took:?}");
+                assert!(took < Duration::from_millis(400), "{ahead} {ending}: {took:?}");
             }
         }
         assert_eq!(host.with_broker(|b| b.counters()[1].requests.client_left), 15);
-        // One that goes on sending and stays is served first, and its connection ends with that answer.
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
-        let (front, _, _) = http_front(&[(boxed.address, 0)]).await;
+        // A client that goes on sending and stays connected is served. Its connection closes after that
+        // response.
+        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+        let (front, _, _) = http_front(&[(endpoint.address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
-        let sent = [&platform_request("GET", "leitura", 0, 1, b"")[..], &flood[..200 << 10]].concat();
+        let sent = [&platform_request("GET", "leitura", 0, 1, b"")[..], &pipelined[..200 << 10]].concat();
         assert_eq!(client.ask(&sent).await.0, 200);
     });
 }
 
-/// The initiator closed over bytes that it had not read: a reset, which takes what is still on the way with it.
+/// Guards against a response lost to a reset: the initiator closed a connection with unread bytes, and the
+/// kernel then resets it and discards what is still in transit.
 #[test]
-fn a_request_that_crosses_the_close_is_neither_sent_on_nor_answered_by_a_reset() {
+fn a_request_sent_during_a_close_is_neither_forwarded_nor_answered_by_a_reset() {
     story(async {
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
-        let (front, stop, _, served) = http_front_until(&[(boxed.address, 0)]).await;
+        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+        let (front, stop, _, served) = http_front_until(&[(endpoint.address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         let request = platform_request("GET", "leitura", 0, 1, b"");
         client.0.write_all(&request).await.unwrap();
-        boxed.came.notified().await;
+        endpoint.came.notified().await;
         stop.notify_one();
-        // Unread, so that nothing of the answer leaves the client's system before the close comes.
+        // The client reads nothing, so that the response stays in its receive buffer until the close arrives.
         while !client.0.get_ref().ready(Interest::READABLE).await.unwrap().is_read_closed() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -79,34 +82,35 @@
             client.0.write_all(&large).await.unwrap();
         }
         assert_eq!(client.ask(b"").await.0, 200);
-        assert_eq!(client.0.read(&mut [0]).await.unwrap(), 0, "an end, and no reset");
-        assert_eq!(boxed.seen.borrow().len(), 1);
-        // The process waits for the client's own end, and for one that never comes not long.
+        assert_eq!(client.0.read(&mut [0]).await.unwrap(), 0, "closed without a reset");
+        assert_eq!(endpoint.seen.borrow().len(), 1);
+        // The process waits for the client to close its side too, but only for a limited time.
         let start = Instant::now();
         served.await.unwrap();
         assert!(start.elapsed() < Duration::from_secs(4), "{:?}", start.elapsed());
     });
 }
 
-/// A watch falls silent, and so do all ways in which the next calls can: what the agent holds is there before 6 s are
-/// over. A head with nothing behind it took the time of a whole silence once more.
+/// Guards against a silent watch being replaced too late: the agent's list must arrive within 6 s, also if
+/// the next calls fall silent at any point. A call that got a response head and nothing more took the time
+/// of a whole silence once more.
 #[test]
-fn whatever_next_calls_bring_a_silent_watch_is_replaced_within_six_seconds() {
+fn a_silent_watch_is_replaced_within_six_seconds_wherever_the_next_calls_stall() {
     story(async {
-        let ways: [fn(&str) -> String; 4] = [
+        let stalled_responses: [fn(&str) -> String; 4] = [
             |_| String::new(),
             |_| HEAD.into(),
             |_| format!("{HEAD}{}", chunk("{\"revision\":43,\"complete\":true,\"mem")),
             |_| format!("{HEAD}{}", chunk("\n")),
         ];
-        let stories = ways.map(|way| async move {
+        let runs = stalled_responses.map(|stalled_response| async move {
             let agent = peer(move |stream, number| async move {
                 let mut s = BufReader::new(stream);
                 message(&mut s).await;
                 match number {
-                    // The first falls silent after a sign of life.
+                    // The first watch falls silent after a keep-alive.
                     0 => say(&mut s, &format!("{HEAD}{}", chunk("\n"))).await,
-                    1 | 2 => say(&mut s, &way("")).await,
+                    1 | 2 => say(&mut s, &stalled_response("")).await,
                     _ => say(&mut s, &format!("{HEAD}{}", listed(43, "up"))).await,
                 }
             })
@@ -120,19 +124,19 @@
             until(|| host.is_ready()).await;
             start.elapsed()
         });
-        let took = futures_util::future::join_all(stories).await;
-        // The last of them says that all is well each time, and falls silent again: two silences.
+        let took = futures_util::future::join_all(runs).await;
+        // The last one sends a keep-alive on each call, and falls silent again, so it takes two silences.
         assert!(took[..3].iter().all(|t| *t < Duration::from_secs(6)), "{took:?}");
     });
 }
 
-/// While discovery moves two watches are open. What the new address lists at first may be older than what the old one
-/// has told since: it undid a drain.
+/// Guards against a drain that is undone: while the discovery address changes, two watches are open, and
+/// the first list from the new address may be older than the last event from the old one.
 #[test]
-fn an_older_list_of_a_new_address_undoes_nothing() {
+fn an_older_list_from_a_new_discovery_address_undoes_nothing() {
     story(async {
-        let (tell, told) = (Rc::new(Notify::new()), Rc::new(Cell::new(0)));
-        let waits = tell.clone();
+        let (send_event, calls_received) = (Rc::new(Notify::new()), Rc::new(Cell::new(0)));
+        let waits = send_event.clone();
         let old = peer(move |stream, _| {
             let waits = waits.clone();
             async move {
@@ -144,13 +148,14 @@
             }
         })
         .await;
-        // The first new address never speaks, the next is behind, and then not.
-        let dumb = peer(|stream, _| async move {
+        // The first new address never sends anything. The second is behind for three calls, and then up to
+        // date.
+        let silent = peer(|stream, _| async move {
             let _ = BufReader::new(stream).read(&mut [0; 4096]).await;
             std::future::pending().await
         })
         .await;
-        let calls = told.clone();
+        let calls = calls_received.clone();
         let new = peer(move |stream, number| {
             let calls = calls.clone();
             async move {
@@ -166,13 +171,13 @@
         let host = host(&operator(&[(nowhere, 0), (nowhere, 1)]).settings);
         let mut watch = EndpointListWatch::start(host.clone(), old, 41, 1);
         until(|| host.with_broker(|b| b.revision()) == 43).await;
-        tell.notify_one();
+        send_event.notify_one();
         until(|| host.with_broker(|b| b.revision()) == 50).await;
-        watch.set_agent(dumb);
+        watch.set_agent(silent);
         watch.set_agent(new);
         until(|| {
-            assert!(host.with_broker(|b| b.revision()) >= 50, "older news counted");
-            told.get() >= 3
+            assert!(host.with_broker(|b| b.revision()) >= 50, "an older revision was accepted");
+            calls_received.get() >= 3
         })
         .await;
         until(|| !host.is_ready()).await;
@@ -180,26 +185,27 @@
     });
 }
 
-/// Where the list has to be asked for, a host that is refused for so long that changes count as told sends nothing new.
+/// Where the list is polled and discovery rejects every call for 6 s, changes count as notified to the
+/// initiator. It must send no new requests until it gets a list.
 #[test]
-fn an_initiator_that_discovery_rejects_for_six_seconds_sends_nothing_new_until_it_lists() {
+fn an_initiator_that_discovery_rejects_for_six_seconds_sends_nothing_new_until_it_gets_the_list() {
     story(async {
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
-        let full = Rc::new(Cell::new(true));
-        let refuses = full.clone();
+        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+        let rejecting = Rc::new(Cell::new(true));
+        let rejects = rejecting.clone();
         let agent = peer(move |stream, _| {
-            let refuses = refuses.clone();
+            let rejects = rejects.clone();
             async move {
                 let mut s = BufReader::new(stream);
                 message(&mut s).await;
-                match refuses.get() {
+                match rejects.get() {
                     true => s.write_all(&answer("503 Service Unavailable", b"", 0)).await.unwrap(),
                     false => say(&mut s, &format!("{HEAD}{}", chunk("\n"))).await,
                 }
             }
         })
         .await;
-        let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
+        let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
         let settings = Settings { endpoint_list_polled: true, ..Settings::clone(&host.settings()) };
         host.feed(Input::Settings(Box::new(settings)));
         let start = Instant::now();
@@ -211,20 +217,20 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         assert!((5.9..7.5).contains(&start.elapsed().as_secs_f64()), "{:?}", start.elapsed());
-        let seen = boxed.seen.borrow().len();
+        let seen = endpoint.seen.borrow().len();
         assert_eq!(client.ask(&request()).await.0, 503);
-        assert_eq!(boxed.seen.borrow().len(), seen);
-        full.set(false);
+        assert_eq!(endpoint.seen.borrow().len(), seen);
+        rejecting.set(false);
         while client.ask(&request()).await.0 != 200 {}
     });
 }
 
-/// The times of connections were those of the first settings for ever.
+/// Guards against timeouts of connections that stay those of the first settings.
 #[test]
 fn newer_settings_apply_to_connections_to_endpoints() {
     story(async {
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
-        let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
+        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+        let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         let mut connections = async |keepalive: Option<Duration>| {
             if let Some(keepalive) = keepalive {
@@ -236,19 +242,19 @@
                 assert_eq!(client.ask(&platform_request("GET", "leitura", 0, 1, b"")).await.0, 200);
                 tokio::time::sleep(Duration::from_millis(150)).await;
             }
-            boxed.seen.borrow().iter().rev().take(2).map(|s| s.0).collect::<Vec<_>>()
+            endpoint.seen.borrow().iter().rev().take(2).map(|s| s.0).collect::<Vec<_>>()
         };
         assert_eq!(connections(None).await, [0, 0]);
-        // Idle for 60 ms at most from now on, and then as long as before.
+        // From now on connections may be idle for 60 ms at most, and after the next change as long as before.
         assert_eq!(connections(Some(Duration::from_millis(100))).await, [2, 1]);
         assert_eq!(connections(Some(Duration::from_secs(5))).await, [3, 3]);
     });
 }
 
-/// One read, as it passes on.
-fn reads(boxes: &Rc<EndpointClients>) -> UpstreamCall {
+/// Returns a read request as it is forwarded.
+fn read_call(endpoint_clients: &Rc<EndpointClients>) -> UpstreamCall {
     UpstreamCall {
-        endpoint_clients: boxes.clone(),
+        endpoint_clients: endpoint_clients.clone(),
         method: actix_http::Method::GET,
         target: "/leitura/1".into(),
         trace_id: "1".into(),
@@ -258,32 +264,37 @@
     }
 }
 
-/// A repeat by key leaves a connection's time of what its box remembers. Where all places were taken it waited for one
-/// before that time began, and could be written late.
+/// Guards against late retries: a retry with an idempotency key is only sent while its endpoint remembers
+/// the key for at least the connect timeout. Waiting for a connection slot did not count towards that
+/// timeout, so the retry could be written too late.
 #[test]
-fn a_place_and_a_connection_together_take_no_longer_than_a_connection_may() {
+fn waiting_for_a_connection_slot_counts_towards_the_connect_timeout() {
     story(async {
-        let boxed = HttpBox::start(|_, _| None).await;
-        let host = host(&operator(&[(boxed.address, 0), (boxed.address, 1)]).settings);
-        let boxes = EndpointClients::new(&host, 1);
-        let attempt = || reads(&boxes).attempt(boxed.address, Duration::from_secs(2), Box::new(|_| {}));
+        let endpoint = HttpBox::start(|_, _| None).await;
+        let host = host(&operator(&[(endpoint.address, 0), (endpoint.address, 1)]).settings);
+        let endpoint_clients = EndpointClients::new(&host, 1);
+        let attempt = || {
+            read_call(&endpoint_clients).attempt(endpoint.address, Duration::from_secs(2), Box::new(|_| {}))
+        };
         let first = actix_rt::spawn(attempt());
-        boxed.came.notified().await;
+        endpoint.came.notified().await;
         let start = Instant::now();
         assert_eq!(attempt().await.transport, TransportOutcome::ConnectTimedOut);
         assert!(start.elapsed() < Duration::from_millis(600), "{:?}", start.elapsed());
         first.abort();
-        // What it held is free, and the box hears only of the one.
-        assert_eq!(boxed.seen.borrow().len(), 1);
+        // The endpoint has received the first request only.
+        assert_eq!(endpoint.seen.borrow().len(), 1);
     });
 }
 
-/// A box's answer in each form, reset after each of its bytes: a reset is no end, and half is never whole.
+/// Guards against truncated responses that pass as complete: a response in each form is reset after each of
+/// its bytes, and a reset never counts as the end of the response.
 #[test]
 fn a_response_that_is_reset_is_never_complete() {
     story(async {
-        let away = "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 4\r\n\r\nfull";
-        // The form, whether its end shows without the connection's, and how a whole one ends.
+        let rejection = "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 4\r\n\r\nfull";
+        // The response, whether its end is known without the end of the connection, and the outcome if
+        // complete.
         let forms = [
             ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", true, TransportOutcome::Complete),
             (
@@ -293,11 +304,11 @@
             ),
             ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello", false, TransportOutcome::Complete),
             ("HTTP/1.1 200 OK\r\n\r\nhello", false, TransportOutcome::Complete),
-            (away, true, TransportOutcome::Rejected),
+            (rejection, true, TransportOutcome::Rejected),
         ];
         let next = Rc::new(Cell::new(("", 0)));
         let says = next.clone();
-        let boxed = peer(move |stream, _| {
+        let endpoint = peer(move |stream, _| {
             let (text, cut) = says.get();
             async move {
                 let mut s = BufReader::new(stream);
@@ -307,14 +318,16 @@
             }
         })
         .await;
-        let host = host(&operator(&[(boxed, 0), (boxed, 1)]).settings);
-        let boxes = EndpointClients::new(&host, 4);
-        for (text, shows, whole) in forms {
+        let host = host(&operator(&[(endpoint, 0), (endpoint, 1)]).settings);
+        let endpoint_clients = EndpointClients::new(&host, 4);
+        for (text, delimited, outcome) in forms {
             for cut in 0..=text.len() {
                 next.set((text, cut));
-                let reply = reads(&boxes).attempt(boxed, Duration::from_secs(2), Box::new(|_| {})).await;
-                if cut == text.len() && shows {
-                    assert_eq!(reply.transport, whole, "{text:?}");
+                let reply = read_call(&endpoint_clients)
+                    .attempt(endpoint, Duration::from_secs(2), Box::new(|_| {}))
+                    .await;
+                if cut == text.len() && delimited {
+                    assert_eq!(reply.transport, outcome, "{text:?}");
                 } else {
                     let ends = [
                         TransportOutcome::TruncatedResponse,
@@ -332,26 +345,27 @@
     });
 }
 
-/// A second answer may come late: behind the next request it would be taken for that one's.
+/// Guards against a response to the wrong request: an endpoint that sends a response twice may send the
+/// second copy late, and after the next request it would be taken for that one's response.
 #[test]
 fn an_endpoint_that_answered_twice_gets_one_request_on_each_connection() {
     story(async {
-        let (strays, stray) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
-        let (went, go) = (strays.clone(), stray.clone());
-        let boxed = peer(move |stream, number| {
-            let (went, go) = (went.clone(), go.clone());
+        let (duplicate_sent, send_duplicate) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
+        let (sent, send) = (duplicate_sent.clone(), send_duplicate.clone());
+        let endpoint = peer(move |stream, number| {
+            let (sent, send) = (sent.clone(), send.clone());
             async move {
                 let mut s = BufReader::new(stream);
                 let mut late: Option<Vec<u8>> = None;
                 while let Some((head, _)) = message(&mut s).await {
                     let own = answer("200 OK", header(&head, "x-trace-id").unwrap().as_bytes(), 0);
-                    // Whatever was answered here before is said once more in front of the next answer.
+                    // The previous response on this connection is sent once more before the next one.
                     s.write_all(&late.take().unwrap_or_default()).await.unwrap();
                     s.write_all(&own).await.unwrap();
                     if number == 0 {
-                        go.notified().await;
+                        send.notified().await;
                         let _ = s.write_all(&own).await;
-                        went.notify_one();
+                        sent.notify_one();
                     } else {
                         late = Some(own);
                     }
@@ -359,7 +373,7 @@
             }
         })
         .await;
-        let (front, _, _) = http_front(&[(boxed, 0)]).await;
+        let (front, _, _) = http_front(&[(endpoint, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         for turn in 0..4 {
             let request = platform_request("PUT", "gravacao", 0, 2, b"w");
@@ -367,10 +381,10 @@
             let (status, _, body) = client.ask(&request).await;
             assert_eq!((status, String::from_utf8(body).unwrap()), (200, id), "request {turn}");
             if turn == 0 {
-                // Past the time for which a connection settles, and before its next use.
+                // After the time for which a connection is checked for stray bytes, and before its next use.
                 tokio::time::sleep(Duration::from_millis(50)).await;
-                stray.notify_one();
-                strays.notified().await;
+                send_duplicate.notify_one();
+                duplicate_sent.notified().await;
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -396,8 +410,9 @@
     }
 }
 
-/// The socket was named by the initiator's name alone: two customers' initiators of one name took over each other's list
-/// and configuration. And whoever connected and said nothing kept the true successor waiting until that gave up.
+/// Guards against two faults. The socket was named by the initiator's name alone, so two customers'
+/// initiators of the same name took over each other's endpoint list and configuration. And a process that
+/// connected and sent nothing kept the true successor waiting until it gave up.
 #[test]
 fn state_is_handed_only_to_a_process_of_the_same_initiator() {
     story(async {
@@ -409,7 +424,8 @@
         link.accept_successors(state);
         let path = me.socket(&folder);
         until(|| path.exists()).await;
-        // Another clients' address is another socket; one whose name looks the same there meets, and is told why not.
+        // Another client address has another socket. A name that maps to the same socket connects, and is
+        // rejected.
         assert!(handover::request_state(&initiator("n.3", "127.0.0.2:5000"), &folder)
             .await
             .unwrap()
@@ -418,9 +434,9 @@
             .await
             .unwrap()
             .is_none());
-        let answer = async |said: &str| {
+        let answer = async |hello: &str| {
             let mut stream = BufReader::new(UnixStream::connect(&path).await.unwrap());
-            stream.write_all(said.as_bytes()).await.unwrap();
+            stream.write_all(hello.as_bytes()).await.unwrap();
             let mut line = String::new();
             tokio::io::AsyncBufReadExt::read_line(&mut stream, &mut line).await.unwrap();
             line
@@ -428,21 +444,21 @@
         assert!(answer("{\"version\":1,\"me\":{\"name\":\"n.3\",\"clients\":\"127.0.0.1:5000\"}}\n")
             .await
             .contains("version"));
-        assert!(answer("shaletack heir 1\n").await.contains("its hello"));
+        assert!(answer("shaletack heir 1\n").await.contains("malformed hello"));
         assert_eq!((host.budget_share(), link.is_connected()), (1.0, false));
-        // Some that say nothing, or half a line, and stay.
+        // Processes that send nothing, or half a line, and stay connected.
         let mut silent = Vec::new();
-        for said in ["", "", "{\"version\":2,"] {
+        for part in ["", "", "{\"version\":2,"] {
             let mut stream = UnixStream::connect(&path).await.unwrap();
-            stream.write_all(said.as_bytes()).await.unwrap();
+            stream.write_all(part.as_bytes()).await.unwrap();
             silent.push(stream);
         }
         let start = Instant::now();
-        let given = handover::request_state(&me, &folder).await.unwrap().expect("the state");
-        let (given, stream) = (given.state, given.stream);
+        let received = handover::request_state(&me, &folder).await.unwrap().expect("the state");
+        let (state, stream) = (received.state, received.stream);
         assert!(start.elapsed() < Duration::from_millis(250), "{:?}", start.elapsed());
-        assert_eq!((given.request_ids.len(), host.budget_share()), (1, 0.5));
-        // A third one waits while two share, and gets its state once the second has ended.
+        assert_eq!((state.request_ids.len(), host.budget_share()), (1, 0.5));
+        // A third process waits while two share the budgets, and gets the state once the second has ended.
         let third = async { handover::request_state(&me, &folder).await.unwrap().is_some() };
         let ends = async {
             tokio::time::sleep(Duration::from_millis(300)).await;
@@ -451,30 +467,34 @@
         assert!(futures_util::future::join(third, ends).await.0);
         until(|| host.budget_share() == 1.0).await;
         let _second = handover::request_state(&me, &folder).await.unwrap().expect("the state");
-        let refused =
-            handover::request_state(&me, &folder).await.expect_err("a third one may not start").to_string();
-        assert!(refused.contains("end the older one"), "{refused}");
+        let error = handover::request_state(&me, &folder)
+            .await
+            .expect_err("a third process may not start")
+            .to_string();
+        assert!(error.contains("end the older one"), "{error}");
     });
 }
 
-/// A predecessor that dies in the middle of handing over its state, or right behind it, before it said how the budgets are shared.
+/// Guards against budgets that stay halved: a predecessor dies in the middle of sending its state, or right
+/// after it, before it said how the budgets are shared.
 #[test]
 fn a_predecessor_that_dies_leaves_its_successor_every_budget() {
     story(async {
         let (folder, me) = (folder("dies"), initiator("n3", "127.0.0.1:5000"));
-        let whole = format!("{{\"Will\":{}}}\n", serde_json::to_string(&state()).unwrap());
-        for (said, given) in [(&whole[..whole.len() / 2], false), (&whole[..], true)] {
+        let complete = format!("{{\"Will\":{}}}\n", serde_json::to_string(&state()).unwrap());
+        for (reply, is_received) in [(&complete[..complete.len() / 2], false), (&complete[..], true)] {
             let _ = std::fs::remove_file(me.socket(&folder));
             let listener = UnixListener::bind(me.socket(&folder)).unwrap();
             let dies = async {
                 let (mut stream, _) = listener.accept().await.unwrap();
                 let _ = stream.read(&mut [0; 4096]).await.unwrap();
-                stream.write_all(said.as_bytes()).await.unwrap();
+                stream.write_all(reply.as_bytes()).await.unwrap();
             };
-            let (asked, ()) = futures_util::future::join(handover::request_state(&me, &folder), dies).await;
-            let asked = asked.unwrap();
-            assert_eq!(asked.is_some(), given);
-            let Some(handover::ReceivedHandover { state, stream, .. }) = asked else { continue };
+            let (received, ()) =
+                futures_util::future::join(handover::request_state(&me, &folder), dies).await;
+            let received = received.unwrap();
+            assert_eq!(received.is_some(), is_received);
+            let Some(handover::ReceivedHandover { state, stream, .. }) = received else { continue };
             let host = host(
                 &operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)])
                     .settings,
@@ -490,8 +510,8 @@
     });
 }
 
-/// What operators ask while the state is on its way stands in it or goes behind it: a successor that did not hear of a box's
-/// being taken out would send to it.
+/// Guards against requests to a suspended endpoint: an operator's command during the transfer of the state
+/// is either part of the state or sent after it, so that the successor does not miss it.
 #[test]
 fn an_operators_command_during_the_hand_over_reaches_the_successor() {
     story(async {
@@ -499,37 +519,42 @@
         let nowhere = "127.0.0.1:9".parse().unwrap();
         let host = host(&operator(&[(nowhere, 0), (nowhere, 1)]).settings);
         let link = HandoverLink::new(host.clone(), me.clone(), &folder);
-        // More than a socket holds: its reader has to come for it.
-        let traces: Vec<_> = (0..60_000).map(|n| (Duration::from_secs(1), format!("{n:016x}"))).collect();
-        link.accept_successors(move || HandoverState { request_ids: traces.clone(), ..state() });
+        // More than the socket buffers hold, so that the state stays in transit until it is read.
+        let request_ids: Vec<_> =
+            (0..60_000).map(|n| (Duration::from_secs(1), format!("{n:016x}"))).collect();
+        link.accept_successors(move || HandoverState { request_ids: request_ids.clone(), ..state() });
         let path = me.socket(&folder);
         until(|| path.exists()).await;
         let mut stream = BufReader::new(UnixStream::connect(&path).await.unwrap());
         let hello = "{\"version\":2,\"me\":{\"name\":\"n3\",\"clients\":\"127.0.0.1:5000\"}}\n";
         stream.write_all(hello.as_bytes()).await.unwrap();
         until(|| host.budget_share() < 1.0).await;
-        // The state is made, and not read.
+        // The state has been made, and the successor has not read it.
         assert!(
             !link.forward_command(OperatorCommand::Suspend("s-00000001".into())).await,
-            "nobody has carried it out yet"
+            "the successor has not carried it out yet"
         );
         let mut line = String::new();
         tokio::io::AsyncBufReadExt::read_line(&mut stream, &mut line).await.unwrap();
         assert!(line.starts_with("{\"Will\""));
         line.clear();
         let next = tokio::io::AsyncBufReadExt::read_line(&mut stream, &mut line);
-        tokio::time::timeout(Duration::from_secs(1), next).await.expect("the word follows").unwrap();
+        tokio::time::timeout(Duration::from_secs(1), next)
+            .await
+            .expect("the command follows the state")
+            .unwrap();
         assert!(line.contains("Suspend") && line.contains("s-00000001"), "{line}");
     });
 }
 
-/// The same where the call that is out as the 6 s end gets no answer: they are over all the same.
+/// An initiator that discovery rejects must stop sending new requests after 6 s, also if the call in flight
+/// at that time gets no response.
 #[test]
-fn a_call_in_flight_keeps_no_rejected_initiator_sending() {
+fn a_rejected_initiator_stops_after_six_seconds_even_with_a_call_in_flight() {
     story(async {
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
-        let refused: Rc<Cell<Option<Instant>>> = Rc::default();
-        let first = refused.clone();
+        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+        let first_rejection: Rc<Cell<Option<Instant>>> = Rc::default();
+        let first = first_rejection.clone();
         let agent = peer(move |stream, _| {
             let first = first.clone();
             async move {
@@ -545,49 +570,51 @@
             }
         })
         .await;
-        let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
+        let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
         let settings = Settings { endpoint_list_polled: true, ..Settings::clone(&host.settings()) };
         host.feed(Input::Settings(Box::new(settings)));
         let _watch = EndpointListWatch::start(host.clone(), agent, 1, 1);
         let mut client = HttpClient::connect(front).await;
         let request = || platform_request("GET", "leitura", 0, 1, b"");
-        let mut served = Instant::now();
+        let mut last_served = Instant::now();
         while client.ask(&request()).await.0 == 200 {
-            served = Instant::now();
+            last_served = Instant::now();
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        let last = served - refused.get().expect("a refusal");
-        assert!((5.9..6.1).contains(&last.as_secs_f64()), "{last:?}");
+        let sent_for = last_served - first_rejection.get().expect("a rejection");
+        assert!((5.9..6.1).contains(&sent_for.as_secs_f64()), "{sent_for:?}");
     });
 }
 
-/// A whole call that waits for the other of two versions is not the one that gives way to callers who say nothing.
+/// Guards against lost calls: at the limit of calls, a complete call that waits for the other process is
+/// not closed in favour of callers that send nothing.
 #[test]
 fn a_complete_call_is_not_closed_for_silent_callers() {
     story(async {
         let (folder, me) = (folder("calls"), initiator("n3", "127.0.0.1:5000"));
-        let boxes = operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)]);
-        let host = host(&boxes.settings);
-        host.feed(Input::EndpointList(boxes.endpoints.clone()));
+        let configuration =
+            operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)]);
+        let host = host(&configuration.settings);
+        host.feed(Input::EndpointList(configuration.endpoints.clone()));
         let link = HandoverLink::new(host.clone(), me.clone(), &folder);
         link.accept_successors(state);
         until(|| me.socket(&folder).exists()).await;
-        // A successor that says nothing more: a call waits for it.
+        // The successor sends nothing more, so a command waits for its result.
         let _successor = handover::request_state(&me, &folder).await.unwrap().expect("the state");
         until(|| link.is_connected()).await;
-        let (listener, place) = loopback().await;
+        let (listener, address) = loopback().await;
         let ready = Rc::new(Cell::new(true));
         actix_rt::spawn(shaletack::net::management::serve(host.clone(), link, listener, ready));
-        let id = boxes.endpoints.entries[0].id.clone();
-        let mut whole = BufReader::new(TcpStream::connect(place).await.unwrap());
+        let id = configuration.endpoints.entries[0].id.clone();
+        let mut complete = BufReader::new(TcpStream::connect(address).await.unwrap());
         let call = format!("POST /v1/targets/{id}/suspend HTTP/1.1\r\nHost: a\r\n\r\n");
-        whole.write_all(call.as_bytes()).await.unwrap();
+        complete.write_all(call.as_bytes()).await.unwrap();
         until(|| !host.with_broker(|broker| broker.suspended_endpoints()).is_empty()).await;
         let mut silent = Vec::new();
         for _ in 0..3 * shaletack::net::management::MAX_CALLS {
-            silent.push(TcpStream::connect(place).await.unwrap());
+            silent.push(TcpStream::connect(address).await.unwrap());
         }
-        let (head, _) = message(&mut whole).await.expect("an answer");
+        let (head, _) = message(&mut complete).await.expect("an answer");
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     });
 }
