--- a/src/app/serve_platform.rs
+++ b/src/app/serve_platform.rs
@@ -82,7 +82,7 @@
         (None, Some(config)) => Some(config.listen).filter(|address| address.port() > 0),
         (None, None) => std::env::var("ROUTER_LISTEN").ok().and_then(|address| address.parse().ok()),
     };
-    Some(Identity { name, clients: clients? })
+    Some(Identity { name, listen_address: clients? })
 }
 
 /// The predecessor rejected such a configuration too, and serves by the one before: so does this process.
@@ -119,7 +119,8 @@
         report_start(&config);
         host.feed(Input::EndpointList(config.known.clone()));
         let followable = identity.is_some();
-        let identity = identity.unwrap_or(Identity { name: config.name.clone(), clients: config.listen });
+        let identity =
+            identity.unwrap_or(Identity { name: config.name.clone(), listen_address: config.listen });
         let link = HandoverLink::new(host.clone(), identity, &std::env::temp_dir());
         let request_ids = Rc::new(RefCell::new(RequestIds::default()));
         if let Some(given) = predecessor {
--- a/src/net/handover/message.rs
+++ b/src/net/handover/message.rs
@@ -20,14 +20,15 @@
     /// The initiator's name.
     pub name: String,
     /// The address at which clients connect.
-    pub clients: SocketAddr,
+    #[serde(rename = "clients")]
+    pub listen_address: SocketAddr,
 }
 
 impl Identity {
     /// Returns the path of the Unix socket in `folder` at which successors of this initiator connect.
     pub fn socket(&self, folder: &Path) -> PathBuf {
         let name = file_name_part(&self.name);
-        let clients = file_name_part(&self.clients.to_string());
+        let clients = file_name_part(&self.listen_address.to_string());
         folder.join(format!("shaletack-{name}-{clients}.sock"))
     }
 }
--- a/src/net/handover/predecessor.rs
+++ b/src/net/handover/predecessor.rs
@@ -33,12 +33,12 @@
     OtherVersion(u32),
     #[error("the process runs as user {peer}, this one runs as user {own}")]
     OtherUser { peer: u32, own: u32 },
-    #[error("the process is {peer_name} at {peer_clients}, this one is {own_name} at {own_clients}")]
+    #[error("the process is {peer_name} at {peer_address}, this one is {own_name} at {own_address}")]
     OtherIdentity {
         peer_name: String,
-        peer_clients: std::net::SocketAddr,
+        peer_address: std::net::SocketAddr,
         own_name: String,
-        own_clients: std::net::SocketAddr,
+        own_address: std::net::SocketAddr,
     },
 }
 
@@ -134,9 +134,9 @@
         if *own != peer {
             return Err(NotASuccessor::OtherIdentity {
                 peer_name: peer.name,
-                peer_clients: peer.clients,
+                peer_address: peer.listen_address,
                 own_name: own.name.clone(),
-                own_clients: own.clients,
+                own_address: own.listen_address,
             });
         }
         Ok(())
--- a/src/net/handover/successor.rs
+++ b/src/net/handover/successor.rs
@@ -21,13 +21,13 @@
 pub enum HandoverError {
     /// Two processes serve already. A third one would spend every budget once more.
     #[error(
-        "two versions of {name} serve at {clients} already: end the older one (SIGTERM), then start this one again"
+        "two versions of {name} serve at {listen_address} already: end the older one (SIGTERM), then start this one again"
     )]
     TooManyVersions {
         /// The initiator's name.
         name: String,
         /// The address at which clients connect.
-        clients: SocketAddr,
+        listen_address: SocketAddr,
     },
 }
 
@@ -76,8 +76,8 @@
                 tokio::time::sleep(THIRD_VERSION_INTERVAL).await;
             }
             Ok(Some((Reply::Busy, _))) => {
-                let Identity { name, clients } = identity.clone();
-                return Err(HandoverError::TooManyVersions { name, clients });
+                let Identity { name, listen_address } = identity.clone();
+                return Err(HandoverError::TooManyVersions { name, listen_address });
             }
             Err(_) => {
                 warn!("the predecessor did not answer in time; starting without its state");
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -310,7 +310,7 @@
         std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("over-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     // What a predecessor that was killed leaves is no predecessor.
-    let me = shaletack::net::handover::Identity { name: "n3".into(), clients: place };
+    let me = shaletack::net::handover::Identity { name: "n3".into(), listen_address: place };
     drop(std::os::unix::net::UnixListener::bind(me.socket(&folder)).unwrap());
     let good = file("over.json", &config("127.0.0.1:1", "1"));
     let call = |at: &str, call: &str| exchange(&mut TcpStream::connect(at).unwrap(), call).0;
--- a/tests/front_and_management.rs
+++ b/tests/front_and_management.rs
@@ -15,7 +15,7 @@
 /// Serves the management address of a host, and returns the address.
 async fn serve_management(host: &shaletack::runtime::host::Host) -> SocketAddr {
     let (listener, address) = loopback().await;
-    let me = Identity { name: "nobody".into(), clients: "127.0.0.1:1".parse().unwrap() };
+    let me = Identity { name: "nobody".into(), listen_address: "127.0.0.1:1".parse().unwrap() };
     let link = HandoverLink::new(host.clone(), me, &std::env::temp_dir());
     actix_rt::spawn(management::serve(host.clone(), link, listener, Rc::new(Cell::new(true))));
     address
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -398,8 +398,8 @@
     path
 }
 
-fn initiator(name: &str, clients: &str) -> Identity {
-    Identity { name: name.into(), clients: clients.parse().unwrap() }
+fn initiator(name: &str, listen_address: &str) -> Identity {
+    Identity { name: name.into(), listen_address: listen_address.parse().unwrap() }
 }
 
 fn state() -> HandoverState {
