--- a/src/app/command_line.rs
+++ b/src/app/command_line.rs
@@ -1,111 +1,116 @@
-//! The command line: sub-commands, their options, and the usage text.
+//! Parses the command line into a [`Command`] and the log options, and holds the usage text.
 
 use lexopt::prelude::*;
 use shaletack::runtime::log::Form;
 use shaletack_writeback::OperatorDecision;
 use tracing::level_filters::LevelFilter;
 
-/// What `shaletack --help` prints.
+/// The text that `shaletack --help` prints.
 pub const USAGE: &str = "\
-usage: shaletack [serve] [--config FILE]    serve the platform until SIGTERM (the default)
-       shaletack serve --operator FILE      serve NBD as the operator's file says
-       shaletack check-config [FILE]        read a configuration and say what is wrong with it
+usage: shaletack [serve] [--config FILE]    serve HTTP with the platform's configuration (default)
+       shaletack serve --operator FILE      serve NBD with the operator's file
+       shaletack check-config [FILE]        check the platform's configuration and print any error
        shaletack check-config --operator FILE
+                                            check an operator's file and print all errors
        shaletack writeback list --operator FILE
+                                            list the writes that a stopped process left unsettled
        shaletack writeback settle ID resend|drop --operator FILE
-                                            what a stopped process left unsettled, and to settle it
-       shaletack peers --operator FILE      what the running process of that file sees of its peers, as JSON
+                                            settle one of those writes
+       shaletack peers --operator FILE      print the peer status of the running process as JSON
        shaletack schema                     print the JSON Schema of the operator's file
        shaletack version                    print the version
-       --log-form text|json                 the form of the log on standard error (text)
-       --log-level error|warn|info|debug    the least level that is written (info)
-The configuration's file is FILE, or else $ROUTER_CONFIG.";
+       --log-form text|json                 log format on standard error (default: text)
+       --log-level error|warn|info|debug    minimum level of logged events (default: info)
+SIGTERM stops a serving process, SIGHUP reloads its file.
+The platform's configuration is read from FILE, or else from $ROUTER_CONFIG.";
 
-/// Which front, and the file that sets it up.
+/// The configuration file, which also selects the front to serve.
 pub enum Source {
-    /// The platform's configuration; without a path, that of `ROUTER_CONFIG`.
+    /// The platform's configuration, for the HTTP front; without a path, the file in `ROUTER_CONFIG`.
     Platform(Option<String>),
-    /// The operator's file, which sets up NBD.
+    /// The operator's file, for the NBD front.
     Operator(String),
 }
 
-/// A write that an operator settles while the program is stopped.
+/// An operator's decision on an unsettled write, made while the program is stopped.
 pub struct Settlement {
-    /// The write's number, as `writeback list` shows it.
+    /// The id of the write, as `writeback list` prints it.
     pub id: u64,
-    /// What becomes of it.
+    /// Whether the write is sent again or dropped.
     pub decision: OperatorDecision,
 }
 
-/// A sub-command.
+/// A sub-command with its arguments.
 pub enum Command {
-    /// Serve until SIGTERM.
+    /// Serves until SIGTERM.
     Serve(Source),
-    /// Read a configuration and say what is wrong with it.
+    /// Checks a configuration file and reports its errors.
     CheckConfig(Source),
-    /// Show the unsettled writes of that operator's file.
+    /// Lists the unsettled writes of the write-back log that this operator's file configures.
     ListWrites(String),
-    /// Settle a write of that operator's file.
+    /// Settles one of those writes.
     SettleWrite(String, Settlement),
-    /// Show what the running process of that operator's file sees of its peers.
+    /// Prints the peer status of the process that runs with this operator's file.
     Peers(String),
-    /// Print the JSON Schema of the operator's file.
+    /// Prints the JSON Schema of the operator's file.
     Schema,
-    /// Print the version.
+    /// Prints the version.
     Version,
-    /// Print the usage.
+    /// Prints the usage text.
     Help,
 }
 
-/// How the log is written.
+/// The format and the level of the log.
 pub struct LogOptions {
     /// Text or JSON.
     pub form: Form,
-    /// The least level that is written.
+    /// The minimum level of logged events.
     pub level: LevelFilter,
 }
 
-/// The words and options of a command line, before they are put together.
+/// The positional arguments and options of a command line, before they are checked against the sub-command.
 #[derive(Default)]
-struct Words {
+struct Arguments {
     command: Option<String>,
     config: Option<String>,
     operator: Option<String>,
+    /// The positional arguments after `writeback`.
     write_back: Vec<String>,
 }
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
-/// It names no known sub-command or option, or lacks one that its sub-command needs.
+/// The sub-command or an option is unknown, an option has an invalid value, or one that the sub-command
+/// requires is missing.
 pub fn parse(mut args: lexopt::Parser) -> Result<(Command, LogOptions), lexopt::Error> {
     let mut log = LogOptions { form: Form::Text, level: LevelFilter::INFO };
-    let mut words = Words::default();
+    let mut arguments = Arguments::default();
     while let Some(arg) = args.next()? {
         match arg {
-            Long("config") => words.config = Some(args.value()?.string()?),
-            Long("operator") => words.operator = Some(args.value()?.string()?),
+            Long("config") => arguments.config = Some(args.value()?.string()?),
+            Long("operator") => arguments.operator = Some(args.value()?.string()?),
             Long("log-form") => log.form = args.value()?.parse()?,
             Long("log-level") => log.level = args.value()?.parse()?,
             Long("help") | Short('h') => return Ok((Command::Help, log)),
             Long("version") | Short('V') => return Ok((Command::Version, log)),
-            Value(word) if words.command.is_none() => words.command = Some(word.string()?),
-            Value(word) if words.command.as_deref() == Some("check-config") => {
-                words.config = Some(word.string()?);
+            Value(value) if arguments.command.is_none() => arguments.command = Some(value.string()?),
+            Value(value) if arguments.command.as_deref() == Some("check-config") => {
+                arguments.config = Some(value.string()?);
             }
-            Value(word) if words.command.as_deref() == Some("writeback") => {
-                words.write_back.push(word.string()?);
+            Value(value) if arguments.command.as_deref() == Some("writeback") => {
+                arguments.write_back.push(value.string()?);
             }
             other => return Err(other.unexpected()),
         }
     }
-    Ok((words.into_command()?, log))
+    Ok((arguments.into_command()?, log))
 }
 
-impl Words {
+impl Arguments {
     fn into_command(self) -> Result<Command, lexopt::Error> {
         if self.command.as_deref() == Some("writeback") {
-            return self.into_write_back();
+            return self.into_write_back_command();
         }
         let source = self.operator.map_or(Source::Platform(self.config), Source::Operator);
         let command = match self.command.as_deref() {
@@ -113,26 +118,28 @@
             Some("check-config") => Command::CheckConfig(source),
             Some("peers") => match source {
                 Source::Operator(file) => Command::Peers(file),
-                Source::Platform(_) => return Err("peers: --operator FILE is needed".into()),
+                Source::Platform(_) => return Err("peers: missing option --operator FILE".into()),
             },
             Some("schema") => Command::Schema,
             Some("version") => Command::Version,
             Some("help") => Command::Help,
-            Some(other) => return Err(format!("'{other}' is not a sub-command").into()),
+            Some(other) => return Err(format!("unknown sub-command '{other}'").into()),
         };
         Ok(command)
     }
 
-    fn into_write_back(self) -> Result<Command, lexopt::Error> {
-        let file = self.operator.ok_or("writeback: --operator FILE is needed")?;
-        let words: Vec<&str> = self.write_back.iter().map(String::as_str).collect();
-        let (id, decision) = match words[..] {
+    fn into_write_back_command(self) -> Result<Command, lexopt::Error> {
+        let file = self.operator.ok_or("writeback: missing option --operator FILE")?;
+        let arguments: Vec<&str> = self.write_back.iter().map(String::as_str).collect();
+        let (id, decision) = match arguments[..] {
             ["list"] => return Ok(Command::ListWrites(file)),
             ["settle", id, "resend"] => (id, OperatorDecision::Resend),
             ["settle", id, "drop"] => (id, OperatorDecision::Drop),
-            _ => return Err("writeback: 'list', or 'settle' with a number and 'resend' or 'drop'".into()),
+            _ => return Err("writeback: expected 'list', 'settle ID resend' or 'settle ID drop'".into()),
         };
-        let id = id.parse().map_err(|_| format!("writeback: '{id}' is not a number"))?;
+        let id = id
+            .parse()
+            .map_err(|_| format!("writeback: '{id}' is not a write id, which is a whole number"))?;
         Ok(Command::SettleWrite(file, Settlement { id, decision }))
     }
 }
--- a/src/app/commands.rs
+++ b/src/app/commands.rs
@@ -1,5 +1,5 @@
-//! The sub-commands that serve no clients: checking a configuration, showing and settling buffered writes, showing
-//! peers, the schema, the version and the usage.
+//! The sub-commands that serve no clients: they check a configuration, list and settle buffered writes, and
+//! print the peer status, the schema and the version.
 
 use super::command_line::{Settlement, Source};
 use super::configuration::{load, load_operator};
@@ -9,31 +9,34 @@
 use shaletack::writeback::offline;
 use std::io::{ErrorKind, Write};
 
-/// Reads a configuration and says that it can be used.
+/// Checks a configuration file and prints a summary if it is valid.
 ///
 /// # Errors
-/// It can't be.
+/// The file can't be read or is invalid.
 pub fn check_config(source: Source) -> Result<(), Error> {
     match source {
         Source::Platform(file) => {
             let config = load(file)?.config;
-            let (boxes, plans) = (config.known.entries.len(), config.settings.plans.len());
-            println!("configuration of {} is sound: {boxes} boxes known, {plans} plans", config.name);
+            let (endpoints, plans) = (config.cached_endpoints.entries.len(), config.settings.plans.len());
+            println!(
+                "configuration of {} is valid: {endpoints} cached endpoints, {plans} plans",
+                config.name
+            );
         }
         Source::Operator(file) => {
             let operator = load_operator(&file)?;
             let (exports, plans) = (operator.exports.len(), operator.settings.plans.len());
-            let boxes = operator.endpoints.entries.len();
-            println!("{file} is sound: {exports} exports, {plans} contracts, {boxes} boxes");
+            let endpoints = operator.endpoints.entries.len();
+            println!("{file} is valid: {exports} exports, {plans} contracts, {endpoints} endpoints");
         }
     }
     Ok(())
 }
 
-/// Prints the writes that a stopped process left unsettled, one a line.
+/// Prints the writes that a stopped process left unsettled, one per line.
 ///
 /// # Errors
-/// The file or its log can't be read.
+/// The operator's file or its write-back log can't be read.
 pub fn list_writes(file: &str) -> Result<(), Error> {
     let operator = load_operator(file)?;
     for write in offline::list(&operator)? {
@@ -51,40 +54,42 @@
     Ok(())
 }
 
+/// Returns the name of the export of a volume, or `?` if the file has none.
 fn export_name(operator: &Operator, volume: u64) -> &str {
     let export = operator.exports.iter().find(|export| export.volume == volume);
     export.map_or("?", |export| export.name.as_str())
 }
 
-/// Settles a write that a stopped process left.
+/// Settles a write that a stopped process left unsettled.
 ///
 /// # Errors
-/// The file or its log can't be read or written, or there is no such write to settle.
+/// The operator's file can't be read, its write-back log can't be read or written, or the write is unknown or
+/// needs no decision.
 pub fn settle_write(file: &str, settlement: Settlement) -> Result<(), Error> {
     let operator = load_operator(file)?;
     offline::settle(&operator, settlement.id, settlement.decision)?;
     Ok(())
 }
 
-/// Prints what the running process of that file sees of its peers, as JSON.
+/// Prints as JSON what the process that runs with this file knows of its peers.
 ///
 /// # Errors
-/// The file sets up no peers, or the process does not answer.
+/// The file can't be read or does not configure peers, or the process does not answer.
 pub fn show_peers(file: String) -> Result<(), Error> {
     let Some(peers) = load_operator(&file)?.peers else { return Err(Error::NoPeers { file }) };
     let address = peers.listen;
     let status = actix_rt::System::new().block_on(peers::status(address));
-    println!("{}", status.map_err(|why| Error::PeerStatus { address, source: why.into() })?);
+    println!("{}", status.map_err(|error| Error::PeerStatus { address, source: error.into() })?);
     Ok(())
 }
 
 /// Prints the JSON Schema of the operator's file.
 ///
 /// # Errors
-/// Standard output can't be written; that its reader stops early is none.
+/// Writing to standard output fails, except with a broken pipe: a reader may stop early.
 pub fn print_schema() -> Result<(), Error> {
     match writeln!(std::io::stdout(), "{:#}", operator::schema()) {
-        Err(why) if why.kind() != ErrorKind::BrokenPipe => Err(Error::Output(why)),
+        Err(error) if error.kind() != ErrorKind::BrokenPipe => Err(Error::Output(error)),
         _ => Ok(()),
     }
 }
--- a/src/app/configuration.rs
+++ b/src/app/configuration.rs
@@ -1,8 +1,8 @@
-//! Reading the platform's configuration and the operator's file: at the start, and again at each SIGHUP.
+//! Reads the platform's configuration and the operator's file at startup, and again at each SIGHUP.
 //!
-//! A file that can't be opened for a moment, because the system has no descriptor or its disk fails, is read again for a
-//! while: a start or a reload must not fail for that. A file whose text is wrong is reported, and what was read before
-//! stays in force.
+//! A transient failure, such as a lack of file descriptors or a disk error, must not fail a startup or a
+//! reload, so the file is read again for a while. A file that is invalid is reported at once; after a failed
+//! reload the previous configuration stays in force.
 
 use super::error::Error;
 use shaletack::config::{self, Config};
@@ -12,18 +12,20 @@
 use tokio::signal::unix::Signal;
 use tracing::warn;
 
-/// A file that can't be read just now is read again after this time,
-const READ_INTERVAL: Duration = Duration::from_millis(20);
-/// and no longer than this in all: discovery's move counts 4 s after SIGHUP.
+/// The time between attempts to read a file after a transient failure.
+const READ_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// The time after which reading a file is given up. A reload may change the address of discovery, and that
+/// change counts 4 s after SIGHUP.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a configuration can't be used.
+/// The error of a configuration file that can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// It can't be read just now: the system has no descriptor for it, or the disk fails.
+    /// Reading the file failed for a reason that may pass: the system is short of file descriptors, or the
+    /// disk fails.
     #[error("{0}")]
     Transient(String),
-    /// It is not there, or what it says is wrong; each line is a fault.
+    /// The file can't be opened or is invalid; the text has one line for each error.
     #[error("{0}")]
     Invalid(String),
 }
@@ -34,105 +36,109 @@
     }
 }
 
-/// The platform's configuration, and the path that it was read from.
+/// The platform's configuration and the path of its file.
 pub struct LoadedConfig {
     /// The configuration.
     pub config: Config,
-    /// Its file.
+    /// The path of the file.
     pub file: String,
 }
 
-/// Reads the platform's configuration at the start: the file named, or else that of `ROUTER_CONFIG`.
+/// Reads the platform's configuration at startup, from `file` or else from the file in `ROUTER_CONFIG`.
+/// Blocks while it retries after transient failures.
 ///
 /// # Errors
-/// No file is named, or it can't be read or used.
+/// No file is given, or the file can't be read or is invalid.
 pub fn load(file: Option<String>) -> Result<LoadedConfig, Error> {
     let file = file.or_else(default_file).ok_or(Error::NoConfiguration)?;
-    let config = read_at_start(|| read_config(&file, |name| std::env::var(name).ok()))?;
+    let config = read_with_retries(|| read_config(&file, |name| std::env::var(name).ok()))?;
     Ok(LoadedConfig { config, file })
 }
 
-/// The file that the environment names.
+/// Returns the path in `ROUTER_CONFIG`, if it is set.
 pub fn default_file() -> Option<String> {
     std::env::var("ROUTER_CONFIG").ok()
 }
 
-/// Reads the operator's file at the start.
+/// Reads the operator's file at startup. Blocks while it retries after transient failures.
 ///
 /// # Errors
-/// It can't be read or used.
+/// The file can't be read or is invalid.
 pub fn load_operator(file: &str) -> Result<Operator, Error> {
-    Ok(read_at_start(|| read_operator(file))?)
+    Ok(read_with_retries(|| read_operator(file))?)
 }
 
-/// Reads the platform's configuration once; what `env` knows goes before the file.
+/// Reads the platform's configuration, with a single attempt. Variables that `env` returns take precedence
+/// over the file.
 ///
 /// # Errors
-/// It can't be read or used.
+/// The file can't be read or is invalid.
 pub fn read_config(file: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, ReadError> {
     let mut text = read_file(file)?;
-    config::read(&mut text, env).map_err(|fault| ReadError::Invalid(format!("{file}: {fault}")))
+    config::read(&mut text, env).map_err(|error| ReadError::Invalid(format!("{file}: {error}")))
 }
 
-/// Reads the operator's file once.
+/// Reads the operator's file, with a single attempt.
 ///
 /// # Errors
-/// It can't be read or used.
+/// The file can't be read or is invalid.
 pub fn read_operator(file: &str) -> Result<Operator, ReadError> {
     let mut text = read_file(file)?;
-    operator::read(&mut text).map_err(|faults| {
-        let lines: Vec<String> = faults.lines().iter().map(|fault| format!("{file}: {fault}")).collect();
+    operator::read(&mut text).map_err(|errors| {
+        let lines: Vec<String> = errors.lines().iter().map(|line| format!("{file}: {line}")).collect();
         ReadError::Invalid(lines.join("\n"))
     })
 }
 
 fn read_file(file: &str) -> Result<Vec<u8>, ReadError> {
     std::fs::read(file).map_err(|error| {
-        let why = format!("{file}: {error}");
+        let message = format!("{file}: {error}");
         if sockets::is_transient(&error) {
-            ReadError::Transient(why)
+            ReadError::Transient(message)
         } else {
-            ReadError::Invalid(why)
+            ReadError::Invalid(message)
         }
     })
 }
 
-/// Reads until that succeeds, fails for good, or takes too long; blocks meanwhile.
-fn read_at_start<T>(read: impl Fn() -> Result<T, ReadError>) -> Result<T, ReadError> {
-    let until = Instant::now() + READ_TIMEOUT;
+/// Calls `read` until it succeeds, fails for good, or [`READ_TIMEOUT`] is over. Blocks the thread.
+fn read_with_retries<T>(read: impl Fn() -> Result<T, ReadError>) -> Result<T, ReadError> {
+    let deadline = Instant::now() + READ_TIMEOUT;
     loop {
         match read() {
-            Err(ReadError::Transient(_)) if Instant::now() < until => std::thread::sleep(READ_INTERVAL),
-            done => return done,
+            Err(ReadError::Transient(_)) if Instant::now() < deadline => {
+                std::thread::sleep(READ_RETRY_INTERVAL)
+            }
+            result => return result,
         }
     }
 }
 
-/// The same, while clients are served.
-async fn read_while_serving<T>(read: impl Fn() -> Result<T, ReadError>) -> Result<T, ReadError> {
-    let until = Instant::now() + READ_TIMEOUT;
+/// Like [`read_with_retries`], without blocking the thread that serves clients.
+async fn read_with_retries_async<T>(read: impl Fn() -> Result<T, ReadError>) -> Result<T, ReadError> {
+    let deadline = Instant::now() + READ_TIMEOUT;
     loop {
         match read() {
-            Err(ReadError::Transient(_)) if Instant::now() < until => {
-                tokio::time::sleep(READ_INTERVAL).await;
+            Err(ReadError::Transient(_)) if Instant::now() < deadline => {
+                tokio::time::sleep(READ_RETRY_INTERVAL).await;
             }
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// Reads a file again at each SIGHUP and passes it to `apply`. One that can't be used is a line in the log; what was
-/// read before stays in force.
-pub async fn reload_at_each<T>(
+/// Reads a file again at each SIGHUP and passes the result to `apply`. An error is logged, and the
+/// configuration in force stays.
+pub async fn reload_on_hangup<T>(
     mut hangup: Signal,
     read: impl Fn() -> Result<T, ReadError>,
     mut apply: impl FnMut(T),
 ) {
     while hangup.recv().await.is_some() {
-        match read_while_serving(&read).await {
+        match read_with_retries_async(&read).await {
             Ok(new) => apply(new),
-            Err(faults) => {
-                warn!(why = faults.to_string().replace('\n', "; "), "the new configuration is not used");
+            Err(error) => {
+                warn!(why = error.to_string().replace('\n', "; "), "the new configuration is not used");
             }
         }
     }
--- a/src/app/error.rs
+++ b/src/app/error.rs
@@ -1,4 +1,4 @@
-//! Why a command ended without success. What an operator reads is the text of these errors, a line for each fault.
+//! The errors that end a command. Their texts are printed for the operator, one line for each error found.
 
 use shaletack::net::handover::HandoverError;
 use shaletack::writeback::offline::OfflineError;
@@ -6,78 +6,78 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a command failed.
+/// The error of a failed command.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[error("{0}; see shaletack --help")]
     CommandLine(#[from] lexopt::Error),
-    /// No file was named.
-    #[error("no configuration: name a file, or set ROUTER_CONFIG")]
+    /// No configuration file was given.
+    #[error("no configuration file: pass --config FILE or set ROUTER_CONFIG")]
     NoConfiguration,
-    /// A configuration can't be read or used; several faults are several lines.
+    /// A configuration file can't be read or is invalid; the text has one line for each error.
     #[error("{0}")]
     Configuration(String),
-    /// `ROUTER_FD` names no socket that can be used.
-    #[error("ROUTER_FD: '{descriptor}' is no listening socket{}", detail(.source))]
-    HeldSocket {
-        /// What the variable says.
+    /// `ROUTER_FD` does not name a usable listening socket.
+    #[error("ROUTER_FD: '{descriptor}' is not a listening socket{}", detail(.source))]
+    InheritedListener {
+        /// The value of the variable.
         descriptor: String,
-        /// Why the socket can't be set up, where there is one.
+        /// The system error, if the socket exists but can't be set up.
         source: Option<io::Error>,
     },
-    /// The signals that stop and reload the program can't be taken.
-    #[error("no signals: {0}")]
+    /// The handlers of SIGTERM and SIGHUP can't be installed.
+    #[error("can't install signal handlers: {0}")]
     Signals(io::Error),
-    /// The clients' address can't be listened at.
-    #[error("{address}: {source}")]
+    /// Binding the client address failed.
+    #[error("can't listen for clients at {address}: {source}")]
     Listen {
-        /// The clients' address.
+        /// The client address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system error.
         source: io::Error,
     },
-    /// The management address can't be listened at.
-    #[error("management at {address}: {source}")]
+    /// Binding the management address failed.
+    #[error("can't listen for management calls at {address}: {source}")]
     Management {
         /// The management address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system error.
         source: io::Error,
     },
-    /// The peers' address can't be listened at.
-    #[error("peers at {address}: {source}")]
+    /// Binding the address for peers failed.
+    #[error("can't listen for peers at {address}: {source}")]
     Peers {
-        /// The peers' address.
+        /// The address at which peers reach this initiator.
         address: SocketAddr,
-        /// What the system says.
+        /// The system error.
         source: io::Error,
     },
-    /// The running process does not show its peers.
-    #[error("peers at {address}: {source}: is it running?")]
+    /// The running process did not return the status of its peers.
+    #[error("can't get the peer status from {address}: {source}; is the process running?")]
     PeerStatus {
-        /// The peers' address.
+        /// The address at which peers reach the process.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the request.
         source: Box<dyn std::error::Error>,
     },
-    /// The operator's file sets up no peers.
-    #[error("{file}: the file has no 'peers'")]
+    /// The operator's file does not configure peers.
+    #[error("{file}: missing key 'peers'")]
     NoPeers {
         /// The operator's file.
         file: String,
     },
-    /// A running process of the same initiator does not hand over.
+    /// A running process of the same initiator refuses to hand over.
     #[error(transparent)]
     Handover(#[from] HandoverError),
-    /// The log of buffered writes can't be read or changed.
+    /// The write-back log can't be read or changed.
     #[error(transparent)]
     WriteBack(#[from] OfflineError),
     /// The NBD front can't be set up.
     #[error("{0}")]
     Nbd(OpenError),
-    /// Standard output can't be written.
-    #[error("{0}")]
+    /// Writing to standard output failed.
+    #[error("can't write to standard output: {0}")]
     Output(io::Error),
 }
 
--- a/src/app/mod.rs
+++ b/src/app/mod.rs
@@ -1,4 +1,5 @@
-//! The program: its command line, the files that set it up, and the two servers, put together from the library's parts.
+//! The `shaletack` program: parses the command line, loads the configuration and runs one of the two servers
+//! or a sub-command.
 
 mod command_line;
 mod commands;
@@ -14,10 +15,10 @@
 use std::time::{Instant, SystemTime};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Does what the command line says.
+/// Parses the command line and runs its sub-command.
 ///
 /// # Errors
-/// See [`Error`]; each line of its text is a fault.
+/// See [`Error`]; its text has one line for each error found.
 pub fn run(args: lexopt::Parser) -> Result<(), Error> {
     let (command, log_options) = command_line::parse(args)?;
     match command {
@@ -44,8 +45,8 @@
 fn serve(source: Source) -> Result<(), Error> {
     match source {
         Source::Platform(file) => {
-            let held = serve_platform::held_socket()?;
-            actix_rt::System::new().block_on(serve_platform::serve(file, held))
+            let inherited = serve_platform::inherited_listener()?;
+            actix_rt::System::new().block_on(serve_platform::serve(file, inherited))
         }
         Source::Operator(file) => {
             let operator = configuration::load_operator(&file)?;
@@ -54,25 +55,27 @@
     }
 }
 
-/// The signals that the program is told by.
+/// Streams of the signals that the program handles.
 struct Signals {
-    /// SIGTERM: a planned stop.
+    /// SIGTERM: shuts the program down gracefully.
     terminate: Signal,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reloads the configuration.
     hangup: Signal,
 }
 
 impl Signals {
-    /// Takes both. That comes before anything is served: a signal that came earlier would end the process.
-    fn take() -> Result<Self, Error> {
+    /// Installs the handlers of both signals. Call this before anything is served: a signal that arrives
+    /// without a handler ends the process.
+    fn install() -> Result<Self, Error> {
         let terminate = signal(SignalKind::terminate()).map_err(Error::Signals)?;
         let hangup = signal(SignalKind::hangup()).map_err(Error::Signals)?;
         Ok(Signals { terminate, hangup })
     }
 }
 
-/// The core's clock of a process without a predecessor. It may begin at any time; versions that hand nothing of their
-/// clock over began at Unix time.
+/// Returns the core's clock for a process that inherits none from a predecessor. The clock may start at any
+/// reading; it starts at Unix time because the clock of a predecessor whose version hands over no clock
+/// started there.
 fn fresh_clock() -> Clock {
     let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     Clock::new(Instant::now(), unix)
--- a/src/app/serve_nbd.rs
+++ b/src/app/serve_nbd.rs
@@ -1,6 +1,7 @@
-//! Serving NBD as the operator's file says.
+//! Serves NBD with the operator's file: starts the core, the endpoint list watch, gossip with peers and the
+//! NBD front, and applies reloads.
 
-use super::configuration::{read_operator, reload_at_each};
+use super::configuration::{read_operator, reload_on_hangup};
 use super::error::Error;
 use super::{fresh_clock, Signals};
 use shaletack::broker::{Broker, Input};
@@ -19,12 +20,13 @@
 use tokio::task::AbortHandle;
 use tracing::info;
 
-/// Serves until SIGTERM, and then what was taken. SIGHUP reads `file` again.
+/// Serves until SIGTERM, then finishes the requests that were accepted. SIGHUP reloads `file`.
 ///
 /// # Errors
-/// The signals, the peers' address or the clients' address can't be had, or the front can't be set up.
+/// A signal handler can't be installed, the address for peers or for clients can't be bound, or the front
+/// can't be set up.
 pub async fn serve(operator: Operator, file: String) -> Result<(), Error> {
-    let mut signals = Signals::take()?;
+    let mut signals = Signals::install()?;
     let observer = operator.peers.as_ref().map(peers::observer);
     let seed = RandomState::new().build_hasher().finish();
     let broker = Broker::new(operator.settings.clone(), seed, fresh_clock(), Instant::now());
@@ -33,8 +35,9 @@
         None => broker,
     });
     host.feed(Input::EndpointList(operator.endpoints.clone()));
-    let list_source = ListSource::follow(host.clone(), operator.etcd.clone());
-    // Before clients come, and for 300 ms at most: what the peers know is worth that wait.
+    let list_watch = ListWatch::start(host.clone(), operator.etcd.clone());
+    // Clients are accepted only after the listed peers were asked for their observations, which delays the
+    // start by 300 ms at most.
     let peers = match operator.peers.as_ref().zip(observer) {
         Some((settings, observer)) => {
             let started = Peers::start(host.clone(), settings, observer).await;
@@ -44,9 +47,9 @@
         }
         None => None,
     };
-    let mut reload = Reload { host: host.clone(), peers: peers.clone(), list_source };
+    let mut reload = Reload { host: host.clone(), peers: peers.clone(), list_watch };
     let read = move || read_operator(&file);
-    actix_rt::spawn(reload_at_each(signals.hangup, read, move |new| reload.apply(new)));
+    actix_rt::spawn(reload_on_hangup(signals.hangup, read, move |new| reload.apply(new)));
     let listener = listen(&operator).await?;
     let stop = async move {
         signals.terminate.recv().await;
@@ -66,19 +69,20 @@
     Ok(listener)
 }
 
-/// Where the endpoint list is followed, if it is followed anywhere.
-struct ListSource {
+/// The watch of the endpoint list in etcd, if the operator's file configures one.
+struct ListWatch {
     etcd: Option<Etcd>,
     task: Option<AbortHandle>,
 }
 
-impl ListSource {
-    fn follow(host: Host, etcd: Option<Etcd>) -> Self {
+impl ListWatch {
+    fn start(host: Host, etcd: Option<Etcd>) -> Self {
         let task = etcd.clone().map(|etcd| actix_rt::spawn(etcd::follow(host, etcd)).abort_handle());
-        ListSource { etcd, task }
+        ListWatch { etcd, task }
     }
 
-    /// Follows another source, if it is another one.
+    /// Restarts the watch if the new file names another etcd or another prefix, or stops it if the file names
+    /// none.
     fn change(&mut self, host: &Host, etcd: Option<Etcd>) {
         if etcd == self.etcd {
             return;
@@ -86,21 +90,22 @@
         if let Some(task) = self.task.take() {
             task.abort();
         }
-        *self = ListSource::follow(host.clone(), etcd);
+        *self = ListWatch::start(host.clone(), etcd);
     }
 }
 
-/// Applies a file that was read again. Its endpoint list, or where that is followed, counts at once; contracts and
-/// exports stay as they are until the next start.
+/// Applies a reloaded file. The endpoint list, or the etcd that it is watched in, and the version of the
+/// configuration take effect at once; everything else in the file, such as contracts and exports, takes
+/// effect at the next start.
 struct Reload {
     host: Host,
     peers: Option<Peers>,
-    list_source: ListSource,
+    list_watch: ListWatch,
 }
 
 impl Reload {
     fn apply(&mut self, new: Operator) {
-        info!("the operator's file was reloaded: its endpoint list counts from now on");
+        info!("the operator's file was reloaded: its endpoint list is in effect");
         if new.etcd.is_none() {
             let list = EndpointList { kind: EndpointListKind::Full, ..new.endpoints };
             self.host.feed(Input::EndpointList(list));
@@ -108,6 +113,6 @@
         if let Some(peers) = self.peers.clone() {
             actix_rt::spawn(async move { peers.set_configuration_version(new.version).await });
         }
-        self.list_source.change(&self.host, new.etcd);
+        self.list_watch.change(&self.host, new.etcd);
     }
 }
--- a/src/app/serve_platform.rs
+++ b/src/app/serve_platform.rs
@@ -1,6 +1,7 @@
-//! Serving the platform's protocol, from where a predecessor is if there is one.
+//! Serves HTTP with the platform's configuration. If a predecessor of the same initiator is running, this
+//! process takes over its state and serves beside it until the predecessor ends.
 
-use super::configuration::{self, read_config, reload_at_each, LoadedConfig, ReadError};
+use super::configuration::{self, read_config, reload_on_hangup, LoadedConfig, ReadError};
 use super::error::Error;
 use super::{fresh_clock, Signals};
 use listenfd::ListenFd;
@@ -21,112 +22,127 @@
 use tokio::net::TcpListener;
 use tracing::{info, warn};
 
-/// Descriptors kept for what is neither a client's, an operator's nor an endpoint's connection.
-const SPARE_DESCRIPTORS: usize = 32;
-/// The first descriptor that a process can be handed beside the three that each has.
-const FIRST_HELD_DESCRIPTOR: usize = 3;
-/// The memory that the process needs with no client at all, in MiB.
+/// Descriptors reserved for everything but the connections of clients, operators and endpoints.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// The first descriptor that a process can inherit beside standard input, output and error.
+const FIRST_INHERITED_DESCRIPTOR: usize = 3;
+/// The memory that the process needs without any client, in MiB.
 const BASE_MEMORY_MIB: u64 = 8;
-/// The most that one client's connection holds, in bytes: a whole body, and the buffers round it.
+/// The most memory that one client connection takes, in bytes: a whole body and the buffers for it.
 const CONNECTION_BYTES: u64 = 128 << 10;
-/// Clients may always have this many connections, however little memory there is.
+/// The number of client connections that are allowed however little memory there is.
 const MIN_CONNECTIONS: u64 = 16;
-/// Connections to endpoints may take one descriptor in this many.
+/// Connections to endpoints may take one of this many descriptors.
 const ENDPOINT_DESCRIPTOR_DIVISOR: usize = 4;
 
-/// The clients' socket, where whoever starts the program holds it: the descriptor that `ROUTER_FD` names.
+/// Returns the listening socket for clients that the parent process passes on, if there is one: the
+/// descriptor in `ROUTER_FD`.
 ///
 /// # Errors
-/// The variable names no listening socket.
-pub fn held_socket() -> Result<Option<std::net::TcpListener>, Error> {
+/// The variable does not name a listening socket, or the socket can't be made non-blocking.
+pub fn inherited_listener() -> Result<Option<std::net::TcpListener>, Error> {
     let Ok(descriptor) = std::env::var("ROUTER_FD") else { return Ok(None) };
-    let no_socket = || Error::HeldSocket { descriptor: descriptor.clone(), source: None };
+    let not_a_listener = || Error::InheritedListener { descriptor: descriptor.clone(), source: None };
     let number = descriptor.parse::<usize>().ok();
-    let index = number.and_then(|number| number.checked_sub(FIRST_HELD_DESCRIPTOR)).ok_or_else(no_socket)?;
-    // What listenfd reads; it counts from the first descriptor that a process can be handed.
+    let index = number
+        .and_then(|number| number.checked_sub(FIRST_INHERITED_DESCRIPTOR))
+        .ok_or_else(not_a_listener)?;
+    // `ListenFd` reads these variables; its index counts from the first descriptor that a process can
+    // inherit.
     std::env::set_var("LISTEN_FDS", (index + 1).to_string());
     std::env::remove_var("LISTEN_PID");
-    let socket = ListenFd::from_env().take_tcp_listener(index).ok().flatten().ok_or_else(no_socket)?;
-    socket
+    let listener = ListenFd::from_env().take_tcp_listener(index).ok().flatten().ok_or_else(not_a_listener)?;
+    listener
         .set_nonblocking(true)
-        .map_err(|why| Error::HeldSocket { descriptor: descriptor.clone(), source: Some(why) })?;
-    Ok(Some(socket))
+        .map_err(|error| Error::InheritedListener { descriptor: descriptor.clone(), source: Some(error) })?;
+    Ok(Some(listener))
 }
 
-/// Serves until SIGTERM, and then what was taken. SIGHUP reads the configuration again.
+/// Serves until SIGTERM, then finishes the requests that were accepted. SIGHUP reloads the configuration.
 ///
 /// # Errors
-/// The configuration can't be used, two versions of this initiator serve already, or a socket can't be had.
-pub async fn serve(file: Option<String>, held: Option<std::net::TcpListener>) -> Result<(), Error> {
-    let signals = Signals::take()?;
+/// The configuration is invalid and there is no predecessor to take one from, two versions of this initiator
+/// serve already, a signal handler can't be installed, or a socket can't be opened.
+pub async fn serve(file: Option<String>, inherited: Option<std::net::TcpListener>) -> Result<(), Error> {
+    let signals = Signals::install()?;
     let loaded = configuration::load(file.clone());
-    let identity = identity(&held, &loaded);
+    let identity = identity(&inherited, &loaded);
     let predecessor = match &identity {
         Some(identity) => handover::request_state(identity, &std::env::temp_dir()).await?,
         None => None,
     };
     let LoadedConfig { config, file } = match &predecessor {
-        Some(given) => loaded.or_else(|fault| predecessors_config(given, file, fault))?,
+        Some(received) => loaded.or_else(|error| predecessor_config(received, file, error))?,
         None => loaded?,
     };
-    Start { config, file, signals, held, identity, predecessor }.run().await
+    Startup { config, file, signals, inherited, identity, predecessor }.run().await
 }
 
-/// Which initiator this process is; `None` where its clients' address is not known before it listens, so that nobody can
-/// be its predecessor or follow it.
-fn identity(held: &Option<std::net::TcpListener>, loaded: &Result<LoadedConfig, Error>) -> Option<Identity> {
+/// Returns the identity of this initiator, by which a predecessor and successors are found. `None`: the
+/// client address is not known before the process listens, so it can have neither.
+fn identity(
+    inherited: &Option<std::net::TcpListener>,
+    loaded: &Result<LoadedConfig, Error>,
+) -> Option<Identity> {
     let config = loaded.as_ref().ok().map(|loaded| &loaded.config);
     let name = std::env::var("ROUTER_NAME").ok().or(config.map(|config| config.name.clone()))?;
-    let clients = match (held, config) {
-        (Some(held), _) => held.local_addr().ok(),
+    let clients = match (inherited, config) {
+        (Some(listener), _) => listener.local_addr().ok(),
         (None, Some(config)) => Some(config.listen).filter(|address| address.port() > 0),
         (None, None) => std::env::var("ROUTER_LISTEN").ok().and_then(|address| address.parse().ok()),
     };
     Some(Identity { name, clients: clients? })
 }
 
-/// The predecessor rejected such a configuration too, and serves by the one before: so does this process.
-fn predecessors_config(
-    given: &ReceivedHandover,
+/// Returns the configuration that the predecessor has in force, for a start with an invalid file. The
+/// predecessor rejects such a file at a reload and stays with the configuration in force, so its successor
+/// uses the same one.
+fn predecessor_config(
+    received: &ReceivedHandover,
     file: Option<String>,
-    fault: Error,
+    error: Error,
 ) -> Result<LoadedConfig, Error> {
-    warn!(why = %fault, "the new configuration is not used; the predecessor's is");
-    let mut text = given.state.configuration.clone().into_bytes();
+    warn!(why = %error, "the new configuration is not used; the predecessor's is");
+    let mut text = received.state.configuration.clone().into_bytes();
     let config = config::read(&mut text, |name| std::env::var(name).ok())
-        .map_err(|fault| Error::Configuration(fault.to_string()))?;
-    let file = file.or_else(configuration::default_file).ok_or(fault)?;
+        .map_err(|error| Error::Configuration(error.to_string()))?;
+    let file = file.or_else(configuration::default_file).ok_or(error)?;
     Ok(LoadedConfig { config, file })
 }
 
-/// All that a start needs.
-struct Start {
+/// The inputs of a startup.
+struct Startup {
     config: Config,
+    /// The path that the configuration is reloaded from.
     file: String,
     signals: Signals,
-    held: Option<std::net::TcpListener>,
+    /// The listening socket that the parent process passed on.
+    inherited: Option<std::net::TcpListener>,
     identity: Option<Identity>,
+    /// The state that a predecessor handed over.
     predecessor: Option<ReceivedHandover>,
 }
 
-impl Start {
+impl Startup {
+    /// Starts all parts of the process and serves until SIGTERM.
     async fn run(self) -> Result<(), Error> {
-        let Start { config, file, signals, held, identity, predecessor } = self;
-        let inherited = predecessor.as_ref().and_then(|given| given.state.core.clock(given.received_at));
-        let clock = inherited.unwrap_or_else(fresh_clock);
+        let Startup { config, file, signals, inherited, identity, predecessor } = self;
+        let inherited_clock =
+            predecessor.as_ref().and_then(|received| received.state.core.clock(received.received_at));
+        let clock = inherited_clock.unwrap_or_else(fresh_clock);
         let broker = Broker::new(config.settings.clone(), config.seed, clock, Instant::now());
         let host = Host::start(broker);
-        report_start(&config);
-        host.feed(Input::EndpointList(config.known.clone()));
-        let followable = identity.is_some();
+        log_startup(&config);
+        host.feed(Input::EndpointList(config.cached_endpoints.clone()));
+        let can_have_successor = identity.is_some();
         let identity = identity.unwrap_or(Identity { name: config.name.clone(), clients: config.listen });
         let link = HandoverLink::new(host.clone(), identity, &std::env::temp_dir());
         let request_ids = Rc::new(RefCell::new(RequestIds::default()));
-        if let Some(given) = predecessor {
-            restore(&host, &link, &request_ids, given);
+        if let Some(received) = predecessor {
+            restore(&host, &link, &request_ids, received);
         }
         let ready = Rc::new(Cell::new(false));
-        let descriptors = Descriptors::divide(&config);
+        let budget = DescriptorBudget::new(&config);
         if let Some(address) = config.management {
             serve_management(&host, &link, &ready, address).await?;
         }
@@ -136,14 +152,14 @@
         let in_force = Rc::new(RefCell::new(config.text.clone()));
         let reload = Reload { host: host.clone(), watch, file, in_force: in_force.clone() };
         reload.spawn(signals.hangup);
-        let listener = listen(held, &config).await?;
-        let endpoint_clients = EndpointClients::new(&host, descriptors.endpoints);
-        if followable {
+        let listener = listen(inherited, &config).await?;
+        let endpoint_clients = EndpointClients::new(&host, budget.endpoints);
+        if can_have_successor {
             accept_successors(&link, &host, &request_ids, &in_force);
         }
         ready.set(true);
         let succeeded = Rc::new(move || link.is_connected().then(|| link.yield_budgets()).is_some());
-        let max_connections = descriptors.clients.min(connections_in_memory(config.memory_mb));
+        let max_connections = budget.clients.min(connections_in_memory(config.max_memory_mib));
         let front = Front { host, endpoint_clients, max_connections, request_ids, succeeded };
         let mut terminate = signals.terminate;
         front::serve(front, listener, async move {
@@ -154,45 +170,48 @@
     }
 }
 
-fn report_start(config: &Config) {
-    let Config { name, known, passed_over, .. } = config;
-    info!(name, endpoints = known.entries.len(), revision = known.revision, "starting");
-    for why in passed_over {
+fn log_startup(config: &Config) {
+    let Config { name, cached_endpoints, skipped_entries, .. } = config;
+    info!(name, endpoints = cached_endpoints.entries.len(), revision = cached_endpoints.revision, "starting");
+    for why in skipped_entries {
         warn!(%why, "an endpoint list entry is skipped");
     }
 }
 
-/// Goes on from what a predecessor handed over, sharing every budget with it.
-fn restore(host: &Host, link: &HandoverLink, request_ids: &RefCell<RequestIds>, given: ReceivedHandover) {
-    let ReceivedHandover { state, stream, .. } = given;
+/// Restores the state that a predecessor handed over. While both processes run, they share every budget.
+fn restore(host: &Host, link: &HandoverLink, request_ids: &RefCell<RequestIds>, received: ReceivedHandover) {
+    let ReceivedHandover { state, stream, .. } = received;
     let snapshot = Box::new(state.core);
     host.feed(Input::Restore { snapshot, budget_share: handover::SHARED_BUDGET });
     request_ids.borrow_mut().restore(state.request_ids);
     link.follow_predecessor(stream);
 }
 
-/// How the process's file descriptors are divided.
-struct Descriptors {
+/// The number of file descriptors for client connections and for endpoint connections.
+struct DescriptorBudget {
     clients: usize,
     endpoints: usize,
 }
 
-impl Descriptors {
-    /// Operators' calls have descriptors of their own, whatever the clients hold.
-    fn divide(config: &Config) -> Self {
-        let calls = config.management.map_or(0, |_| management::MAX_CALLS);
-        let rest = config.sockets.saturating_sub(SPARE_DESCRIPTORS).saturating_sub(calls);
-        let endpoints = rest / ENDPOINT_DESCRIPTOR_DIVISOR;
-        Descriptors { clients: rest - endpoints, endpoints }
+impl DescriptorBudget {
+    /// Divides the descriptors of the process. Management calls have descriptors of their own, so that
+    /// operators are served however many connections clients hold.
+    fn new(config: &Config) -> Self {
+        let management_calls = config.management.map_or(0, |_| management::MAX_CALLS);
+        let available =
+            config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS).saturating_sub(management_calls);
+        let endpoints = available / ENDPOINT_DESCRIPTOR_DIVISOR;
+        DescriptorBudget { clients: available - endpoints, endpoints }
     }
 }
 
-/// For how many client connections there is memory; 0 MiB: memory is not limited.
-fn connections_in_memory(memory_mib: u64) -> usize {
-    if memory_mib == 0 {
+/// Returns the number of client connections that fit into the memory of the process; 0 MiB: memory is not
+/// limited.
+fn connections_in_memory(max_memory_mib: u64) -> usize {
+    if max_memory_mib == 0 {
         return usize::MAX;
     }
-    let bytes = memory_mib.saturating_sub(BASE_MEMORY_MIB) << 20;
+    let bytes = max_memory_mib.saturating_sub(BASE_MEMORY_MIB) << 20;
     (bytes / CONNECTION_BYTES).max(MIN_CONNECTIONS) as usize
 }
 
@@ -210,11 +229,11 @@
     Ok(())
 }
 
-async fn listen(held: Option<std::net::TcpListener>, config: &Config) -> Result<TcpListener, Error> {
+async fn listen(inherited: Option<std::net::TcpListener>, config: &Config) -> Result<TcpListener, Error> {
     let address = config.listen;
     let failed = |source| Error::Listen { address, source };
-    let listener = match held {
-        Some(held) => TcpListener::from_std(held),
+    let listener = match inherited {
+        Some(listener) => TcpListener::from_std(listener),
         None => sockets::listen(address).await,
     };
     let listener = listener.map_err(failed)?;
@@ -223,7 +242,7 @@
     Ok(listener)
 }
 
-/// From now on a successor is given what this process knows at that moment.
+/// Accepts successors from now on. Each receives the state of this process at the time of its request.
 fn accept_successors(
     link: &HandoverLink,
     host: &Host,
@@ -238,7 +257,8 @@
     });
 }
 
-/// Reads the configuration again at each SIGHUP: the new address of discovery and the new settings count at once.
+/// Reloads the configuration at each SIGHUP. The discovery address and the settings take effect at once,
+/// everything else at the next start.
 struct Reload {
     host: Host,
     watch: EndpointListWatch,
@@ -250,30 +270,36 @@
 impl Reload {
     fn spawn(self, hangup: tokio::signal::unix::Signal) {
         let Reload { host, mut watch, file, in_force } = self;
-        let last = in_force.clone();
-        let read = move || read_complete(&file, &last.borrow());
+        let previous = in_force.clone();
+        let read = move || read_complete_config(&file, &previous.borrow());
         let apply = move |new: Config| {
-            report_reload(&new);
+            log_reload(&new);
             watch.move_to(new.discovery);
             host.feed(Input::Settings(Box::new(new.settings)));
             in_force.replace(new.text);
         };
-        actix_rt::spawn(reload_at_each(hangup, read, apply));
+        actix_rt::spawn(reload_on_hangup(hangup, read, apply));
     }
 }
 
-/// Reads a new configuration. It needs every key of the one in force: a file that is cut must not count in part. The
-/// environment tells where discovery was at the start; from a new file on, the file does.
-fn read_complete(file: &str, in_force: &[u8]) -> Result<Config, ReadError> {
+/// Reads a new configuration, which needs every key of the one in force, so that a file that lacks a part is
+/// not applied. `ROUTER_DISCOVERY` is ignored: it holds the discovery address of the start, and a reload
+/// takes the address from the file.
+///
+/// # Errors
+/// The file can't be read, is invalid, or lacks a key of the configuration in force.
+fn read_complete_config(file: &str, in_force: &[u8]) -> Result<Config, ReadError> {
     let env = |name: &str| (name != "ROUTER_DISCOVERY").then(|| std::env::var(name).ok())?;
     let new = read_config(file, env)?;
-    match config::lacks(in_force, &new.text) {
-        Some(key) => Err(ReadError::Invalid(format!("{file}: there is no key '{key}'"))),
+    match config::first_missing_key(in_force, &new.text) {
+        Some(key) => {
+            Err(ReadError::Invalid(format!("{file}: missing key '{key}' of the configuration in force")))
+        }
         None => Ok(new),
     }
 }
 
-fn report_reload(new: &Config) {
+fn log_reload(new: &Config) {
     let classes: Vec<&str> = new.settings.classes.iter().map(|class| class.name.as_str()).collect();
     let classes = classes.join(", ");
     let attempts = new.settings.max_attempts;
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,5 +1,5 @@
-//! The platform's configuration file: where this initiator listens, where discovery answers, its settings and the endpoint
-//! list it last had.
+//! Parses the platform's configuration file, which sets up the HTTP front: the listening and discovery
+//! addresses, resource limits, the scheduler's settings and the cached endpoint list.
 
 use crate::endpoint_list::{self, EndpointList, EntryError, ReadList};
 use crate::interface::{EndpointListKind, Settings};
@@ -8,129 +8,142 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The platform's file, with what the environment says.
+/// The platform's configuration file, with the overrides of the environment applied.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The initiator's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where the discovery agent answers.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// The management address; `None`: no management calls are served.
     pub management: Option<SocketAddr>,
-    /// For random numbers; new with each start.
+    /// The seed of the random number generator, different at each start.
     pub seed: u64,
-    /// How many file descriptors the process may hold.
-    pub sockets: usize,
-    /// How much memory the process may hold, in MiB; 0: not stated.
-    pub memory_mb: u64,
-    /// The endpoint list as last had, of any age.
-    pub known: EndpointList,
-    /// What is wrong with entries of that list that do not count.
-    pub passed_over: Vec<String>,
+    /// The most file descriptors that the process may hold.
+    pub max_descriptors: usize,
+    /// The most memory that the process may hold, in MiB; 0: not stated.
+    pub max_memory_mib: u64,
+    /// The last endpoint list known when the file was written, of any age.
+    pub cached_endpoints: EndpointList,
+    /// Why entries of that list were skipped, one error text for each.
+    pub skipped_entries: Vec<String>,
     /// The scheduler's settings.
     pub settings: Settings,
-    /// The file's text, as read.
+    /// The text of the file, unchanged.
     pub text: Vec<u8>,
 }
 
 const REQUIRED_KEYS: [&str; 4] = ["seed", "limits", "known", "settings"];
-/// The fewest file descriptors that the program works with, and how many it takes where none are stated.
-const MIN_SOCKETS: usize = 64;
-const DEFAULT_SOCKETS: usize = 1024;
-/// For requests, clients hold at most this part of the descriptors; each open one has a connection,
-const CLIENTS_PART: f64 = 1.0 / 3.0;
-/// and so many may be open that those who come find one free.
-const OPEN_PART: f64 = 0.8;
+/// The fewest file descriptors that the program works with.
+const MIN_DESCRIPTORS: usize = 64;
+/// The number of file descriptors where the file states none.
+const DEFAULT_DESCRIPTORS: usize = 1024;
+/// The fraction of the file descriptors that client connections with requests may take. Each open request
+/// occupies one client connection.
+const CLIENT_DESCRIPTOR_FRACTION: f64 = 1.0 / 3.0;
+/// The fraction of those connections that may have an open request, so that a new client still finds a free
+/// connection.
+const OPEN_REQUEST_FRACTION: f64 = 0.8;
 
 /// Why a configuration can't be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The text is no JSON object, or a value has another type than it should.
+    /// The text is not a JSON object, or a value has the wrong type.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// The settings can't be read.
+    /// The `settings` are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A key is missing.
-    #[error("there is no key '{0}'")]
+    /// A required key is missing.
+    #[error("missing required key '{0}'")]
     MissingKey(&'static str),
     /// An address can't be parsed.
-    #[error("{key}: '{text}' is not an address and port")]
+    #[error("{key}: '{text}' is not an IP address with a port")]
     BadAddress {
-        /// The key.
+        /// The key of the address.
         key: &'static str,
-        /// Its value, or that of the environment's variable.
+        /// The value, from the file or from the environment variable.
         text: String,
     },
-    /// The settings do not say how many initiators there are.
+    /// The settings lack the number of initiators.
     #[error("settings.balancers: the number of initiators is missing")]
     MissingInitiators,
-    /// The settings do not say which of the initiators this one is.
-    #[error("settings.rank: which of {initiators} initiators this is, is missing")]
+    /// The settings lack the rank of this initiator among several.
+    #[error("settings.rank: the rank of this initiator among {initiators} is missing")]
     MissingRank {
-        /// How many there are.
+        /// The number of initiators.
         initiators: u32,
     },
-    /// There is no class or no plan.
-    #[error("the settings name no classes or no plans")]
+    /// The settings lack request classes or plans.
+    #[error("settings: 'lanes' and 'plans' need at least one entry each")]
     NoClassesOrPlans,
-    /// A class has no name or no deadline.
-    #[error("settings.lanes: '{class}' has no name, or no deadline above 0")]
+    /// A request class has no name or no deadline.
+    #[error("settings.lanes: class '{class}' needs a name and a deadline above 0")]
     BadClass {
         /// The name of the class.
         class: String,
     },
-    /// The number of attempts is 0.
-    #[error("settings.limits.try-limit: it has to be a number above 0")]
+    /// The maximum number of attempts is 0.
+    #[error("settings.limits.try-limit: the maximum number of attempts must be above 0")]
     NoAttempts,
-    /// Too few file descriptors.
-    #[error("limits.sockets: {sockets} are too few, {min} are needed", min = MIN_SOCKETS)]
-    TooFewSockets {
-        /// How many there are.
-        sockets: usize,
+    /// The process may hold too few file descriptors.
+    #[error(
+        "limits.sockets: {max_descriptors} file descriptors are too few, at least {min} are required",
+        min = MIN_DESCRIPTORS
+    )]
+    TooFewDescriptors {
+        /// The stated number.
+        max_descriptors: usize,
     },
     /// The seed can't be parsed.
-    #[error("seed: '{0}' is not 16 hex digits")]
+    #[error("seed: '{0}' is not a hexadecimal number of at most 16 digits")]
     BadSeed(String),
 }
 
-/// Reads the file's text; a variable of the environment, where it is set, goes before the file's value.
+/// Parses the text of the file, whose bytes are overwritten. An environment variable that is set takes
+/// precedence over the value in the file.
+///
+/// # Errors
+/// The first error found: a missing key, a value of the wrong type or out of range, or an address that can't
+/// be parsed.
 pub fn read(text: &mut [u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-    let whole = text.to_vec();
+    let source = text.to_vec();
     let value = json::parse(text)?;
     let top = JsonField::object(&value, "the configuration")?;
     if let Some(key) = REQUIRED_KEYS.into_iter().find(|key| !top.field(key).is_present()) {
         return Err(ConfigError::MissingKey(key));
     }
     let mut settings = read_settings(top.field("settings"))?;
-    let ReadList { list: mut known, faults: passed_over } = endpoint_list::read_list(top.field("known"))?;
-    known.kind = EndpointListKind::Cached;
-    let sockets = read_sockets(top.field("limits"))?;
+    let ReadList { list: mut cached_endpoints, faults: entry_errors } =
+        endpoint_list::read_list(top.field("known"))?;
+    cached_endpoints.kind = EndpointListKind::Cached;
+    let max_descriptors = read_max_descriptors(top.field("limits"))?;
     if settings.max_open_requests == 0 {
-        settings.max_open_requests = (sockets as f64 * CLIENTS_PART * OPEN_PART) as usize;
+        let client_connections = max_descriptors as f64 * CLIENT_DESCRIPTOR_FRACTION;
+        settings.max_open_requests = (client_connections * OPEN_REQUEST_FRACTION) as usize;
     }
     let seed = top.field("seed").text()?;
     Ok(Config {
-        name: text_of(top, "name", env("ROUTER_NAME"))?,
-        listen: address(top, "listen", env("ROUTER_LISTEN"))?,
-        discovery: address(top, "discovery", env("ROUTER_DISCOVERY"))?,
+        name: read_text(top, "name", env("ROUTER_NAME"))?,
+        listen: read_address(top, "listen", env("ROUTER_LISTEN"))?,
+        discovery: read_address(top, "discovery", env("ROUTER_DISCOVERY"))?,
         management: match env("ROUTER_MANAGEMENT") {
             None if !top.field("management").is_present() => None,
-            stated => Some(address(top, "management", stated)?),
+            from_env => Some(read_address(top, "management", from_env)?),
         },
         seed: u64::from_str_radix(seed, 16).map_err(|_| ConfigError::BadSeed(seed.to_owned()))?,
-        memory_mb: top.field("limits").field("memory_mb").integer()?,
-        sockets,
-        known,
-        passed_over: passed_over.iter().map(EntryError::to_string).collect(),
+        max_memory_mib: top.field("limits").field("memory_mb").integer()?,
+        max_descriptors,
+        cached_endpoints,
+        skipped_entries: entry_errors.iter().map(EntryError::to_string).collect(),
         settings,
-        text: whole,
+        text: source,
     })
 }
 
-/// The settings, with what the program needs beyond their form.
+/// Reads the settings and checks what the program needs beyond their types.
 fn read_settings(object: JsonField) -> Result<Settings, ConfigError> {
     let settings = settings::read_settings(object)?;
     if !object.field("balancers").is_present() {
@@ -152,30 +165,37 @@
     Ok(settings)
 }
 
-fn read_sockets(limits: JsonField) -> Result<usize, ConfigError> {
+fn read_max_descriptors(limits: JsonField) -> Result<usize, ConfigError> {
     match limits.field("sockets").integer()? as usize {
-        0 => Ok(DEFAULT_SOCKETS),
-        sockets if sockets < MIN_SOCKETS => Err(ConfigError::TooFewSockets { sockets }),
-        sockets => Ok(sockets),
+        0 => Ok(DEFAULT_DESCRIPTORS),
+        max_descriptors if max_descriptors < MIN_DESCRIPTORS => {
+            Err(ConfigError::TooFewDescriptors { max_descriptors })
+        }
+        max_descriptors => Ok(max_descriptors),
     }
 }
 
-/// The environment's value, else the file's.
-fn text_of(top: JsonField, key: &'static str, from_env: Option<String>) -> Result<String, JsonError> {
+/// Returns the value from the environment if there is one, or else the value in the file.
+fn read_text(top: JsonField, key: &'static str, from_env: Option<String>) -> Result<String, JsonError> {
     from_env.map_or_else(|| top.field(key).text().map(String::from), Ok)
 }
 
-fn address(top: JsonField, key: &'static str, from_env: Option<String>) -> Result<SocketAddr, ConfigError> {
-    let text = text_of(top, key, from_env)?;
+fn read_address(
+    top: JsonField,
+    key: &'static str,
+    from_env: Option<String>,
+) -> Result<SocketAddr, ConfigError> {
+    let text = read_text(top, key, from_env)?;
     text.parse().map_err(|_| ConfigError::BadAddress { key, text })
 }
 
-/// The first key that a configuration in force has and a newer one lacks. Entries of the list of boxes differ
-/// from day to day, and are looked at when they are read.
-pub fn lacks(older: &[u8], newer: &[u8]) -> Option<String> {
-    let (mut older, mut newer) = (older.to_vec(), newer.to_vec());
-    let (older, newer) = (json::parse(&mut older).ok()?, json::parse(&mut newer).ok()?);
-    let older = JsonField::object(&older, "the configuration").ok()?;
+/// Returns the path of the first key that the configuration in force has and a newer one lacks. Keys of
+/// endpoint list entries (`known.members`) are not compared: the endpoint list changes from day to day, and
+/// its entries are checked when they are read.
+pub fn first_missing_key(in_force: &[u8], newer: &[u8]) -> Option<String> {
+    let (mut in_force, mut newer) = (in_force.to_vec(), newer.to_vec());
+    let (in_force, newer) = (json::parse(&mut in_force).ok()?, json::parse(&mut newer).ok()?);
+    let in_force = JsonField::object(&in_force, "the configuration").ok()?;
     let newer = JsonField::object(&newer, "the configuration").ok()?;
-    older.missing_in(newer).filter(|path| !path.starts_with("known.members."))
+    in_force.missing_in(newer).filter(|path| !path.starts_with("known.members."))
 }
