--- a/src/operator/check.rs
+++ b/src/operator/check.rs
@@ -1,9 +1,10 @@
-//! Checks how the parts of a file fit together, which its schema can't say, and makes the [`Operator`] of it.
+//! Checks what a JSON Schema can't express, above all that the parts of a file are consistent, and builds the
+//! [`Operator`].
 
 use super::classes::find_classes;
 use super::exports::{check_contracts, check_exports};
-use super::fault::{Faults, Problem};
-use super::records::{self, DiskBox, File, Phase, Unsettled};
+use super::records::{self, OperatorFile, Phase, UnsettledPolicy};
+use super::validation_error::{ValidationErrorKind, ValidationErrors};
 use super::{Etcd, Operator, Peers, WriteBack};
 use crate::endpoint_list::{EndpointList, EndpointRecord};
 use crate::interface::{EndpointListKind, Readiness, Settings};
@@ -13,34 +14,35 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Segments of the write-back log: this part of the log, and no larger than that, in bytes. One holds the largest write.
+/// A segment of the write-back log takes one of this many parts of the log, up to [`MAX_SEGMENT_BYTES`].
 const LOG_SEGMENTS: u64 = 16;
+/// The maximum size of a segment, in bytes. One segment holds the largest write.
 const MAX_SEGMENT_BYTES: u64 = 64 << 20;
-/// One part in so many of the log is kept for records that settle writes.
+/// One of this many parts of the log is reserved for records that settle writes.
 const LOG_RESERVE_DIVISOR: u64 = 4;
 
-/// Checks a file and makes what the program uses of it.
+/// Checks a file that matches the JSON Schema, and converts it to the types of the program.
 ///
 /// # Errors
-/// All that does not fit.
-pub(super) fn check(file: File) -> Result<Operator, Faults> {
-    let mut faults = Faults::default();
-    let listen = check_address(&file.listen, "/listen", &mut faults);
-    let follows_etcd = file.etcd.is_some();
-    let etcd = file.etcd.and_then(|etcd| check_etcd(etcd, &mut faults));
-    let peers = file.peers.and_then(|peers| check_peers(peers, &mut faults));
-    check_buffered_exports(&file.exports, file.write_back.is_some(), &mut faults);
+/// All errors found.
+pub(super) fn check(file: OperatorFile) -> Result<Operator, ValidationErrors> {
+    let mut errors = ValidationErrors::default();
+    let listen = check_address(&file.listen, "/listen", &mut errors);
+    let is_list_in_etcd = file.etcd.is_some();
+    let etcd = file.etcd.and_then(|etcd| check_etcd(etcd, &mut errors));
+    let peers = file.peers.and_then(|peers| check_peers(peers, &mut errors));
+    check_buffered_exports(&file.exports, file.write_back.is_some(), &mut errors);
     let changes_data = file.settings.domain.changes_data.clone();
     let mut settings = Settings::from(file.settings);
-    let classes = find_classes(&settings.classes, &changes_data, &mut faults);
-    let contracts = check_contracts(&file.teams, &mut settings, &mut faults);
-    let entries = check_endpoints(&file.boxes, &mut faults);
-    // Of a list that is followed elsewhere it is not known here which shards it has.
+    let classes = find_classes(&settings.classes, &changes_data, &mut errors);
+    let plan_numbers = check_contracts(&file.teams, &mut settings, &mut errors);
+    let entries = check_endpoints(&file.boxes, &mut errors);
+    // The shards are unknown if etcd holds the endpoint list.
     let shards: Option<BTreeSet<u16>> =
-        (!follows_etcd).then(|| entries.iter().map(|entry| entry.shard).collect());
-    let exports = check_exports(file.exports, &contracts, shards.as_ref(), &mut faults);
-    let (Some(listen), Some(classes), true) = (listen, classes, faults.is_empty()) else {
-        return Err(faults);
+        (!is_list_in_etcd).then(|| entries.iter().map(|entry| entry.shard).collect());
+    let exports = check_exports(file.exports, &plan_numbers, shards.as_ref(), &mut errors);
+    let (Some(listen), Some(classes), true) = (listen, classes, errors.is_empty()) else {
+        return Err(errors);
     };
     Ok(Operator {
         listen,
@@ -53,50 +55,52 @@
         endpoints: EndpointList { revision: 0, kind: EndpointListKind::Cached, entries },
         etcd,
         peers,
-        write_back: file.write_back.map(write_back),
+        write_back: file.write_back.map(write_back_settings),
         classes,
         settings,
     })
 }
 
-fn check_address(text: &str, path: &str, faults: &mut Faults) -> Option<SocketAddr> {
+/// Parses an address, which must be a loopback address.
+fn check_address(text: &str, path: &str, errors: &mut ValidationErrors) -> Option<SocketAddr> {
     match text.parse::<SocketAddr>() {
         Ok(address) if address.ip().is_loopback() => return Some(address),
-        Ok(address) => faults.add(path, Problem::NotLoopback(address)),
-        Err(_) => faults.add(path, Problem::NotAnAddress(text.to_owned())),
+        Ok(address) => errors.add(path, ValidationErrorKind::NotLoopback(address)),
+        Err(_) => errors.add(path, ValidationErrorKind::NotAnAddress(text.to_owned())),
     }
     None
 }
 
-fn check_etcd(etcd: records::Etcd, faults: &mut Faults) -> Option<Etcd> {
-    let address = check_address(&etcd.address, "/etcd/address", faults)?;
+fn check_etcd(etcd: records::Etcd, errors: &mut ValidationErrors) -> Option<Etcd> {
+    let address = check_address(&etcd.address, "/etcd/address", errors)?;
     Some(Etcd { address, prefix: etcd.prefix })
 }
 
-fn check_peers(peers: records::Peers, faults: &mut Faults) -> Option<Peers> {
-    let listen = check_address(&peers.listen, "/peers/listen", faults);
+fn check_peers(peers: records::Peers, errors: &mut ValidationErrors) -> Option<Peers> {
+    let listen = check_address(&peers.listen, "/peers/listen", errors);
     if listen.is_some_and(|address| address.port() == 0) {
-        faults.add("/peers/listen", Problem::ChosenPort);
+        errors.add("/peers/listen", ValidationErrorKind::UnknownPeerPort);
     }
     let mut join = Vec::new();
     for (index, text) in peers.join.iter().enumerate() {
-        join.extend(check_address(text, &format!("/peers/join/{index}"), faults));
+        join.extend(check_address(text, &format!("/peers/join/{index}"), errors));
     }
     Some(Peers { name: peers.name, listen: listen?, join, region: peers.region, zone: peers.zone })
 }
 
-fn check_buffered_exports(exports: &[records::Export], has_write_back: bool, faults: &mut Faults) {
+/// Checks that exports with write-back have a write-back cache and a single initiator.
+fn check_buffered_exports(exports: &[records::Export], has_write_back: bool, errors: &mut ValidationErrors) {
     for (index, export) in exports.iter().enumerate().filter(|(_, export)| export.write_back) {
         if !has_write_back {
-            faults.add(format!("/exports/{index}/write_back"), Problem::NoWriteBack);
+            errors.add(format!("/exports/{index}/write_back"), ValidationErrorKind::MissingWriteBack);
         }
         if export.hosts > 1.0 {
-            faults.add(format!("/exports/{index}/hosts"), Problem::SharedWriteBack);
+            errors.add(format!("/exports/{index}/hosts"), ValidationErrorKind::SharedWriteBack);
         }
     }
 }
 
-fn write_back(write_back: records::WriteBack) -> WriteBack {
+fn write_back_settings(write_back: records::WriteBack) -> WriteBack {
     let max_bytes = write_back.most_mib << 20;
     WriteBack {
         folder: write_back.folder.into(),
@@ -107,33 +111,36 @@
         },
         attempt_lifetime: Duration::from_millis(write_back.attempt_lives_ms),
         doubt_policy: match write_back.unsettled {
-            Unsettled::Ask => DoubtPolicy::AskOperator,
-            Unsettled::Resend => DoubtPolicy::Resend,
+            UnsettledPolicy::Ask => DoubtPolicy::AskOperator,
+            UnsettledPolicy::Resend => DoubtPolicy::Resend,
         },
         units_per_second: write_back.units,
         max_age: Duration::from_millis(write_back.age_ms),
     }
 }
 
-fn check_endpoints(boxes: &[DiskBox], faults: &mut Faults) -> Vec<EndpointRecord> {
+fn check_endpoints(endpoints: &[records::Endpoint], errors: &mut ValidationErrors) -> Vec<EndpointRecord> {
     let mut ids = BTreeSet::new();
     let mut records = Vec::new();
-    for (index, entry) in boxes.iter().enumerate() {
+    for (index, entry) in endpoints.iter().enumerate() {
         let record = endpoint_record(entry);
         // A removed endpoint needs no address.
         let needs_address = !(entry.host_port.is_empty() && record.readiness == Readiness::Removed);
         if record.address.is_none() && needs_address {
-            faults.add(format!("/boxes/{index}/host_port"), Problem::NotAnAddress(entry.host_port.clone()));
+            errors.add(
+                format!("/boxes/{index}/host_port"),
+                ValidationErrorKind::NotAnAddress(entry.host_port.clone()),
+            );
         }
         if !ids.insert(&entry.id) {
-            faults.add(format!("/boxes/{index}/id"), Problem::Duplicate(entry.id.clone()));
+            errors.add(format!("/boxes/{index}/id"), ValidationErrorKind::Duplicate(entry.id.clone()));
         }
         records.push(record);
     }
     records
 }
 
-fn endpoint_record(entry: &DiskBox) -> EndpointRecord {
+fn endpoint_record(entry: &records::Endpoint) -> EndpointRecord {
     EndpointRecord {
         id: entry.id.clone(),
         address: entry.host_port.parse().ok(),
--- a/src/operator/classes.rs
+++ b/src/operator/classes.rs
@@ -1,51 +1,60 @@
-//! Finds the request classes of NBD's commands. They are found by what the settings say of a class, not by its name: NBD
-//! knows reads, large ones, and writes.
+//! Finds the request classes of NBD commands: reads, large reads and writes. Classes are found by their
+//! properties in the settings and not by their names, which each deployment chooses.
 
-use super::fault::{Faults, Problem};
+use super::validation_error::{ValidationErrorKind, ValidationErrors};
 use super::Classes;
 use crate::interface::{Idempotency, RequestClass};
 
-/// The classes of reads, large reads and writes; `None`: there is a fault. `changes_data` says for each class whether it
-/// writes; where it is empty those write that are not idempotent.
+/// Returns the classes of reads, large reads and writes, or `None` after an error. `changes_data` states for
+/// each class whether it writes; if it is empty, the classes that are not idempotent write.
+///
+/// Of the classes that read, the one with the shortest latency objective is for reads and the one with the
+/// longest for large reads. A single class that reads is for both.
 pub(super) fn find_classes(
     classes: &[RequestClass],
     changes_data: &[bool],
-    faults: &mut Faults,
+    errors: &mut ValidationErrors,
 ) -> Option<Classes> {
     if !changes_data.is_empty() && changes_data.len() != classes.len() {
-        let problem = Problem::WrongClassCount { entries: changes_data.len(), classes: classes.len() };
-        faults.add("/settings/domain/changes-data", problem);
+        let error =
+            ValidationErrorKind::WrongClassCount { entries: changes_data.len(), classes: classes.len() };
+        errors.add("/settings/domain/changes-data", error);
         return None;
     }
-    let writes = |index: &usize| {
+    let writes_data = |index: &usize| {
         let stated = changes_data.get(*index).copied();
         stated.unwrap_or(classes[*index].idempotency != Idempotency::Idempotent)
     };
-    let (writers, readers): (Vec<usize>, Vec<usize>) = (0..classes.len()).partition(writes);
-    let write = find_write_class(classes, &writers, faults)?;
-    let objective = |index: &&usize| classes[**index].latency_objective;
-    let shortest = readers.iter().min_by_key(objective);
-    let longest = readers.iter().max_by_key(objective);
+    let (write_classes, read_classes): (Vec<usize>, Vec<usize>) = (0..classes.len()).partition(writes_data);
+    let write = find_write_class(classes, &write_classes, errors)?;
+    let latency_objective = |index: &&usize| classes[**index].latency_objective;
+    let shortest = read_classes.iter().min_by_key(latency_objective);
+    let longest = read_classes.iter().max_by_key(latency_objective);
     let (Some(read), Some(large_read)) = (shortest, longest) else {
-        faults.add("/settings/lanes", Problem::NoReadClass);
+        errors.add("/settings/lanes", ValidationErrorKind::NoReadClass);
         return None;
     };
     Some(Classes { read: *read as u16, large_read: *large_read as u16, write: write as u16 })
 }
 
-fn find_write_class(classes: &[RequestClass], writers: &[usize], faults: &mut Faults) -> Option<usize> {
-    let [write] = writers[..] else {
-        faults.add(
+/// Returns the only class that writes, or `None` after an error.
+fn find_write_class(
+    classes: &[RequestClass],
+    write_classes: &[usize],
+    errors: &mut ValidationErrors,
+) -> Option<usize> {
+    let [write] = write_classes[..] else {
+        errors.add(
             "/settings/lanes",
-            match writers {
-                [] => Problem::NoWriteClass,
-                _ => Problem::ManyWriteClasses { names: quoted_names(classes, writers) },
+            match write_classes {
+                [] => ValidationErrorKind::NoWriteClass,
+                _ => ValidationErrorKind::ManyWriteClasses { names: quoted_names(classes, write_classes) },
             },
         );
         return None;
     };
     if classes[write].idempotency == Idempotency::Keyed {
-        faults.add(format!("/settings/lanes/{write}/idempotency"), Problem::KeyedWrites);
+        errors.add(format!("/settings/lanes/{write}/idempotency"), ValidationErrorKind::KeyedWrites);
     }
     Some(write)
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,101 +1,103 @@
-//! The operator's file for serving NBD: teams, their contracts, exports and the endpoints that hold them.
+//! The operator's file, which sets up the NBD front: teams, their contracts, exports, and the endpoints that
+//! hold their data.
 //!
-//! A file is checked as a whole before anything of it counts, and all that is wrong is reported at once, each fault with its
-//! path: an operator should not have to correct a file fault by fault. [`records`] is its form and its JSON Schema; what
-//! a schema can't say, how the parts fit together, is checked after that.
+//! A file is checked as a whole before any part of it takes effect. All errors are reported at once, each
+//! with the path of its value, so that an operator need not correct a file error by error. [`records`]
+//! defines the JSON Schema of the file; what a schema can't express, such as the consistency of its parts, is
+//! checked after that.
 
 mod check;
 mod classes;
 mod exports;
-mod fault;
 pub mod records;
+mod validation_error;
 
 use crate::endpoint_list::EndpointList;
 use crate::interface::{Settings, VolumeId};
-use records::File;
+use records::OperatorFile;
 use shaletack_writeback::DoubtPolicy;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-pub use fault::{Fault, Faults, Problem};
+pub use validation_error::{ValidationError, ValidationErrorKind, ValidationErrors};
 
-/// A part of an export that lies on one shard.
+/// A part of an export that one shard holds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Extent {
-    /// Where it begins in the export, in bytes.
+    /// The offset in the export, in bytes.
     pub export_offset: u64,
-    /// How many bytes it holds.
+    /// The length, in bytes.
     pub length: u64,
-    /// The shard that holds it.
+    /// The shard that holds the extent.
     pub shard: u16,
-    /// Where it begins at the shard's endpoint, in bytes.
+    /// The offset at the shard's endpoint, in bytes.
     pub endpoint_offset: u64,
 }
 
-/// One volume as clients see it.
+/// One volume as an NBD export.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Export {
-    /// The name that clients ask for.
+    /// The export name that clients request.
     pub name: String,
-    /// The team that it belongs to.
+    /// The team that owns the volume.
     pub team: String,
-    /// Its volume.
+    /// The volume.
     pub volume: VolumeId,
-    /// Its plan, by number.
+    /// The number of the plan in the settings.
     pub plan: u16,
-    /// Through how many initiators its requests come.
+    /// The number of initiators that send requests of this volume.
     pub initiators: f64,
-    /// Its writes go to the write-back cache.
+    /// Whether writes go to the write-back cache.
     pub write_back: bool,
-    /// Its size in bytes.
+    /// The size, in bytes.
     pub size: u64,
-    /// Where its data lies, without gaps, in order.
+    /// The extents that hold the data, in order and without gaps.
     pub extents: Vec<Extent>,
 }
 
-/// Where the endpoint list is kept in etcd.
+/// Where etcd holds the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Etcd {
-    /// Its JSON gateway.
+    /// The address of etcd's JSON gateway.
     pub address: SocketAddr,
-    /// The prefix of the keys below which each endpoint has its entry.
+    /// The key prefix below which each endpoint has its entry.
     pub prefix: String,
 }
 
-/// How this initiator gossips with the others.
+/// The settings of gossip with the other initiators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peers {
-    /// This initiator's name, no other's.
+    /// The name of this initiator, unique among the initiators.
     pub name: String,
-    /// Where its peers reach it, by UDP and TCP.
+    /// The address at which peers reach this initiator, by both UDP and TCP.
     pub listen: SocketAddr,
-    /// Peers that are tried at the start.
+    /// The addresses of peers to contact at startup.
     pub join: Vec<SocketAddr>,
-    /// The region of this initiator; empty: all are in one.
+    /// The region of this initiator; empty: all initiators are in one region.
     pub region: String,
-    /// Its zone within the region; empty: the region has one.
+    /// The zone within the region; empty: the region has one zone.
     pub zone: String,
 }
 
-/// The write-back cache.
+/// The settings of the write-back cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WriteBack {
-    /// Where its log lies.
+    /// The directory of the log.
     pub folder: PathBuf,
-    /// The log's sizes.
+    /// The sizes of the log.
     pub log: shaletack_wal::LogConfig,
-    /// The longest that an attempt may still run at an endpoint after its connection closed.
+    /// The longest time that an attempt may still run at an endpoint after its connection closed.
     pub attempt_lifetime: Duration,
-    /// What becomes of a write that is not at its endpoint after that.
+    /// What happens to a write that is not at its endpoint after that time.
     pub doubt_policy: DoubtPolicy,
-    /// The most units a second that are sent to endpoints; 0: no limit.
+    /// The most units per second that are sent to endpoints; 0: no limit.
     pub units_per_second: u64,
-    /// A write that has waited so long is sent even while clients need its endpoint.
+    /// The age from which a write is sent even while clients need its endpoint.
     pub max_age: Duration,
 }
 
-/// The classes that reads and writes belong to, by number.
+/// The request classes of NBD commands, by number in the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Classes {
     /// Reads and flushes.
@@ -106,64 +108,67 @@
     pub write: u16,
 }
 
-/// The whole file.
+/// The checked content of an operator's file.
 #[derive(Clone, Debug)]
 pub struct Operator {
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// The scheduler's settings; their plans are the contracts of all teams.
+    /// The scheduler's settings, with the contracts of all teams as plans.
     pub settings: Settings,
-    /// How many bytes one unit stands for.
+    /// The size of one unit, in bytes.
     pub unit_bytes: u32,
-    /// Reads of more bytes than this are large.
+    /// Reads of more than this many bytes are large.
     pub large_read_threshold: u32,
-    /// The name of the export that the endpoints give.
+    /// The name of the NBD export that the endpoints serve.
     pub endpoint_export: String,
     /// The exports.
     pub exports: Vec<Export>,
-    /// The endpoint list, as it is at the start.
+    /// The endpoints that are known at startup.
     pub endpoints: EndpointList,
-    /// Where the endpoint list is followed, if anywhere.
+    /// Where the endpoint list is watched in etcd; `None`: the list is `endpoints`.
     pub etcd: Option<Etcd>,
-    /// The version of this configuration, where it names one.
+    /// The version of this configuration, if the file states one.
     pub version: Option<u64>,
-    /// How this initiator gossips with others, if it does.
+    /// The settings of gossip with the other initiators; `None`: no gossip.
     pub peers: Option<Peers>,
-    /// The write-back cache, if there is one.
+    /// The settings of the write-back cache; `None`: writes are not buffered.
     pub write_back: Option<WriteBack>,
-    /// Which classes commands belong to.
+    /// The request classes of NBD commands.
     pub classes: Classes,
-    /// How many file descriptors the process may hold.
+    /// The most file descriptors that the process may hold.
     pub max_descriptors: usize,
 }
 
-/// The JSON Schema of the file.
+/// Returns the JSON Schema of the operator's file.
 pub fn schema() -> serde_json::Value {
-    schemars::schema_for!(File).to_value()
+    schemars::schema_for!(OperatorFile).to_value()
 }
 
-/// Reads and checks the file's text; its bytes are overwritten.
+/// Parses and checks the text of an operator's file, whose bytes are overwritten.
 ///
 /// # Errors
-/// All that is wrong with it.
-pub fn read(text: &mut [u8]) -> Result<Operator, Faults> {
-    let value: serde_json::Value = simd_json::serde::from_slice(text).map_err(Problem::NotJson)?;
+/// The text is not valid JSON, or else all violations of the JSON Schema, or else all inconsistencies between
+/// parts of the file.
+pub fn read(text: &mut [u8]) -> Result<Operator, ValidationErrors> {
+    let value: serde_json::Value =
+        simd_json::serde::from_slice(text).map_err(ValidationErrorKind::NotJson)?;
     check_schema(&value)?;
-    let file: File = serde_json::from_value(value).map_err(Problem::NotARecord)?;
+    let file: OperatorFile = serde_json::from_value(value).map_err(ValidationErrorKind::Deserialize)?;
     check::check(file)
 }
 
-fn check_schema(value: &serde_json::Value) -> Result<(), Faults> {
-    let validator =
-        jsonschema::validator_for(&schema()).map_err(|error| Problem::BadSchema(Box::new(error)))?;
-    let mut faults = Faults::default();
+/// Checks a file against the JSON Schema and reports all violations.
+fn check_schema(value: &serde_json::Value) -> Result<(), ValidationErrors> {
+    let validator = jsonschema::validator_for(&schema())
+        .map_err(|error| ValidationErrorKind::InvalidSchema(Box::new(error)))?;
+    let mut errors = ValidationErrors::default();
     for error in validator.iter_errors(value) {
         let path = error.instance_path().as_str().to_owned();
-        faults.add(path, Problem::AgainstSchema(Box::new(error.to_owned())));
+        errors.add(path, ValidationErrorKind::SchemaViolation(Box::new(error.to_owned())));
     }
-    if faults.is_empty() {
+    if errors.is_empty() {
         Ok(())
     } else {
-        Err(faults)
+        Err(errors)
     }
 }
--- a/src/operator/records.rs
+++ b/src/operator/records.rs
@@ -1,5 +1,9 @@
-//! The operator's file as typed records: what may stand in it, with its bounds. Their JSON Schema is what
-//! `shaletack schema` prints and what a file is checked against before anything is read from it.
+//! The schema of the operator's file: one type for each JSON object, with the bounds of its values.
+//!
+//! `shaletack schema` prints the JSON Schema of these types, and a file is checked against it before it is
+//! deserialized. The doc comments are the schema's descriptions. Fields have the names of the keys in the
+//! file; the terms of the code are those of [`Operator`](super::Operator) and [`Settings`]. A type whose name
+//! differs from its name in the schema has a `rename` attribute.
 
 use crate::interface::{self, DedupScope, RequestClass, Settings, SharedRules};
 use schemars::JsonSchema;
@@ -10,54 +14,55 @@
 #[derive(Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(title = "shaletack operator's file")]
-pub struct File {
-    /// Where NBD clients connect: a loopback address and a port.
+pub struct OperatorFile {
+    /// The address that NBD clients connect to: a loopback address and a port.
     pub listen: String,
-    /// How many bytes one unit stands for.
+    /// The size of one unit, in bytes.
     #[schemars(range(min = 512, max = 1_048_576))]
     pub unit_bytes: u32,
-    /// Reads of more bytes than this are large: they belong to the reading class with the longest aim, others to
-    /// the one with the shortest.
+    /// Reads of more than this many bytes are large. Large reads belong to the read class with the longest
+    /// latency objective (`aim`), other reads to the one with the shortest.
     #[schemars(range(min = 1, max = 33_554_432))]
     pub large_from: u32,
-    /// The name of the export that the boxes give.
+    /// The name of the NBD export that the endpoints serve.
     #[serde(default)]
     pub box_export: String,
-    /// How many file descriptors the process may hold.
-    #[serde(default = "sockets")]
+    /// The most file descriptors that the process may hold.
+    #[serde(default = "default_sockets")]
     #[schemars(range(min = 16))]
     pub sockets: usize,
-    /// The teams and what they have contracted.
+    /// The teams and their contracts.
     pub teams: Vec<Team>,
-    /// What clients mount.
+    /// The exports that NBD clients mount.
     #[schemars(length(min = 1))]
     pub exports: Vec<Export>,
-    /// The disk boxes as they are at the start.
+    /// The endpoints that are known at startup.
     #[serde(default)]
-    pub boxes: Vec<DiskBox>,
-    /// Where the list of boxes is followed, if anywhere.
-    // Not the schema of an option: of a fault within, that would say only that neither form fits.
+    pub boxes: Vec<Endpoint>,
+    /// Where the endpoint list is watched in etcd. Without it, the endpoint list is `boxes`.
+    // The schema of an `Option` would report an error inside the object only as a match of neither
+    // alternative, object or null.
     #[serde(default)]
     #[schemars(with = "Etcd")]
     pub etcd: Option<Etcd>,
-    /// The version of this configuration: whoever changes it raises it. Peers tell each other how many have it in
-    /// force.
+    /// The version of this configuration, to be raised with each change. Peers tell each other how many of
+    /// them have it in force.
     #[serde(default)]
     #[schemars(with = "u64")]
     pub version: Option<u64>,
-    /// The other initiators of the installation, where they talk to each other.
+    /// Gossip with the other initiators of the installation; off if missing.
     #[serde(default)]
     #[schemars(with = "Peers")]
     pub peers: Option<Peers>,
-    /// The buffer for writes, needed by exports that say so.
+    /// The write-back cache, required by exports with `write_back`.
     #[serde(default)]
     #[schemars(with = "WriteBack")]
     pub write_back: Option<WriteBack>,
-    /// The scheduler's settings, in the platform's form.
-    pub settings: Scheduling,
+    /// The scheduler's settings, with the keys of the platform's configuration.
+    pub settings: SchedulerSettings,
 }
 
-fn sockets() -> usize {
+fn default_sockets() -> usize {
     1024
 }
 
@@ -65,376 +70,387 @@
     1.0
 }
 
-/// A team.
+/// A team that has contracted plans for its volumes.
 #[derive(Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Its name.
+    /// The name of the team.
     #[schemars(length(min = 1))]
     pub name: String,
-    /// The plans its volumes may stand on.
+    /// The plans that volumes of the team may have.
     pub contracts: Vec<Contract>,
 }
 
-/// One plan of a team; its figures hold for each volume on it.
+/// One plan of a team. Its values apply to each volume that has the plan, over all initiators and endpoints
+/// together.
 #[derive(Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Contract {
-    /// The plan's name.
+    /// The name of the plan.
     #[schemars(length(min = 1))]
     pub plan: String,
-    /// Units a second that earn their full worth.
+    /// The reserve, in units per second: work within it earns its full priority weight.
     #[serde(default)]
     #[schemars(range(min = 0))]
     pub reserve: f64,
-    /// Units a second at most; 0: no limit.
+    /// The limit, in units per second; 0: no limit.
     #[serde(default)]
     #[schemars(range(min = 0))]
     pub limit: f64,
-    /// The most that the limit's store holds, in units.
+    /// The burst: the capacity of the limit's token bucket, in units.
     #[serde(default)]
     #[schemars(range(min = 0))]
     pub burst: f64,
-    /// Its part of what boxes can do beyond the reserves.
+    /// The share of the endpoints' capacity beyond the reserves, relative to the weights of the other plans.
     #[serde(default = "one")]
     #[schemars(extend("exclusiveMinimum" = 0))]
     pub weight: f64,
 }
 
-/// What a client mounts.
+/// One volume as an NBD export.
 #[derive(Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Export {
-    /// The name that clients ask for.
+    /// The export name that clients request.
     pub name: String,
-    /// The team that it belongs to.
+    /// The name of the team that owns the volume.
     pub team: String,
-    /// Which of the team's plans it stands on.
+    /// The plan of the volume, one of the team's contracts.
     pub plan: String,
-    /// Its volume, in hex digits.
+    /// The volume id, in hexadecimal digits.
     #[schemars(regex(pattern = r"^[0-9a-fA-F]{1,16}$"))]
     pub volume: String,
-    /// Through how many initiators its requests come.
+    /// The number of initiators that send requests of this volume.
     #[serde(default = "one")]
     #[schemars(range(min = 1))]
     pub hosts: f64,
-    /// Its size in bytes.
+    /// The size, in bytes.
     #[schemars(range(min = 1))]
     pub size: u64,
-    /// Writes are buffered; see `write_back` of the file.
+    /// Whether writes go to the write-back cache, see `write_back` of the file.
     #[serde(default)]
     pub write_back: bool,
-    /// Where its data lies, in order and without gaps.
+    /// The extents that hold the data, in order and without gaps.
     pub extents: Vec<Extent>,
 }
 
-/// A part of an export on one shard.
+/// A part of an export that one shard holds.
 #[derive(Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Extent {
-    /// How many bytes it holds.
+    /// The length, in bytes.
     #[schemars(range(min = 1))]
     pub length: u64,
-    /// The shard.
+    /// The shard that holds the extent.
     pub shard: u16,
-    /// Where it starts on the shard's box, in bytes.
+    /// The offset at the shard's endpoint, in bytes.
     #[serde(default)]
     pub at: u64,
 }
 
-/// A disk box, in discovery's form.
+/// An endpoint, with the keys that discovery uses.
 #[derive(Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct DiskBox {
-    /// Its name, alike at every initiator.
+#[schemars(rename = "DiskBox")]
+pub struct Endpoint {
+    /// The name, the same at every initiator.
     #[schemars(length(min = 1))]
     pub id: String,
-    /// Its address and port; a removed one needs none.
+    /// The IP address and the port; a removed endpoint needs none.
     #[serde(default)]
     pub host_port: String,
-    /// Its zone.
+    /// The name of the zone.
     #[serde(default)]
     pub locality: String,
-    /// The shard it holds.
+    /// The shard that the endpoint holds.
     #[serde(default)]
     pub cell: u16,
-    /// What it is ready for.
+    /// Whether the endpoint takes requests.
     pub phase: Phase,
-    /// When it last started, in Unix milliseconds; 0: long ago.
+    /// The time of the last start, in milliseconds since the Unix epoch; 0: long ago.
     #[serde(default)]
     pub up_since_ms: u64,
 }
 
-/// What a box is ready for.
+/// Whether an endpoint takes requests.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// Takes work.
+    /// The endpoint takes requests.
     Up,
-    /// Finishes its work.
+    /// The endpoint finishes the requests that it has.
     Draining,
-    /// Is gone.
+    /// The endpoint no longer exists.
     Removed,
 }
 
-/// Where the list of boxes is kept in etcd.
+/// Where etcd holds the endpoint list.
 #[derive(Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Etcd {
-    /// Its JSON gateway: a loopback address and a port.
+    /// The JSON gateway of etcd: a loopback address and a port.
     pub address: String,
-    /// The keys below which each box has its entry.
+    /// The key prefix below which each endpoint has its entry.
     #[serde(default)]
     pub prefix: String,
 }
 
-/// The other initiators, told and asked what each knows of boxes.
+/// Gossip with the other initiators, which exchange what each observes of the endpoints.
 #[derive(Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// This initiator's name, no other's.
+    /// The name of this initiator, unique among the initiators.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
-    /// Where it hears its peers, by UDP and TCP alike: a loopback address and a port.
+    /// The address at which peers reach this initiator, by both UDP and TCP: a loopback address and a port.
     pub listen: String,
-    /// Peers that may be there; any one of them is enough to know all.
+    /// The addresses of peers that may be running. One running peer is enough to find all others.
     #[schemars(length(max = 64))]
     pub join: Vec<String>,
-    /// The region that this initiator stands in, where there is more than one.
+    /// The region of this initiator, if there is more than one.
     #[serde(default)]
     #[schemars(length(max = 64))]
     pub region: String,
-    /// Its zone within the region: most news goes to peers of the same zone first.
+    /// The zone within the region: most gossip goes to peers in the same zone first.
     #[serde(default)]
     #[schemars(length(max = 64))]
     pub zone: String,
 }
 
-/// The buffer for writes.
+/// The write-back cache, which buffers writes in a log.
 #[derive(Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct WriteBack {
-    /// Where its log lies: a folder of its own, on a disk that lasts.
+    /// The directory of the log, on a persistent disk and used for nothing else.
     #[schemars(length(min = 1))]
     pub folder: String,
-    /// The most that the log takes, in MiB; writes wait beyond.
-    #[serde(default = "most_mib")]
+    /// The maximum size of the log, in MiB; writes wait while the log is full.
+    #[serde(default = "default_most_mib")]
     #[schemars(range(min = 64, max = 65_536))]
     pub most_mib: u64,
-    /// The longest that an attempt may still run at a box after its connection closed, in milliseconds.
+    /// The longest time that an attempt may still run at an endpoint after its connection closed, in
+    /// milliseconds.
     #[schemars(range(min = 100, max = 3_600_000))]
     pub attempt_lives_ms: u64,
-    /// What becomes of a write that is not at its box after that.
+    /// What happens to a write that is not at its endpoint after that time.
     #[serde(default)]
-    pub unsettled: Unsettled,
-    /// Units a second sent to boxes at most; 0: no bound.
+    pub unsettled: UnsettledPolicy,
+    /// The most units per second that are sent to endpoints; 0: no limit.
     #[serde(default)]
     pub units: u64,
-    /// A write that has waited so long is sent even while clients need its box, in milliseconds.
-    #[serde(default = "age_ms")]
+    /// The age from which a write is sent even while clients need its endpoint, in milliseconds.
+    #[serde(default = "default_age_ms")]
     #[schemars(range(min = 1))]
     pub age_ms: u64,
 }
 
-fn most_mib() -> u64 {
+fn default_most_mib() -> u64 {
     256
 }
 
-fn age_ms() -> u64 {
+fn default_age_ms() -> u64 {
     3000
 }
 
-/// What becomes of a write that is not at its box after its attempt can't run any more.
+/// What happens to a write that is not at its endpoint when its attempt can't run any more.
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
-pub enum Unsettled {
-    /// It waits for an operator.
+#[schemars(rename = "Unsettled")]
+pub enum UnsettledPolicy {
+    /// The write waits for an operator's decision.
     #[default]
     Ask,
-    /// It is sent again: the operator vouches for `attempt_lives_ms`, and that nobody else writes there.
+    /// The write is sent again. The operator guarantees that no attempt outlives `attempt_lives_ms`, and that
+    /// nobody else writes to the same place.
     Resend,
 }
 
-/// The scheduler's settings. Spans are in nanoseconds.
+/// The scheduler's settings. Durations are in nanoseconds.
 #[derive(Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Scheduling {
-    /// How many initiators there are.
+#[schemars(rename = "Scheduling")]
+pub struct SchedulerSettings {
+    /// The number of initiators, this one included.
     #[schemars(range(min = 1, max = 65_536))]
     pub balancers: u32,
-    /// This one's number among them.
+    /// The rank of this initiator among them, from 0.
     #[serde(default)]
     pub rank: u32,
-    /// This one's zone, by its number.
+    /// The zone of this initiator, by number.
     #[serde(default)]
     pub my_zone: u16,
-    /// The zones' names.
+    /// The names of the zones, in the order of their numbers.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// The shortest time between batches.
+    /// The shortest time between batches of events.
     #[serde(default)]
     pub step: u64,
-    /// How the list of boxes comes.
+    /// How the endpoint list is delivered.
     #[serde(default)]
-    pub membership_mode: Membership,
-    /// The classes of requests: one that writes and one or more that read, see `domain.changes-data`.
-    pub lanes: Vec<Lane>,
-    /// None here: contracts stand under `teams`.
+    pub membership_mode: MembershipMode,
+    /// The request classes: one that writes data and one or more that read, see `domain.changes-data`.
+    pub lanes: Vec<ClassSettings>,
+    /// Must be empty: the plans are the contracts under `teams`.
     #[serde(default)]
     #[schemars(length(max = 0))]
     pub plans: Vec<()>,
-    /// Bounds.
+    /// Limits on attempts, connections and open requests.
     #[serde(default)]
     pub limits: Limits,
-    /// Figures of the field.
+    /// The sizes, weights and metering of work.
     #[serde(default)]
     pub domain: Domain,
-    /// Figures of the rules.
+    /// The rules that all initiators keep with endpoints that start or drain.
     #[serde(default)]
     pub invariants: Invariants,
 }
 
-/// How the list of boxes comes.
+/// How the endpoint list is delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Membership {
-    /// By itself.
+#[schemars(rename = "Membership")]
+pub enum MembershipMode {
+    /// Changes are sent without a request.
     #[default]
     Pushed,
-    /// When it is asked for.
+    /// The list is sent on request only.
     OnRequest,
 }
 
-/// One class of requests.
+/// One request class.
 #[derive(Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Lane {
-    /// Its name.
+#[schemars(rename = "Lane")]
+pub struct ClassSettings {
+    /// The name of the class.
     pub name: String,
-    /// Full worth is earned by an answer within this time.
+    /// The latency objective: an answer within this time earns the full priority weight.
     pub aim: u64,
-    /// A client's whole wait.
+    /// The deadline: the time that a client waits in all.
     #[schemars(range(min = 1))]
     pub deadline: u64,
-    /// What a repeat may do.
+    /// The effect of a repeated request.
     pub idempotency: Idempotency,
-    /// Who drops repeats.
+    /// Which endpoints drop repeated requests.
     #[serde(default)]
-    pub group: Dropping,
-    /// The part of the worth that a late answer earns.
+    pub group: DedupGroup,
+    /// The fraction of the priority weight that an answer after the latency objective earns.
     #[serde(default)]
     #[schemars(range(min = 0, max = 1))]
     pub late_worth: f64,
-    /// How long repeats are dropped.
+    /// How long endpoints drop repeated requests.
     #[serde(default)]
     pub memory_span: u64,
-    /// What one request is worth.
+    /// The priority weight of one request.
     #[serde(default)]
     #[schemars(range(min = 0))]
     pub value: f64,
-    /// Requests of one key run one at a time.
+    /// Whether requests with the same key run one at a time.
     #[serde(default)]
     pub keep_order: bool,
 }
 
-/// What a repeat may do.
+/// The effect of a repeated request.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Idempotency {
-    /// No harm.
+    /// A repeat does no harm.
     Idempotent,
-    /// Boxes of the group drop it.
+    /// The endpoints of the group drop a repeat.
     Deduplicated,
-    /// It would take effect again.
+    /// A repeat would take effect again.
     AtMostOnce,
 }
 
-/// Which boxes drop repeats.
+/// Which endpoints drop repeated requests.
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
-pub enum Dropping {
-    /// Every box.
+#[schemars(rename = "Dropping")]
+pub enum DedupGroup {
+    /// All endpoints.
     All,
-    /// Those of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// Those of one shard; the platform's word for one is `cell`.
+    /// The endpoints of one shard, which the platform calls a cell.
     #[default]
     Shard,
-    /// The same.
+    /// The same as `shard`.
     Cell,
 }
 
-/// Bounds.
+/// Limits on attempts, connections and open requests.
 #[derive(Debug, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Limits {
-    /// Attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub cancelling: bool,
-    /// A connection not made by then is given up; 0: 250 ms.
+    /// The time after which connecting to an endpoint is given up; 0: 250 ms.
     pub connect_timeout: u64,
-    /// Idle box connections end after this; 0: 5 s.
+    /// The time after which an endpoint closes an idle connection; 0: 5 s.
     pub keepalive: u64,
-    /// The longest wait that a refusal names; 0: none stated.
+    /// The longest delay that a rejected request is told to wait before a retry; 0: no maximum.
     pub max_retry_after: u64,
-    /// The most attempts of a request; 0: no such limit.
+    /// The maximum number of attempts of one request; 0: no maximum.
     pub try_limit: u32,
-    /// A request may have two attempts out; no front asks for it.
+    /// Whether a request may have two attempts in flight (a hedged request); no front asks for one.
     pub second_copies: bool,
-    /// The most requests open at a time; 0: not stated.
+    /// The maximum number of open requests; 0: not stated.
     pub open_requests: usize,
 }
 
-/// Figures of the field.
+/// The sizes, weights and metering of work.
 #[derive(Debug, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Domain {
-    /// Units within `tip-after`, from all initiators together, that a cold box bears.
+    /// The units within `tip-after`, from all initiators together, that an endpoint in slow start takes.
     #[schemars(range(min = 0))]
     pub cold_bears: f64,
-    /// Mean units of a request.
+    /// The mean size of a request, in units.
     #[schemars(range(min = 0))]
     pub unit_mean: f64,
-    /// The most units of a request.
+    /// The size of the largest request, in units.
     #[schemars(range(min = 0))]
     pub units_top: f64,
-    /// Part of the worth beyond the reserve, inside the share.
+    /// The fraction of the priority weight that work beyond the reserve and within the volume's share earns.
     #[schemars(range(min = 0, max = 1))]
     pub share_worth: f64,
-    /// Part of the worth beyond both.
+    /// The fraction of the priority weight that work beyond both the reserve and the share earns.
     #[schemars(range(min = 0, max = 1))]
     pub beyond_share: f64,
-    /// The period over which the meter adds up use; 0: no meter.
+    /// The period over which the meter sums up usage; 0: no meter.
     pub meter_period: u64,
-    /// For each class: it writes. Where it is left out, those write that are not `idempotent`.
+    /// For each class in `lanes`, whether it writes data. If missing, classes that are not `idempotent`
+    /// write.
     pub changes_data: Vec<bool>,
 }
 
-/// Figures of the rules.
+/// The rules that all initiators keep with endpoints that start or drain.
 #[derive(Debug, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Invariants {
-    /// The part of its usual work that a box just started can do.
+    /// The fraction of its usual work that an endpoint can do just after its start.
     #[schemars(range(min = 0, max = 1))]
     pub start_capacity: f64,
-    /// A box is warm this long after its start.
+    /// The duration of slow start: an endpoint can do all of its usual work this long after its start.
     pub warm_up: u64,
-    /// A cold box falls over when sent more than so many times what it can do.
+    /// An endpoint in slow start fails when it is sent more than this many times what it can do.
     #[schemars(range(min = 0))]
     pub overload_factor: f64,
-    /// The span over which work sent to a cold box is counted.
+    /// The window over which work sent to an endpoint in slow start is counted.
     pub tip_after: u64,
-    /// Work stops within this of a drain that was told. It stops at once, whatever stands here.
+    /// The time after the announcement of a drain within which requests to the endpoint stop. The value has
+    /// no effect: requests stop at once.
     pub stop_sending_within: u64,
 }
 
-impl From<Scheduling> for Settings {
-    fn from(set: Scheduling) -> Settings {
-        let span = Duration::from_nanos;
-        let Scheduling { limits, domain, invariants, .. } = set;
-        let class = |lane: Lane| RequestClass {
+impl From<SchedulerSettings> for Settings {
+    fn from(settings: SchedulerSettings) -> Settings {
+        let nanos = Duration::from_nanos;
+        let SchedulerSettings { limits, domain, invariants, .. } = settings;
+        let class = |lane: ClassSettings| RequestClass {
             name: lane.name,
-            latency_objective: span(lane.aim),
-            deadline: span(lane.deadline),
+            latency_objective: nanos(lane.aim),
+            deadline: nanos(lane.deadline),
             late_weight: lane.late_worth,
             priority_weight: lane.value,
             idempotency: match lane.idempotency {
@@ -443,39 +459,39 @@
                 Idempotency::AtMostOnce => interface::Idempotency::NotIdempotent,
             },
             dedup_scope: match lane.group {
-                Dropping::All => DedupScope::All,
-                Dropping::Zone => DedupScope::Zone,
-                Dropping::Shard | Dropping::Cell => DedupScope::Shard,
+                DedupGroup::All => DedupScope::All,
+                DedupGroup::Zone => DedupScope::Zone,
+                DedupGroup::Shard | DedupGroup::Cell => DedupScope::Shard,
             },
-            dedup_window: span(lane.memory_span),
+            dedup_window: nanos(lane.memory_span),
             ordered: lane.keep_order,
             max_attempts: limits.try_limit,
             retired: false,
         };
         Settings {
-            initiators: set.balancers,
-            rank: set.rank,
-            zone: set.my_zone,
-            zones: set.zones,
-            min_batch_interval: span(set.step),
-            endpoint_list_polled: set.membership_mode == Membership::OnRequest,
-            classes: set.lanes.into_iter().map(class).collect(),
+            initiators: settings.balancers,
+            rank: settings.rank,
+            zone: settings.my_zone,
+            zones: settings.zones,
+            min_batch_interval: nanos(settings.step),
+            endpoint_list_polled: settings.membership_mode == MembershipMode::OnRequest,
+            classes: settings.lanes.into_iter().map(class).collect(),
             rules: SharedRules {
                 slow_start_capacity: invariants.start_capacity,
-                slow_start_duration: span(invariants.warm_up),
+                slow_start_duration: nanos(invariants.warm_up),
                 overload_factor: invariants.overload_factor,
-                overload_window: span(invariants.tip_after),
+                overload_window: nanos(invariants.tip_after),
                 ..SharedRules::default()
             },
             max_attempts: limits.try_limit,
             hedging_allowed: limits.second_copies,
             cancellation_allowed: limits.cancelling,
-            max_retry_after: span(limits.max_retry_after),
+            max_retry_after: nanos(limits.max_retry_after),
             slow_start_units: domain.cold_bears,
-            keep_alive_timeout: span(limits.keepalive),
-            connect_timeout: span(limits.connect_timeout),
+            keep_alive_timeout: nanos(limits.keepalive),
+            connect_timeout: nanos(limits.connect_timeout),
             max_open_requests: limits.open_requests,
-            meter_period: span(domain.meter_period),
+            meter_period: nanos(domain.meter_period),
             mean_request_units: domain.unit_mean,
             max_request_units: domain.units_top,
             within_share_weight: domain.share_worth,
