--- a/src/operator/exports.rs
+++ b/src/operator/exports.rs
@@ -8,8 +8,8 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The fraction of a limit's burst by which sending may exceed the burst for a moment. At least the largest
-/// request may.
+/// The fraction of a limit's burst by which sending may exceed the burst for a moment. The excess may always
+/// be as large as the largest request.
 const BURST_TOLERANCE: f64 = 0.1;
 
 /// The numbers of the plans, by team name and plan name.
@@ -25,8 +25,8 @@
     for (team_index, team) in teams.iter().enumerate() {
         let path = format!("/teams/{team_index}");
         let plans = check_team_contracts(team, &path, settings, errors);
-        // The first team of a name stays, so that exports that refer to a duplicate name cause no errors of
-        // their own.
+        // The first team of that name stays: an export of a team with a duplicate name is not an error of its
+        // own.
         match plan_numbers.entry(team.name.clone()) {
             Entry::Vacant(entry) => drop(entry.insert(plans)),
             Entry::Occupied(_) => {
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,5 @@
-//! The program as its users start it: sub-commands, a bad configuration, a planned stop.
+//! The program as its users start it: sub-commands, invalid configurations, reloads, shutdown, and the
+//! takeover by a new version.
 
 mod common;
 use common::program::*;
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn the_sub_commands_say_what_they_find() {
+fn sub_commands_succeed_with_valid_input() {
     let version = run(&["version"]);
     assert_eq!(
         String::from_utf8_lossy(&version.stdout),
@@ -37,10 +38,10 @@
 }
 
 #[test]
-fn what_is_wrong_is_one_line_and_a_failure() {
+fn each_error_is_one_line_and_a_failure_status() {
     let operator =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/operator.json")).unwrap();
-    let wrong = |name: &str, from: &str, to: &str| {
+    let invalid_file = |name: &str, from: &str, to: &str| {
         assert!(operator.contains(from), "{from}");
         file(name, &operator.replacen(from, to, 1))
     };
@@ -56,19 +57,27 @@
         vec![
             "check-config".into(),
             "--operator".into(),
-            wrong("team.json", "\"team\": \"leituras\"", "\"team\": \"x\""),
+            invalid_file("team.json", "\"team\": \"leituras\"", "\"team\": \"x\""),
         ],
-        vec!["check-config".into(), "--operator".into(), wrong("size.json", "134217728", "134217729")],
+        vec!["check-config".into(), "--operator".into(), invalid_file("size.json", "134217728", "134217729")],
         vec![
             "check-config".into(),
             "--operator".into(),
-            wrong("away.json", "127.0.0.1:10809", "10.0.0.1:10809"),
+            invalid_file("away.json", "127.0.0.1:10809", "10.0.0.1:10809"),
+        ],
+        vec![
+            "check-config".into(),
+            "--operator".into(),
+            invalid_file("cell.json", "\"cell\": 0", "\"cell\": 9"),
+        ],
+        vec![
+            "serve".into(),
+            "--operator".into(),
+            invalid_file("plan.json", "\"limit\": 200", "\"limit\": -1"),
         ],
-        vec!["check-config".into(), "--operator".into(), wrong("cell.json", "\"cell\": 0", "\"cell\": 9")],
-        vec!["serve".into(), "--operator".into(), wrong("plan.json", "\"limit\": 200", "\"limit\": -1")],
     ];
     let good = config("127.0.0.1:0", "1");
-    let fleets = [
+    let invalid_initiators = [
         "",
         "\"balancers\":0",
         "\"balancers\":-3",
@@ -79,41 +88,44 @@
         "\"balancers\":70000",
         "\"balancers\":3",
     ];
-    let told = |n: usize| good.replacen("\"balancers\":1", fleets[n], 1).replace("{,", "{");
-    let named = |n: usize| vec!["check-config".into(), file(&format!("fleet{n}.json"), &told(n))];
-    let told_fleet = (0..fleets.len()).map(named);
-    for args in cases.into_iter().chain(told_fleet) {
+    let text = |n: usize| good.replacen("\"balancers\":1", invalid_initiators[n], 1).replace("{,", "{");
+    let arguments = |n: usize| vec!["check-config".into(), file(&format!("initiators{n}.json"), &text(n))];
+    let initiator_cases = (0..invalid_initiators.len()).map(arguments);
+    for args in cases.into_iter().chain(initiator_cases) {
         let output = run(&args.iter().map(String::as_str).collect::<Vec<_>>());
-        let said = String::from_utf8_lossy(&output.stderr);
+        let errors = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{args:?}");
-        assert_eq!(said.lines().count(), 1, "{args:?}: {said}");
-        let fleet = args.iter().any(|a| a.contains("fleet"));
-        assert!(!fleet || said.contains("balancers: ") || said.contains("rank: "), "{args:?}: {said}");
+        assert_eq!(errors.lines().count(), 1, "{args:?}: {errors}");
+        let is_initiator_case = args.iter().any(|argument| argument.contains("initiators"));
+        let names_key = errors.contains("balancers: ") || errors.contains("rank: ");
+        assert!(!is_initiator_case || names_key, "{args:?}: {errors}");
     }
 }
 
-/// SIGHUP ended the process, which no handler waited for, and with it all that it had taken.
+/// Guards against a SIGHUP without a handler, which ended the process and lost all requests that it had
+/// accepted. An invalid file must leave the configuration in force, and a valid one must move the watch to
+/// the new discovery address.
 #[test]
-fn a_hangup_moves_the_watch_to_where_the_new_file_says() {
+fn a_hangup_moves_the_watch_to_the_address_in_the_new_file() {
     let agents = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
-    let places = agents.each_ref().map(|a| a.local_addr().unwrap().to_string());
+    let addresses = agents.each_ref().map(|agent| agent.local_addr().unwrap().to_string());
     let text = |agent: &str| {
         config("127.0.0.1:0", "1").replace("\"127.0.0.1:9\",\"seed", &format!("\"{agent}\",\"seed"))
     };
-    let path = file("moves.json", &text(&places[0]));
-    // The environment's word, right at the start, must not hold for a new file.
+    let path = file("moves.json", &text(&addresses[0]));
+    // `ROUTER_DISCOVERY` holds the address of the start and must not override the new file.
     let mut command = shaletack(&["--config", &path]);
-    let (mut child, mut lines, _) = Running::start(command.env("ROUTER_DISCOVERY", &places[0]));
-    let watched = |agent: &TcpListener| {
-        let (mut stream, mut asked) = (agent.accept().unwrap().0, String::new());
-        BufReader::new(&stream).read_line(&mut asked).unwrap();
-        assert!(asked.contains("stream=1&index=41"), "{asked}");
+    let (mut child, mut lines, _) = Running::start(command.env("ROUTER_DISCOVERY", &addresses[0]));
+    let accept_watch = |agent: &TcpListener| {
+        let (mut stream, mut request_line) = (agent.accept().unwrap().0, String::new());
+        BufReader::new(&stream).read_line(&mut request_line).unwrap();
+        assert!(request_line.contains("stream=1&index=41"), "{request_line}");
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n").unwrap();
         stream
     };
-    let mut old = watched(&agents[0]);
-    let good = text(&places[1]);
-    for bad in [
+    let mut old_watch = accept_watch(&agents[0]);
+    let good = text(&addresses[1]);
+    for invalid in [
         String::new(),
         good[..good.len() / 2].into(),
         good.replace("\"aim\":150000000,", ""),
@@ -122,23 +134,23 @@
         good.replace("1200000000", "\"long\""),
         good.replace("\"try-limit\":4", "\"try-limit\":-1"),
     ] {
-        assert_ne!(bad, good);
-        file("moves.json", &bad);
+        assert_ne!(invalid, good);
+        file("moves.json", &invalid);
         child.signal("-HUP");
-        let told = lines.find(|l| l.contains("configuration")).unwrap();
-        assert!(told.contains(" WARN the new configuration is not used why="), "{told}");
+        let line = lines.find(|line| line.contains("configuration")).unwrap();
+        assert!(line.contains(" WARN the new configuration is not used why="), "{line}");
     }
-    file("moves.json", &text(&places[1]));
+    file("moves.json", &text(&addresses[1]));
     child.signal("-HUP");
-    let _new = watched(&agents[1]);
-    // Where the new watch has spoken the old one ends.
-    assert_eq!(old.read_to_end(&mut Vec::new()).unwrap_or(0), 0);
+    let _new_watch = accept_watch(&agents[1]);
+    // The old watch ends when the new one brings its first event.
+    assert_eq!(old_watch.read_to_end(&mut Vec::new()).unwrap_or(0), 0);
     child.signal("-TERM");
     assert!(child.0.wait().unwrap().success());
 }
 
 #[test]
-fn a_planned_stop_ends_with_success() {
+fn a_graceful_shutdown_ends_with_success() {
     let good = file("stop.json", &config("127.0.0.1:0", "1"));
     let (mut child, mut lines, address) = Running::start(&mut shaletack(&["--config", &good]));
     let mut client = TcpStream::connect(address).unwrap();
@@ -151,10 +163,11 @@
     assert!(lines.any(|l| l.ends_with(" INFO stopped: every accepted request is answered")));
 }
 
-/// SIGTERM right at the start, a second one, and a SIGHUP while it stops: each ends with success, and soon.
+/// A SIGTERM during startup, and a SIGHUP and a second SIGTERM during shutdown, all end the process with
+/// success within 3 s.
 #[test]
-fn a_stop_comes_at_any_time_and_more_than_once() {
-    // An agent that says nothing holds the start up for a moment.
+fn a_shutdown_may_come_at_any_time_and_more_than_once() {
+    // A silent agent delays the startup for a moment.
     let agent = TcpListener::bind("127.0.0.1:0").unwrap();
     let path = file("early.json", &config("127.0.0.1:0", "1"));
     for early in [true, false] {
@@ -162,12 +175,13 @@
         command.env("ROUTER_DISCOVERY", agent.local_addr().unwrap().to_string());
         let mut child = Running(command.spawn().unwrap());
         let mut lines = BufReader::new(child.0.stderr.take().unwrap()).lines().map(|l| l.unwrap());
-        let sign = if early { " starting " } else { " listens for " };
-        lines.find(|l| l.contains(sign)).expect("it says so");
+        let message = if early { " starting " } else { " listens for " };
+        lines.find(|line| line.contains(message)).expect("the process logs its startup");
         let start = std::time::Instant::now();
         child.signal("-TERM");
         if !early {
-            lines.find(|l| l.ends_with(" INFO stopping connections=0 requests=0")).expect("it stops");
+            let stopping = " INFO stopping connections=0 requests=0";
+            lines.find(|line| line.ends_with(stopping)).expect("the process logs its shutdown");
             child.signal("-HUP");
             child.signal("-TERM");
         }
@@ -176,30 +190,31 @@
     }
 }
 
-/// Nine in ten restarted processes are to be ready within 10 s, also where discovery says nothing, refuses connections or
-/// calls, or gives a head and no more: eight at once with each, and all of them.
+/// Nine in ten restarted processes must be ready within 10 s, even if discovery is silent, refuses
+/// connections or calls, or sends a response head and nothing after it. The test starts eight processes at
+/// once for each of these failures, and all of them must be ready within 8 s.
 #[test]
 fn processes_are_ready_soon_whatever_discovery_does() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let says = |head: &'static str| {
+    let agent_with_head = |head: &'static str| {
         let agent = TcpListener::bind("127.0.0.1:0").unwrap();
-        let place = agent.local_addr().unwrap().to_string();
+        let address = agent.local_addr().unwrap().to_string();
         std::thread::spawn(move || {
-            let mut held = Vec::new();
+            let mut open = Vec::new();
             for stream in agent.incoming() {
                 let mut stream = stream.unwrap();
-                // Whoever asks may be gone by now.
+                // The process may have closed the connection by now.
                 let _ = stream.write_all(head.as_bytes());
-                held.push(stream);
+                open.push(stream);
             }
         });
-        place
+        address
     };
     let agents = [
         silent.local_addr().unwrap().to_string(),
         "127.0.0.1:9".into(),
-        says("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
-        says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        agent_with_head("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
+        agent_with_head("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"),
     ];
     for mode in ["pushed", "on_request"] {
         let text = config("127.0.0.1:0", "1")
@@ -214,17 +229,18 @@
             started.push((child, lines));
         }
         for (_, lines) in &mut started {
-            let line = lines.find(|l| l.contains(" listens for ")).expect("it says where");
+            let line =
+                lines.find(|line| line.contains(" listens for ")).expect("the process logs its address");
             assert_eq!(exchange(&mut TcpStream::connect(field(&line, "at")).unwrap(), "GET /_health").0, 200);
         }
         assert!(start.elapsed() < std::time::Duration::from_secs(8), "{:?}", start.elapsed());
     }
 }
 
-/// Processes are killed (SIGKILL) right at their start, just when they listen, and under clients that are connected:
-/// the next one at that address is there at once, with nothing of the dead one's in its way.
+/// Processes are killed (SIGKILL) during startup, as soon as they listen, and while clients are connected.
+/// The next process at that address serves within 3 s, and nothing that the killed one left prevents that.
 #[test]
-fn a_killed_process_is_followed_at_its_address_at_once() {
+fn a_killed_process_is_replaced_at_its_address_at_once() {
     let folder =
         std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("killed-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -235,35 +251,36 @@
         command
     };
     let health = |client: &mut TcpStream| exchange(client, "GET /_health").0;
-    let (first, _lines, place) = Running::start(&mut command("127.0.0.1:0"));
-    let mut clients: Vec<_> = (0..8).map(|_| TcpStream::connect(&place).unwrap()).collect();
+    let (first, _lines, address) = Running::start(&mut command("127.0.0.1:0"));
+    let mut clients: Vec<_> = (0..8).map(|_| TcpStream::connect(&address).unwrap()).collect();
     assert!(clients.iter_mut().all(|client| health(client) == 200));
     drop(first);
     clients.iter_mut().for_each(|client| assert_eq!(client.read(&mut [0]).unwrap_or(0), 0));
-    // An agent that says nothing holds the start up for a moment.
+    // A silent agent delays the startup for a moment.
     let agent = TcpListener::bind("127.0.0.1:0").unwrap();
     for _ in 0..3 {
-        let mut command = command(&place);
+        let mut command = command(&address);
         command.env("ROUTER_DISCOVERY", agent.local_addr().unwrap().to_string());
         let mut child = Running(command.spawn().unwrap());
         let mut lines = BufReader::new(child.0.stderr.take().unwrap()).lines().map(|l| l.unwrap());
-        lines.find(|l| l.contains(" starting ")).expect("it says so");
+        lines.find(|line| line.contains(" starting ")).expect("the process logs its startup");
     }
     for _ in 0..3 {
         let start = std::time::Instant::now();
-        let (_killed, _lines, at) = Running::start(&mut command(&place));
-        assert_eq!(at, place);
-        assert_eq!(health(&mut TcpStream::connect(&place).unwrap()), 200);
+        let (_killed, _lines, listening_at) = Running::start(&mut command(&address));
+        assert_eq!(listening_at, address);
+        assert_eq!(health(&mut TcpStream::connect(&address).unwrap()), 200);
         assert!(start.elapsed() < std::time::Duration::from_secs(3), "{:?}", start.elapsed());
     }
 }
 
-/// Idle clients took every descriptor, more than the places are: who waited in the backlog waited until they left, and at
-/// a stop was reset.
+/// Guards against idle clients that hold every file descriptor, of which there are fewer than the allowed
+/// client connections. Clients in the listen backlog waited until an idle client left, and were reset at a
+/// shutdown.
 #[test]
-fn who_waits_for_a_descriptor_gets_in_also_at_a_stop() {
+fn clients_that_wait_for_a_descriptor_are_served_also_during_shutdown() {
     let path = file("short.json", &config("127.0.0.1:0", "1"));
-    for stops in [false, true] {
+    for shuts_down in [false, true] {
         let mut command = Command::new("/bin/sh");
         command.args([
             "-c",
@@ -274,86 +291,93 @@
         ]);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let (child, mut lines, address) = Running::start(&mut command);
-        let ask = |client: &mut TcpStream| exchange(client, "GET /_health");
         let mut clients: Vec<TcpStream> = Vec::new();
         while clients.len() < 60 {
             let mut client = TcpStream::connect(&address).unwrap();
             client.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
             clients.push(client);
         }
-        lines.find(|l| l.contains(" a connection could not be accepted ")).expect("there are too many");
-        if stops {
+        let not_accepted = " a connection could not be accepted ";
+        lines.find(|line| line.contains(not_accepted)).expect("the process runs out of descriptors");
+        if shuts_down {
             child.signal("-TERM");
         }
-        // Each is answered on the connection that it has.
+        // Each client is answered on its first connection.
         let start = std::time::Instant::now();
         clients.iter_mut().for_each(|client| {
             client.set_read_timeout(Some(std::time::Duration::from_secs(10))).unwrap();
             let mut status = [0; 12];
-            client
-                .read_exact(&mut status)
-                .unwrap_or_else(|e| panic!("stops: {stops}, after {:?}: {e}", start.elapsed()));
+            client.read_exact(&mut status).unwrap_or_else(|error| {
+                panic!("shuts down: {shuts_down}, after {:?}: {error}", start.elapsed())
+            });
         });
         assert!(start.elapsed() < std::time::Duration::from_secs(6), "{:?}", start.elapsed());
-        if !stops {
-            assert_eq!(ask(&mut TcpStream::connect(&address).unwrap()).0, 200);
+        if !shuts_down {
+            assert_eq!(exchange(&mut TcpStream::connect(&address).unwrap(), "GET /_health").0, 200);
         }
     }
 }
 
-/// A second version could not bind what the first one holds; and it must know what operators told the first.
+/// Guards against a new version that can't bind the address of the old one, or does not know the commands
+/// that operators gave the old one. The new version inherits the listening socket and takes over the state.
 #[test]
-fn a_new_version_takes_over_on_the_same_socket_and_knows_the_operators_commands() {
+fn a_new_version_takes_over_on_the_same_socket_with_the_operators_commands() {
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
-    let place = held.local_addr().unwrap();
+    let address = held.local_addr().unwrap();
     let folder =
         std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("over-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    // What a predecessor that was killed leaves is no predecessor.
-    let me = shaletack::net::handover::Identity { name: "n3".into(), clients: place };
-    drop(std::os::unix::net::UnixListener::bind(me.socket(&folder)).unwrap());
+    // The hand-over socket that a killed process left behind is not taken for a predecessor.
+    let identity = shaletack::net::handover::Identity { name: "n3".into(), clients: address };
+    drop(std::os::unix::net::UnixListener::bind(identity.socket(&folder)).unwrap());
     let good = file("over.json", &config("127.0.0.1:1", "1"));
-    let call = |at: &str, call: &str| exchange(&mut TcpStream::connect(at).unwrap(), call).0;
-    let ready = |at: &str| while call(at, "GET /v1/readyz") != 200 {};
+    let call = |management: &str, call: &str| exchange(&mut TcpStream::connect(management).unwrap(), call).0;
+    let wait_until_ready = |management: &str| while call(management, "GET /v1/readyz") != 200 {};
     let health = |client: &mut TcpStream| exchange(client, "GET /_health");
-    let (mut old, mut old_lines, old_place) = version(&held, &folder, &good, None);
-    ready(&old_place);
-    let mut kept = TcpStream::connect(place).unwrap();
+    let (mut old, mut old_lines, old_management) = version(&held, &folder, &good, None);
+    wait_until_ready(&old_management);
+    let mut kept = TcpStream::connect(address).unwrap();
     assert_eq!(health(&mut kept), (200, true));
-    assert_eq!(call(&old_place, "POST /v1/targets/s-5be2a07c/suspend"), 200);
-    // Another customer's initiator of that name, on a socket of its own, shares and inherits nothing.
+    assert_eq!(call(&old_management, "POST /v1/targets/s-5be2a07c/suspend"), 200);
+    // An initiator of another customer with the same name, on a socket of its own, shares and inherits
+    // nothing.
     let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (_other, mut other_lines, other_place) = version(&elsewhere, &folder, &good, None);
-    ready(&other_place);
-    let told: Vec<String> = other_lines.by_ref().take_while(|l| !l.contains(" listens for ")).collect();
-    assert!(!told.iter().any(|l| l.contains(" hand-over state restored ")), "{told:?}");
-    assert_eq!(call(&other_place, "POST /v1/initiator/drain"), 200);
+    let (_other, mut other_lines, other_management) = version(&elsewhere, &folder, &good, None);
+    wait_until_ready(&other_management);
+    let startup: Vec<String> =
+        other_lines.by_ref().take_while(|line| !line.contains(" listens for ")).collect();
+    assert!(!startup.iter().any(|line| line.contains(" hand-over state restored ")), "{startup:?}");
+    assert_eq!(call(&other_management, "POST /v1/initiator/drain"), 200);
     assert_eq!(health(&mut kept), (200, true));
-    // One that dies early leaves the old one serving, and found by the next.
-    let (dies, _, early) = version(&held, &folder, &good, None);
-    ready(&early);
-    drop(dies);
-    assert!(old_lines.any(|l| l.contains(" the other process is gone")));
-    // What the old one turned down at SIGHUP must not stop the new one.
+    // A new version that is killed early leaves the old one serving, and the next new version finds the old
+    // one.
+    let (killed, _, killed_management) = version(&held, &folder, &good, None);
+    wait_until_ready(&killed_management);
+    drop(killed);
+    assert!(old_lines.any(|line| line.contains(" the other process is gone")));
+    // A file that the old version would reject at SIGHUP does not keep the new version from starting.
     let cut = file("over-cut.json", "{\"name\":");
-    let (_new, mut lines, new_place) = version(&held, &folder, &cut, None);
-    ready(&new_place);
-    let inherited = lines.by_ref().take(60).find(|l| l.contains(" hand-over state restored ")).unwrap();
-    assert!(inherited.ends_with("endpoints=1 revision=41 suspended=1 drained=false"), "{inherited}");
-    // A call to either binds both.
-    assert_eq!(call(&new_place, "POST /v1/initiator/drain"), 200);
+    let (_new, mut lines, new_management) = version(&held, &folder, &cut, None);
+    wait_until_ready(&new_management);
+    let restored = lines.by_ref().take(60).find(|line| line.contains(" hand-over state restored ")).unwrap();
+    assert!(restored.ends_with("endpoints=1 revision=41 suspended=1 drained=false"), "{restored}");
+    // A management call to one version takes effect in both.
+    assert_eq!(call(&new_management, "POST /v1/initiator/drain"), 200);
     assert_eq!(health(&mut kept), (503, false));
-    assert_eq!(call(&old_place, "POST /v1/initiator/activate"), 200);
-    assert_eq!(call(&old_place, "POST /v1/targets/s-0badf00d/resume"), 404);
-    assert_eq!(call(&old_place, "POST /v1/targets/s-5be2a07c/resume"), 200);
-    assert!(lines.any(|l| l.ends_with("endpoint resumed by an operator, in slow start id=\"s-5be2a07c\"")));
-    let mut kept: Vec<_> = (0..8).map(|_| TcpStream::connect(place).unwrap()).collect();
+    assert_eq!(call(&old_management, "POST /v1/initiator/activate"), 200);
+    assert_eq!(call(&old_management, "POST /v1/targets/s-0badf00d/resume"), 404);
+    assert_eq!(call(&old_management, "POST /v1/targets/s-5be2a07c/resume"), 200);
+    assert!(
+        lines.any(|line| line.ends_with("endpoint resumed by an operator, in slow start id=\"s-5be2a07c\""))
+    );
+    let mut kept: Vec<_> = (0..8).map(|_| TcpStream::connect(address).unwrap()).collect();
     kept.iter_mut().for_each(|client| assert_eq!(health(client), (200, true)));
     old.signal("-TERM");
-    assert!(old_lines.any(|l| l.contains(" a successor takes over ")));
-    // Nothing that waits or comes is refused, and what the old one holds ends with an answer or at rest.
-    assert_eq!(health(&mut TcpStream::connect(place).unwrap()), (200, true));
+    assert!(old_lines.any(|line| line.contains(" a successor takes over ")));
+    // Neither waiting nor new connections are refused, and the old version's connections end after an answer
+    // or while idle.
+    assert_eq!(health(&mut TcpStream::connect(address).unwrap()), (200, true));
     assert!(old.0.wait().unwrap().success());
-    assert!(lines.any(|l| l.contains(" the other process is gone")));
-    assert_eq!(health(&mut TcpStream::connect(place).unwrap()), (200, true));
+    assert!(lines.any(|line| line.contains(" the other process is gone")));
+    assert_eq!(health(&mut TcpStream::connect(address).unwrap()), (200, true));
 }
