--- a/crates/lab/src/hollow/initiator.rs
+++ b/crates/lab/src/hollow/initiator.rs
@@ -5,7 +5,7 @@
 use rand::SeedableRng;
 use shaletack::gossip::{Aged, PeerTotals, VolumeDemand};
 use shaletack::peers::observer;
-use shaletack::{broker, operator::Operator, operator_event::OperatorEvent};
+use shaletack::{broker, operator::OperatorConfig, operator_event::OperatorEvent};
 use shaletack_gossip as gossip;
 use shaletack_gossip::aggregation::{Key, Total};
 use shaletack_gossip::codec::MAGIC as GOSSIP_MAGIC;
@@ -106,7 +106,7 @@
 /// What a hollow initiator is made of.
 pub struct Parts {
     pub index: usize,
-    pub operator: Rc<Operator>,
+    pub operator: Rc<OperatorConfig>,
     pub tcp: std::net::TcpListener,
     pub udp: std::net::UdpSocket,
     pub news: UnboundedSender<News>,
--- a/src/app/commands.rs
+++ b/src/app/commands.rs
@@ -4,7 +4,7 @@
 use super::command_line::{Settlement, Source};
 use super::configuration::{load, load_operator};
 use super::error::Error;
-use shaletack::operator::{self, Operator};
+use shaletack::operator::{self, OperatorConfig};
 use shaletack::peers;
 use shaletack::writeback::offline;
 use std::io::{ErrorKind, Write};
@@ -55,7 +55,7 @@
 }
 
 /// Returns the name of the export of a volume, or `?` if the file has none.
-fn export_name(operator: &Operator, volume: u64) -> &str {
+fn export_name(operator: &OperatorConfig, volume: u64) -> &str {
     let export = operator.exports.iter().find(|export| export.volume == volume);
     export.map_or("?", |export| export.name.as_str())
 }
--- a/src/app/configuration.rs
+++ b/src/app/configuration.rs
@@ -6,7 +6,7 @@
 
 use super::error::Error;
 use shaletack::config::{self, Config};
-use shaletack::operator::{self, Operator};
+use shaletack::operator::{self, OperatorConfig};
 use shaletack::runtime::sockets;
 use std::time::{Duration, Instant};
 use tokio::signal::unix::Signal;
@@ -64,7 +64,7 @@
 ///
 /// # Errors
 /// The file can't be read or is invalid.
-pub fn load_operator(file: &str) -> Result<Operator, Error> {
+pub fn load_operator(file: &str) -> Result<OperatorConfig, Error> {
     Ok(read_with_retries(|| read_operator(file))?)
 }
 
@@ -82,7 +82,7 @@
 ///
 /// # Errors
 /// The file can't be read or is invalid.
-pub fn read_operator(file: &str) -> Result<Operator, ReadError> {
+pub fn read_operator(file: &str) -> Result<OperatorConfig, ReadError> {
     let mut text = read_file(file)?;
     operator::read(&mut text).map_err(|errors| {
         let lines: Vec<String> = errors.lines().iter().map(|line| format!("{file}: {line}")).collect();
--- a/src/app/serve_nbd.rs
+++ b/src/app/serve_nbd.rs
@@ -9,7 +9,7 @@
 use shaletack::etcd;
 use shaletack::interface::EndpointListKind;
 use shaletack::nbd;
-use shaletack::operator::{Etcd, Operator};
+use shaletack::operator::{Etcd, OperatorConfig};
 use shaletack::peers::{self, Peers};
 use shaletack::runtime::host::Host;
 use shaletack::runtime::sockets;
@@ -25,7 +25,7 @@
 /// # Errors
 /// A signal handler can't be installed, the address for peers or for clients can't be bound, or the front
 /// can't be set up.
-pub async fn serve(operator: Operator, file: String) -> Result<(), Error> {
+pub async fn serve(operator: OperatorConfig, file: String) -> Result<(), Error> {
     let mut signals = Signals::install()?;
     let observer = operator.peers.as_ref().map(peers::observer);
     let seed = RandomState::new().build_hasher().finish();
@@ -60,7 +60,7 @@
     nbd::front::serve(host, operator, listener, stop).await.map_err(Error::Nbd)
 }
 
-async fn listen(operator: &Operator) -> Result<TcpListener, Error> {
+async fn listen(operator: &OperatorConfig) -> Result<TcpListener, Error> {
     let address = operator.listen;
     let failed = |source| Error::Listen { address, source };
     let listener = sockets::listen(address).await.map_err(failed)?;
@@ -104,7 +104,7 @@
 }
 
 impl Reload {
-    fn apply(&mut self, new: Operator) {
+    fn apply(&mut self, new: OperatorConfig) {
         info!("the operator's file was reloaded: its endpoint list is in effect");
         if new.etcd.is_none() {
             let list = EndpointList { kind: EndpointListKind::Full, ..new.endpoints };
--- a/src/nbd/front/mod.rs
+++ b/src/nbd/front/mod.rs
@@ -15,7 +15,7 @@
 mod transmission;
 
 use super::endpoint_client::EndpointClient;
-use crate::operator::Operator;
+use crate::operator::OperatorConfig;
 use crate::runtime::host::Host;
 use crate::runtime::listener::FrontListener;
 use crate::runtime::shutdown::Shutdown;
@@ -47,7 +47,7 @@
 struct Shared {
     write_back: Option<WriteBackCache>,
     host: Host,
-    operator: Operator,
+    operator: OperatorConfig,
     endpoints: Rc<EndpointClient>,
     memory: MemoryBudget,
 }
@@ -58,7 +58,7 @@
 /// The log of the write-back cache can't be opened; no client was served.
 pub async fn serve(
     host: Host,
-    operator: Operator,
+    operator: OperatorConfig,
     listener: TcpListener,
     stop: impl Future<Output = ()>,
 ) -> Result<(), OpenError> {
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-fn endpoint_client(operator: &Operator) -> EndpointClient {
+fn endpoint_client(operator: &OperatorConfig) -> EndpointClient {
     let or = |time: Duration, default: Duration| if time.is_zero() { default } else { time };
     let settings = &operator.settings;
     let connect_timeout = or(settings.connect_timeout, DEFAULT_CONNECT_TIMEOUT);
--- a/src/nbd/front/split.rs
+++ b/src/nbd/front/split.rs
@@ -2,7 +2,7 @@
 //! largest size.
 
 use crate::nbd::codec::{cmd, Request};
-use crate::operator::{Export, Operator};
+use crate::operator::{Export, OperatorConfig};
 use std::collections::BTreeSet;
 use std::ops::Range;
 
@@ -32,7 +32,7 @@
 }
 
 /// The parts of a command in the order of the export; a flush has one for each shard.
-pub(super) fn parts(request: &Request, export: &Export, operator: &Operator) -> Vec<Part> {
+pub(super) fn parts(request: &Request, export: &Export, operator: &OperatorConfig) -> Vec<Part> {
     if request.command == cmd::FLUSH {
         return flush_parts(export);
     }
@@ -62,7 +62,7 @@
     shards.into_iter().map(part).collect()
 }
 
-fn max_part_bytes(operator: &Operator) -> u64 {
+fn max_part_bytes(operator: &OperatorConfig) -> u64 {
     let max_units = operator.settings.max_request_units.max(1.0) as u64;
     max_units.saturating_mul(operator.unit_bytes.into())
 }
--- a/src/operator/check.rs
+++ b/src/operator/check.rs
@@ -1,11 +1,11 @@
 //! Checks what a JSON Schema can't express, above all that the parts of a file are consistent, and builds the
-//! [`Operator`].
+//! [`OperatorConfig`].
 
 use super::classes::find_classes;
 use super::exports::{check_contracts, check_exports};
 use super::records::{self, OperatorFile, Phase, UnsettledPolicy};
 use super::validation_error::{ValidationErrorKind, ValidationErrors};
-use super::{Etcd, Operator, Peers, WriteBack};
+use super::{Etcd, OperatorConfig, Peers, WriteBack};
 use crate::endpoint_list::{EndpointList, EndpointRecord};
 use crate::interface::{EndpointListKind, Readiness, Settings};
 use shaletack_wal::LogConfig;
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// All errors found.
-pub(super) fn check(file: OperatorFile) -> Result<Operator, ValidationErrors> {
+pub(super) fn check(file: OperatorFile) -> Result<OperatorConfig, ValidationErrors> {
     let mut errors = ValidationErrors::default();
     let listen = check_address(&file.listen, "/listen", &mut errors);
     let is_list_in_etcd = file.etcd.is_some();
@@ -44,7 +44,7 @@
     let (Some(listen), Some(classes), true) = (listen, classes, errors.is_empty()) else {
         return Err(errors);
     };
-    Ok(Operator {
+    Ok(OperatorConfig {
         listen,
         unit_bytes: file.unit_bytes,
         large_read_threshold: file.large_from,
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -110,7 +110,7 @@
 
 /// The checked content of an operator's file.
 #[derive(Clone, Debug)]
-pub struct Operator {
+pub struct OperatorConfig {
     /// The address that clients connect to.
     pub listen: SocketAddr,
     /// The scheduler's settings, with the contracts of all teams as plans.
@@ -149,7 +149,7 @@
 /// # Errors
 /// The text is not valid JSON, or else all violations of the JSON Schema, or else all inconsistencies between
 /// parts of the file.
-pub fn read(text: &mut [u8]) -> Result<Operator, ValidationErrors> {
+pub fn read(text: &mut [u8]) -> Result<OperatorConfig, ValidationErrors> {
     let value: serde_json::Value =
         simd_json::serde::from_slice(text).map_err(ValidationErrorKind::NotJson)?;
     check_schema(&value)?;
--- a/src/operator/records.rs
+++ b/src/operator/records.rs
@@ -2,8 +2,8 @@
 //!
 //! `shaletack schema` prints the JSON Schema of these types, and a file is checked against it before it is
 //! deserialized. The doc comments are the schema's descriptions. Fields have the names of the keys in the
-//! file; the terms of the code are those of [`Operator`](super::Operator) and [`Settings`]. A type whose name
-//! differs from its name in the schema has a `rename` attribute.
+//! file; the terms of the code are those of [`OperatorConfig`](super::OperatorConfig) and [`Settings`]. A
+//! type whose name differs from its name in the schema has a `rename` attribute.
 
 use crate::interface::{self, DedupScope, RequestClass, Settings, SharedRules};
 use schemars::JsonSchema;
--- a/src/writeback/attempts.rs
+++ b/src/writeback/attempts.rs
@@ -3,7 +3,7 @@
 use crate::broker::{Answer, IncomingRequest};
 use crate::nbd::codec::cmd;
 use crate::nbd::endpoint_client::{EndpointClient, EndpointCommand};
-use crate::operator::{Export, Operator};
+use crate::operator::{Export, OperatorConfig};
 use crate::runtime::host::Host;
 use bytes::Bytes;
 use shaletack_writeback::{AttemptOutcome, Piece, PieceId};
@@ -29,11 +29,11 @@
 pub(super) struct Attempts {
     host: Host,
     endpoints: Rc<EndpointClient>,
-    operator: Operator,
+    operator: OperatorConfig,
 }
 
 impl Attempts {
-    pub fn new(host: Host, endpoints: Rc<EndpointClient>, operator: Operator) -> Self {
+    pub fn new(host: Host, endpoints: Rc<EndpointClient>, operator: OperatorConfig) -> Self {
         Attempts { host, endpoints, operator }
     }
 
--- a/src/writeback/cache.rs
+++ b/src/writeback/cache.rs
@@ -8,7 +8,7 @@
 use super::pending_commands::PendingCommands;
 use super::segment_files::{OpenedLog, SegmentFiles};
 use crate::nbd::endpoint_client::EndpointClient;
-use crate::operator::{Export, Operator, WriteBack};
+use crate::operator::{Export, OperatorConfig, WriteBack};
 use crate::runtime::host::Host;
 use shaletack_background::{Scheduler, Task, WorkClass};
 use shaletack_wal::Commit;
@@ -75,7 +75,7 @@
     pub fn open(
         host: Host,
         endpoints: Rc<EndpointClient>,
-        operator: &Operator,
+        operator: &OperatorConfig,
         settings: &WriteBack,
     ) -> Result<Self, OpenError> {
         let new_log = RandomState::new().build_hasher().finish();
--- a/src/writeback/offline.rs
+++ b/src/writeback/offline.rs
@@ -4,7 +4,7 @@
 use super::error::{OpenError, OpenFailure};
 use super::identity::purpose;
 use super::segment_files::{OpenedLog, SegmentFiles};
-use crate::operator::Operator;
+use crate::operator::OperatorConfig;
 use shaletack_wal::{SegmentNumber, SegmentStore};
 use shaletack_writeback::{
     Buffer, Effect, Input, OperatorDecision, PieceId, RecoveredBuffer, UnsettledPiece,
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 /// The log can't be opened.
-pub fn list(operator: &Operator) -> Result<Vec<UnsettledPiece>, OfflineError> {
+pub fn list(operator: &OperatorConfig) -> Result<Vec<UnsettledPiece>, OfflineError> {
     Ok(OfflineLog::open(operator)?.buffer.list())
 }
 
@@ -63,7 +63,11 @@
 ///
 /// # Errors
 /// The log can't be opened or written, or the write needs no decision.
-pub fn settle(operator: &Operator, id: PieceId, decision: OperatorDecision) -> Result<(), OfflineError> {
+pub fn settle(
+    operator: &OperatorConfig,
+    id: PieceId,
+    decision: OperatorDecision,
+) -> Result<(), OfflineError> {
     let log = OfflineLog::open(operator)?;
     let unsettled = log.buffer.list().into_iter().find(|piece| piece.id == id);
     let may_have_run = unsettled.ok_or(OfflineError::UnknownWrite(id))?.may_have_run;
@@ -81,7 +85,7 @@
 }
 
 impl OfflineLog {
-    fn open(operator: &Operator) -> Result<Self, OfflineError> {
+    fn open(operator: &OperatorConfig) -> Result<Self, OfflineError> {
         let settings = operator.write_back.as_ref().ok_or(OfflineError::NotConfigured)?;
         let folder = &settings.folder;
         if !folder.is_dir() {
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -6,7 +6,7 @@
     transmission_flag, Request, FIXED_NEWSTYLE, INIT_MAGIC, NO_ZEROES, OPT_MAGIC, REP_MAGIC,
     STRUCTURED_REPLY_MAGIC,
 };
-use shaletack::operator::{self, Operator};
+use shaletack::operator::{self, OperatorConfig};
 use shaletack::runtime::host::Host;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -166,7 +166,7 @@
 }
 
 /// An operator's file for one export over two shards of 64 KiB, in units of 4 KiB, with short deadlines.
-pub fn operator(boxes: &[(SocketAddr, u16)]) -> Operator {
+pub fn operator(boxes: &[(SocketAddr, u16)]) -> OperatorConfig {
     let lane = |name: &str, effect: &str, aim: u32| {
         format!(
             r#"{{"name":"{name}","aim":{aim}000000,"deadline":1500000000,"idempotency":"{effect}","group":"cell",
@@ -204,7 +204,7 @@
 }
 
 /// An NBD front over these boxes; what it tells to stop, and its core.
-pub async fn nbd_front(operator: Operator) -> (SocketAddr, Rc<Notify>, Host) {
+pub async fn nbd_front(operator: OperatorConfig) -> (SocketAddr, Rc<Notify>, Host) {
     let (listener, address) = loopback().await;
     let (core, stop) = (host(&operator.settings), Rc::new(Notify::new()));
     core.feed(Input::EndpointList(operator.endpoints.clone()));
@@ -405,7 +405,7 @@
 ) -> (SocketAddr, Rc<Notify>, Host, tokio::task::JoinHandle<()>) {
     let known = boxes.len();
     let nowhere = ("127.0.0.1:9".parse().unwrap(), 0);
-    let Operator { settings, endpoints: mut boxes, .. } =
+    let OperatorConfig { settings, endpoints: mut boxes, .. } =
         operator(&[boxes, &[nowhere, (nowhere.0, 1)]].concat());
     boxes.entries.truncate(known);
     let (listener, address) = loopback().await;
--- a/tests/nbd.rs
+++ b/tests/nbd.rs
@@ -12,7 +12,7 @@
     (NbdBox::start(first, 1 << 16).await, NbdBox::start(second, 1 << 17).await)
 }
 
-fn over(boxes: &(NbdBox, NbdBox)) -> shaletack::operator::Operator {
+fn over(boxes: &(NbdBox, NbdBox)) -> shaletack::operator::OperatorConfig {
     operator(&[(boxes.0.address, 0), (boxes.1.address, 1)])
 }
 
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -5,7 +5,7 @@
 
 const EXAMPLE: &str = include_str!("../deploy/operator.json");
 
-fn parse(text: &str) -> Result<operator::Operator, operator::ValidationErrors> {
+fn parse(text: &str) -> Result<operator::OperatorConfig, operator::ValidationErrors> {
     operator::read(&mut text.to_owned().into_bytes())
 }
 
@@ -138,7 +138,7 @@
     let other_names =
         [("\"leitura\"", "\"lookup\""), ("\"gravacao\"", "\"booking\""), ("\"exportacao\"", "\"export\"")];
     let parse_with = |changes: &[(&str, &str)]| parse(&example_with(&[&other_names[..], changes].concat()));
-    let class_numbers = |operator: operator::Operator| {
+    let class_numbers = |operator: operator::OperatorConfig| {
         let operator::Classes { read, large_read, write } = operator.classes;
         (read, large_read, write)
     };
@@ -152,7 +152,7 @@
         "\"idempotency\": \"idempotent\", \"group\": \"all\", \"late-worth\": 0.3",
         "\"idempotency\": \"at_most_once\", \"group\": \"all\", \"late-worth\": 0.3",
     );
-    let error_texts = |result: Result<operator::Operator, operator::ValidationErrors>| {
+    let error_texts = |result: Result<operator::OperatorConfig, operator::ValidationErrors>| {
         result.unwrap_err().lines().join("; ")
     };
     // An empty text: the file is valid.
