--- a/src/app/commands.rs
+++ b/src/app/commands.rs
@@ -2,7 +2,7 @@
 //! print the peer status, the schema and the version.
 
 use super::command_line::{Settlement, Source};
-use super::configuration::{load, load_operator};
+use super::configuration::{load, load_operator_config};
 use super::error::Error;
 use shaletack::operator::{self, OperatorConfig};
 use shaletack::peers;
@@ -24,9 +24,9 @@
             );
         }
         Source::Operator(file) => {
-            let operator = load_operator(&file)?;
-            let (exports, plans) = (operator.exports.len(), operator.settings.plans.len());
-            let endpoints = operator.endpoints.entries.len();
+            let config = load_operator_config(&file)?;
+            let (exports, plans) = (config.exports.len(), config.settings.plans.len());
+            let endpoints = config.endpoints.entries.len();
             println!("{file} is valid: {exports} exports, {plans} contracts, {endpoints} endpoints");
         }
     }
@@ -38,12 +38,12 @@
 /// # Errors
 /// The operator's file or its write-back log can't be read.
 pub fn list_writes(file: &str) -> Result<(), Error> {
-    let operator = load_operator(file)?;
-    for write in offline::list(&operator)? {
+    let config = load_operator_config(file)?;
+    for write in offline::list(&config)? {
         println!(
             "{} export={} from={} length={} shard={} at={} may_have_run={}",
             write.id,
-            export_name(&operator, write.volume),
+            export_name(&config, write.volume),
             write.export_offset,
             write.length,
             write.shard,
@@ -55,8 +55,8 @@
 }
 
 /// Returns the name of the export of a volume, or `?` if the file has none.
-fn export_name(operator: &OperatorConfig, volume: u64) -> &str {
-    let export = operator.exports.iter().find(|export| export.volume == volume);
+fn export_name(config: &OperatorConfig, volume: u64) -> &str {
+    let export = config.exports.iter().find(|export| export.volume == volume);
     export.map_or("?", |export| export.name.as_str())
 }
 
@@ -66,8 +66,8 @@
 /// The operator's file can't be read, its write-back log can't be read or written, or the write is unknown or
 /// needs no decision.
 pub fn settle_write(file: &str, settlement: Settlement) -> Result<(), Error> {
-    let operator = load_operator(file)?;
-    offline::settle(&operator, settlement.id, settlement.decision)?;
+    let config = load_operator_config(file)?;
+    offline::settle(&config, settlement.id, settlement.decision)?;
     Ok(())
 }
 
@@ -76,7 +76,7 @@
 /// # Errors
 /// The file can't be read or does not configure peers, or the process does not answer.
 pub fn show_peers(file: String) -> Result<(), Error> {
-    let Some(peers) = load_operator(&file)?.peers else { return Err(Error::NoPeers { file }) };
+    let Some(peers) = load_operator_config(&file)?.peers else { return Err(Error::NoPeers { file }) };
     let address = peers.listen;
     let status = actix_rt::System::new().block_on(peers::status(address));
     println!("{}", status.map_err(|error| Error::PeerStatus { address, source: error.into() })?);
--- a/src/app/configuration.rs
+++ b/src/app/configuration.rs
@@ -64,8 +64,8 @@
 ///
 /// # Errors
 /// The file can't be read or is invalid.
-pub fn load_operator(file: &str) -> Result<OperatorConfig, Error> {
-    Ok(read_with_retries(|| read_operator(file))?)
+pub fn load_operator_config(file: &str) -> Result<OperatorConfig, Error> {
+    Ok(read_with_retries(|| read_operator_config(file))?)
 }
 
 /// Reads the platform's configuration, with a single attempt. Variables that `env` returns take precedence
@@ -82,7 +82,7 @@
 ///
 /// # Errors
 /// The file can't be read or is invalid.
-pub fn read_operator(file: &str) -> Result<OperatorConfig, ReadError> {
+pub fn read_operator_config(file: &str) -> Result<OperatorConfig, ReadError> {
     let mut text = read_file(file)?;
     operator::read(&mut text).map_err(|errors| {
         let lines: Vec<String> = errors.lines().iter().map(|line| format!("{file}: {line}")).collect();
--- a/src/app/mod.rs
+++ b/src/app/mod.rs
@@ -49,8 +49,8 @@
             actix_rt::System::new().block_on(serve_platform::serve(file, inherited))
         }
         Source::Operator(file) => {
-            let operator = configuration::load_operator(&file)?;
-            actix_rt::System::new().block_on(serve_nbd::serve(operator, file))
+            let config = configuration::load_operator_config(&file)?;
+            actix_rt::System::new().block_on(serve_nbd::serve(config, file))
         }
     }
 }
--- a/src/app/serve_nbd.rs
+++ b/src/app/serve_nbd.rs
@@ -1,7 +1,7 @@
 //! Serves NBD with the operator's file: starts the core, the endpoint list watch, gossip with peers and the
 //! NBD front, and applies reloads.
 
-use super::configuration::{read_operator, reload_on_hangup};
+use super::configuration::{read_operator_config, reload_on_hangup};
 use super::error::Error;
 use super::{fresh_clock, Signals};
 use shaletack::broker::{Broker, Input};
@@ -25,47 +25,47 @@
 /// # Errors
 /// A signal handler can't be installed, the address for peers or for clients can't be bound, or the front
 /// can't be set up.
-pub async fn serve(operator: OperatorConfig, file: String) -> Result<(), Error> {
+pub async fn serve(config: OperatorConfig, file: String) -> Result<(), Error> {
     let mut signals = Signals::install()?;
-    let observer = operator.peers.as_ref().map(peers::observer);
+    let observer = config.peers.as_ref().map(peers::observer);
     let seed = RandomState::new().build_hasher().finish();
-    let broker = Broker::new(operator.settings.clone(), seed, fresh_clock(), Instant::now());
+    let broker = Broker::new(config.settings.clone(), seed, fresh_clock(), Instant::now());
     let host = Host::start(match &observer {
         Some(observer) => broker.among_peers(observer.clone()),
         None => broker,
     });
-    host.feed(Input::EndpointList(operator.endpoints.clone()));
-    let list_watch = ListWatch::start(host.clone(), operator.etcd.clone());
+    host.feed(Input::EndpointList(config.endpoints.clone()));
+    let list_watch = ListWatch::start(host.clone(), config.etcd.clone());
     // Clients are accepted only after the listed peers were asked for their observations, which delays the
     // start by 300 ms at most.
-    let peers = match operator.peers.as_ref().zip(observer) {
+    let peers = match config.peers.as_ref().zip(observer) {
         Some((settings, observer)) => {
             let started = Peers::start(host.clone(), settings, observer).await;
             let peers = started.map_err(|source| Error::Peers { address: settings.listen, source })?;
-            peers.set_configuration_version(operator.version).await;
+            peers.set_configuration_version(config.version).await;
             Some(peers)
         }
         None => None,
     };
     let mut reload = Reload { host: host.clone(), peers: peers.clone(), list_watch };
-    let read = move || read_operator(&file);
+    let read = move || read_operator_config(&file);
     actix_rt::spawn(reload_on_hangup(signals.hangup, read, move |new| reload.apply(new)));
-    let listener = listen(&operator).await?;
+    let listener = listen(&config).await?;
     let stop = async move {
         signals.terminate.recv().await;
         if let Some(peers) = peers {
             peers.leave().await;
         }
     };
-    nbd::front::serve(host, operator, listener, stop).await.map_err(Error::Nbd)
+    nbd::front::serve(host, config, listener, stop).await.map_err(Error::Nbd)
 }
 
-async fn listen(operator: &OperatorConfig) -> Result<TcpListener, Error> {
-    let address = operator.listen;
+async fn listen(config: &OperatorConfig) -> Result<TcpListener, Error> {
+    let address = config.listen;
     let failed = |source| Error::Listen { address, source };
     let listener = sockets::listen(address).await.map_err(failed)?;
     let at = listener.local_addr().map_err(failed)?;
-    info!(%at, exports = operator.exports.len(), "listens for NBD");
+    info!(%at, exports = config.exports.len(), "listens for NBD");
     Ok(listener)
 }
 
