--- a/src/nbd/front/split.rs
+++ b/src/nbd/front/split.rs
@@ -2,7 +2,7 @@
 //! shard and has a maximum size.
 
 use crate::nbd::codec::{cmd, Request};
-use crate::operator::{Export, Operator};
+use crate::operator::{Export, OperatorConfig};
 use std::collections::BTreeSet;
 use std::ops::Range;
 
@@ -33,7 +33,7 @@
 
 /// Returns the parts of a command, by their offset in the export. A flush has one part for each shard of the
 /// export.
-pub(super) fn split_command(request: &Request, export: &Export, operator: &Operator) -> Vec<Part> {
+pub(super) fn split_command(request: &Request, export: &Export, operator: &OperatorConfig) -> Vec<Part> {
     if request.command == cmd::FLUSH {
         return flush_parts(export);
     }
@@ -63,7 +63,7 @@
     shards.into_iter().map(part).collect()
 }
 
-fn max_part_bytes(operator: &Operator) -> u64 {
+fn max_part_bytes(operator: &OperatorConfig) -> u64 {
     let max_units = operator.settings.max_request_units.max(1.0) as u64;
     max_units.saturating_mul(operator.unit_bytes.into())
 }
--- a/src/writeback/identity.rs
+++ b/src/writeback/identity.rs
@@ -1,14 +1,14 @@
 //! The purpose of a log: the exports and extents that it was created for. Replaying the log for other exports
 //! would write its data to the wrong place.
 
-use crate::operator::{Export, Extent, Operator};
+use crate::operator::{Export, Extent, OperatorConfig};
 use shaletack_wal::format;
 
 /// Hashes the buffered exports, the location of their bytes, and the name of the export on the endpoints.
 ///
 /// Every stored log contains this hash, so the hashed text must never change, even when the types are
 /// renamed.
-pub(super) fn purpose(operator: &Operator) -> u64 {
+pub(super) fn purpose(operator: &OperatorConfig) -> u64 {
     let buffered = operator.exports.iter().filter(|export| export.write_back);
     let exports: Vec<String> = buffered.map(describe_export).collect();
     let description = format!("[{}] {}", exports.join(", "), operator.endpoint_export);
--- a/tests/nbd.rs
+++ b/tests/nbd.rs
@@ -13,7 +13,7 @@
 }
 
 /// The operator's file with the first endpoint for shard 0 and the second for shard 1.
-fn operator_with(boxes: &(NbdBox, NbdBox)) -> shaletack::operator::Operator {
+fn operator_with(boxes: &(NbdBox, NbdBox)) -> shaletack::operator::OperatorConfig {
     operator(&[(boxes.0.address, 0), (boxes.1.address, 1)])
 }
 
