--- a/crates/lab/src/hollow/process.rs
+++ b/crates/lab/src/hollow/process.rs
@@ -109,7 +109,7 @@
     if line.contains(" advice on an endpoint ") && field(line, "stopped") == Some("true") {
         return of("id").map(What::Stopped);
     }
-    if line.contains(" list ") && field(line, "standing") == Some("Draining") {
+    if line.contains(" endpoint listed ") && field(line, "readiness") == Some("Draining") {
         return of("id").map(What::Listed);
     }
     if line.contains(" a peer is up ") {
