--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Initiators' real reducers and model endpoints on one virtual clock.
+//! Runs the program's brokers, one for each initiator, against model endpoints on one virtual clock.
 
 use crate::model::{EndpointFigures, Mode, ModelEndpoint, Outcome};
 use hdrhistogram::Histogram;
@@ -18,67 +18,85 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-pub const MS: Duration = Duration::from_millis(1);
-pub const S: Duration = Duration::from_secs(1);
-/// How long a message takes between two machines.
-const ONE_WAY: Duration = Duration::from_micros(500);
-/// What the endpoints' clocks say at the start.
-pub const UNIX: Duration = Duration::from_secs(1_700_000_000);
+/// One millisecond.
+pub const MILLISECOND: Duration = Duration::from_millis(1);
+/// One second.
+pub const SECOND: Duration = Duration::from_secs(1);
+/// Network delay of a message between two machines, in one direction.
+const ONE_WAY_DELAY: Duration = Duration::from_micros(500);
+/// Wall-clock time at the start of the run, since the Unix epoch.
+pub const UNIX_START: Duration = Duration::from_secs(1_700_000_000);
 
-/// The fleet's shape.
+/// Size, load and endpoint parameters of a fleet.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct FleetConfig {
     pub initiators: usize,
     pub shards: u16,
-    /// Endpoints that hold each shard.
-    pub copies: usize,
-    /// Requests a second at each initiator.
+    /// Number of endpoints that hold each shard.
+    pub replicas_per_shard: usize,
+    /// Requests per second at each initiator.
     pub rate: f64,
-    /// The part of them that are `gravacao`.
-    pub writes: f64,
-    /// Initiators talk to each other.
+    /// Fraction of the requests that are of class `gravacao` (writes).
+    pub write_fraction: f64,
+    /// Whether initiators exchange reports with each other.
     pub peers: bool,
     pub endpoints: EndpointFigures,
-    /// What is sure for an endpoint in slow start, in units within the window.
+    /// Units that an endpoint of any age can take within the overload window, from all initiators together.
     pub slow_start_units: f64,
 }
 
-/// What became of the requests of one initiator's run.
+/// Counts of an initiator's requests since its last start, by outcome.
 #[derive(Clone, Debug)]
-pub struct Tally {
-    pub asked: u64,
+pub struct RequestCounts {
+    pub arrived: u64,
     pub served: u64,
     pub rejected: u64,
     pub failed: u64,
-    /// Sends to endpoints that drain, do not answer or fail.
+    /// Attempts at endpoints that drain, do not answer or fail.
     pub misdirected: u64,
-    /// Times to the answer, in microseconds.
-    pub times: Histogram<u64>,
+    /// Times from a request's arrival to its answer, in microseconds.
+    pub response_times: Histogram<u64>,
 }
 
-impl Tally {
+impl RequestCounts {
     fn new() -> Self {
-        // Three digits over a minute: bounds that can't be wrong.
-        let times = Histogram::new_with_bounds(1, 60_000_000, 3).unwrap_or_else(|_| unreachable!());
-        Tally { asked: 0, served: 0, rejected: 0, failed: 0, misdirected: 0, times }
+        // Creation fails only for invalid bounds; one microsecond to one minute with three digits is valid.
+        let response_times = Histogram::new_with_bounds(1, 60_000_000, 3).unwrap_or_else(|_| unreachable!());
+        RequestCounts { arrived: 0, served: 0, rejected: 0, failed: 0, misdirected: 0, response_times }
     }
 
+    /// Returns how many requests were rejected or failed.
     pub fn errors(&self) -> u64 {
         self.rejected + self.failed
     }
 }
 
+/// An event of the simulation; the first number, or `from`, is the initiator that it concerns.
 #[derive(Debug)]
 enum Event {
     RequestDue(usize),
+    /// A timer fires, unless a later one has replaced it: the second number is the timer's id.
     TimerFires(usize, u64),
-    AttemptArrives { from: usize, incarnation: u64, request: u64, number: u8, at: usize },
-    AttemptEnds { from: usize, incarnation: u64, request: u64, number: u8, end: TransportOutcome },
+    AttemptArrives {
+        from: usize,
+        incarnation: u64,
+        request: u64,
+        number: u8,
+        at: usize,
+    },
+    AttemptEnds {
+        from: usize,
+        incarnation: u64,
+        request: u64,
+        number: u8,
+        end: TransportOutcome,
+    },
+    /// The next exchange with a peer is due, if the initiator still has this incarnation.
     ExchangeDue(usize, u64),
     ListRefreshes(usize),
 }
 
-/// A request without an answer.
+/// A request that has not been answered.
 #[derive(Clone, Copy, Debug)]
 struct OpenRequest {
     arrived_at: Duration,
@@ -88,64 +106,67 @@
 struct Initiator {
     broker: Broker,
     me: Observer,
-    /// `None`: it is dead.
+    /// `None` after it was killed.
     incarnation: Option<u64>,
-    wake: u64,
+    timer_id: u64,
     next_peer: usize,
-    /// Of its clients alone, so that they ask the same with peers and without.
-    clients: StdRng,
-    /// Requests without an answer, by id.
+    /// Drives only the clients, so that they send the same requests with and without peers.
+    client_rng: StdRng,
+    /// Requests that have not been answered, by id.
     open: BTreeMap<u64, OpenRequest>,
-    /// Its list is followed from then on.
-    list_from: Duration,
-    tally: Tally,
+    /// Updates of the endpoint list reach the initiator from this time on.
+    list_updates_from: Duration,
+    request_counts: RequestCounts,
 }
 
+/// Initiators, endpoints and the events that are scheduled for them.
 pub struct Fleet {
+    /// Virtual time since the start of the run.
     pub now: Duration,
     pub endpoints: Vec<ModelEndpoint>,
-    shape: Shape,
-    zero: Instant,
+    config: FleetConfig,
+    origin: Instant,
     rng: StdRng,
     events: BTreeMap<(Duration, u64), Event>,
-    numbered: u64,
+    last_sequence: u64,
     initiators: Vec<Initiator>,
     revision: u64,
-    /// Nobody hears this initiator, and it hears nobody.
-    pub cut_off: Option<usize>,
-    /// Endpoints that the list has said to take no work.
+    /// An initiator that exchanges no reports with its peers.
+    pub isolated: Option<usize>,
+    /// Endpoints that the endpoint list shows as draining.
     draining: BTreeSet<usize>,
 }
 
-pub fn settings(shape: &Shape) -> Settings {
+/// Returns the settings of an initiator, except for its rank.
+pub fn settings(config: &FleetConfig) -> Settings {
     let class = |name: &str, effect| RequestClass {
         name: name.into(),
-        latency_objective: 150 * MS,
-        deadline: 1200 * MS,
+        latency_objective: 150 * MILLISECOND,
+        deadline: 1200 * MILLISECOND,
         late_weight: 0.1,
         priority_weight: 2.0,
         idempotency: effect,
         ..RequestClass::default()
     };
     Settings {
-        initiators: shape.initiators as u32,
-        min_batch_interval: 2 * MS,
+        initiators: config.initiators as u32,
+        min_batch_interval: 2 * MILLISECOND,
         classes: vec![
             class("leitura", Idempotency::Idempotent),
             class("gravacao", Idempotency::NotIdempotent),
         ],
         plans: vec![Plan { rate: 50.0, reserve: 20.0, weight: 1.0, price: 1.0, ..Plan::default() }],
         rules: SharedRules {
-            slow_start_capacity: shape.endpoints.slow_start_capacity,
-            slow_start_duration: shape.endpoints.slow_start_duration,
-            overload_factor: shape.endpoints.overload_factor,
-            overload_window: shape.endpoints.overload_window,
+            slow_start_capacity: config.endpoints.slow_start_capacity,
+            slow_start_duration: config.endpoints.slow_start_duration,
+            overload_factor: config.endpoints.overload_factor,
+            overload_window: config.endpoints.overload_window,
             ..SharedRules::default()
         },
         max_attempts: 4,
         cancellation_allowed: true,
-        max_retry_after: 500 * MS,
-        slow_start_units: shape.slow_start_units,
+        max_retry_after: 500 * MILLISECOND,
+        slow_start_units: config.slow_start_units,
         mean_request_units: 2.0,
         max_request_units: 6.0,
         within_share_weight: 0.35,
@@ -155,113 +176,124 @@
 }
 
 impl Fleet {
-    /// All endpoints warm, all lists fresh, clients at every initiator.
-    pub fn new(shape: Shape, seed: u64) -> Self {
-        let endpoints =
-            (0..shape.shards).flat_map(|s| (0..shape.copies).map(move |_| ModelEndpoint::new(s))).collect();
+    /// Creates a fleet in which all endpoints have finished slow start, all lists are current and every initiator
+    /// has clients.
+    pub fn new(config: FleetConfig, seed: u64) -> Self {
+        let endpoints = (0..config.shards)
+            .flat_map(|s| (0..config.replicas_per_shard).map(move |_| ModelEndpoint::new(s)))
+            .collect();
         let mut fleet = Fleet {
             now: Duration::ZERO,
             endpoints,
-            shape,
-            zero: Instant::now(),
+            config,
+            origin: Instant::now(),
             rng: StdRng::seed_from_u64(seed),
             events: BTreeMap::new(),
-            numbered: 0,
+            last_sequence: 0,
             initiators: Vec::new(),
             revision: 1,
-            cut_off: None,
+            isolated: None,
             draining: BTreeSet::new(),
         };
-        for i in 0..shape.initiators {
-            let initiator = fleet.initiator(i, Duration::ZERO);
+        for i in 0..config.initiators {
+            let initiator = fleet.new_initiator(i, Duration::ZERO);
             fleet.initiators.push(initiator);
-            fleet.join(i, EndpointListKind::Full);
+            fleet.start_initiator(i, EndpointListKind::Full);
         }
         fleet
     }
 
-    fn initiator(&mut self, i: usize, list_from: Duration) -> Initiator {
+    fn new_initiator(&mut self, i: usize, list_updates_from: Duration) -> Initiator {
         let me = Observer { name: format!("n{i}"), incarnation: self.rng.random() };
-        let now = self.zero + self.now;
-        let set = Settings { rank: i as u32, ..settings(&self.shape) };
-        let broker = Broker::new(set, self.rng.random(), Clock::new(self.zero, UNIX), now);
-        let broker = if self.shape.peers { broker.with_peers(me.clone()) } else { broker };
+        let now = self.origin + self.now;
+        let set = Settings { rank: i as u32, ..settings(&self.config) };
+        let broker = Broker::new(set, self.rng.random(), Clock::new(self.origin, UNIX_START), now);
+        let broker = if self.config.peers { broker.with_peers(me.clone()) } else { broker };
         Initiator {
             broker,
             incarnation: Some(me.incarnation),
             me,
-            wake: 0,
+            timer_id: 0,
             next_peer: i + 1,
-            clients: StdRng::seed_from_u64(self.rng.random()),
+            client_rng: StdRng::seed_from_u64(self.rng.random()),
             open: BTreeMap::new(),
-            list_from,
-            tally: Tally::new(),
+            list_updates_from,
+            request_counts: RequestCounts::new(),
         }
     }
 
-    fn join(&mut self, i: usize, kind: EndpointListKind) {
-        // What a list of that age says: a stale one knows only the fleet as it was at first.
+    /// Gives an initiator its first list and schedules its events.
+    fn start_initiator(&mut self, i: usize, kind: EndpointListKind) {
+        // A cached list shows the fleet as it was at the start of the run.
         let fresh = kind == EndpointListKind::Full;
-        let entries = (0..self.endpoints.len()).map(|b| self.member(b, fresh)).collect();
+        let entries = (0..self.endpoints.len()).map(|b| self.endpoint_record(b, fresh)).collect();
         let revision = if fresh { self.revision } else { 1 };
         self.step(i, Input::EndpointList(EndpointList { revision, kind, entries }));
         let incarnation = self.initiators[i].me.incarnation;
-        if self.shape.peers {
+        if self.config.peers {
             if !fresh {
-                (0..self.shape.initiators).for_each(|peer| self.exchange(i, peer));
+                (0..self.config.initiators).for_each(|peer| self.exchange(i, peer));
             }
             let first = Duration::from_millis(150 + 200 * i as u64);
             self.schedule(first, Event::ExchangeDue(i, incarnation));
         }
         let first = self.next_request_in(i);
         self.schedule(first, Event::RequestDue(i));
-        self.schedule(self.initiators[i].list_from.saturating_sub(self.now) + 2 * S, Event::ListRefreshes(i));
+        self.schedule(
+            self.initiators[i].list_updates_from.saturating_sub(self.now) + 2 * SECOND,
+            Event::ListRefreshes(i),
+        );
     }
 
-    /// An initiator dies: its clients' requests die with it.
+    /// Kills an initiator; its clients send no more requests.
     pub fn kill(&mut self, i: usize) {
         self.initiators[i].incarnation = None;
         self.events.retain(|_, e| !matches!(e, Event::RequestDue(n) | Event::ListRefreshes(n) if *n == i));
     }
 
-    /// It comes back with the list that it was first started with, and follows the list only later.
-    pub fn return_stale(&mut self, i: usize, list_silent_for: Duration) {
-        let list_from = self.now + list_silent_for;
-        self.initiators[i] = self.initiator(i, list_from);
-        self.join(i, EndpointListKind::Cached);
+    /// Restarts an initiator with the list that it was first started with. Updates of the list reach it only after
+    /// `list_silent_for`.
+    pub fn restart_with_stale_list(&mut self, i: usize, list_silent_for: Duration) {
+        let list_updates_from = self.now + list_silent_for;
+        self.initiators[i] = self.new_initiator(i, list_updates_from);
+        self.start_initiator(i, EndpointListKind::Cached);
     }
 
-    pub fn tally(&self, i: usize) -> &Tally {
-        &self.initiators[i].tally
+    /// Returns the counts of an initiator's requests since its last start.
+    pub fn request_counts(&self, i: usize) -> &RequestCounts {
+        &self.initiators[i].request_counts
     }
 
-    /// An endpoint comes to do something else; the list tells of a drain, a removal or a start, not of faults.
-    pub fn change(&mut self, b: usize, mode: Mode, listed: bool) {
+    /// Changes how an endpoint treats requests. With `listed`, the endpoint list shows it as draining: the list
+    /// announces drains, removals and starts, but no faults.
+    pub fn set_mode(&mut self, b: usize, mode: Mode, listed: bool) {
         self.endpoints[b].mode = mode;
         if listed {
             self.draining.insert(b);
-            self.list_changed(b);
+            self.publish_list_change(b);
         }
     }
 
-    /// An endpoint starts anew.
+    /// Restarts an endpoint and announces the start in the endpoint list.
     pub fn restart(&mut self, b: usize) {
         self.endpoints[b].restart(self.now);
-        self.list_changed(b);
+        self.publish_list_change(b);
     }
 
-    fn list_changed(&mut self, b: usize) {
+    /// Sends an endpoint's new entry to all initiators that receive list updates.
+    fn publish_list_change(&mut self, b: usize) {
         self.revision += 1;
         for i in 0..self.initiators.len() {
-            if self.initiators[i].incarnation.is_some() && self.initiators[i].list_from <= self.now {
-                let entries = vec![self.member(b, true)];
+            if self.initiators[i].incarnation.is_some() && self.initiators[i].list_updates_from <= self.now {
+                let entries = vec![self.endpoint_record(b, true)];
                 let kind = EndpointListKind::Delta;
                 self.step(i, Input::EndpointList(EndpointList { revision: self.revision, kind, entries }));
             }
         }
     }
 
-    fn member(&self, b: usize, fresh: bool) -> EndpointRecord {
+    /// Returns an endpoint's entry in the current list, or with `fresh` unset in the first one.
+    fn endpoint_record(&self, b: usize, fresh: bool) -> EndpointRecord {
         let ready = !(fresh && self.draining.contains(&b));
         EndpointRecord {
             id: format!("s-{b:08x}"),
@@ -269,22 +301,23 @@
             zone: String::new(),
             shard: self.endpoints[b].shard,
             readiness: if ready { Readiness::Ready } else { Readiness::Draining },
-            up_since: self.endpoints[b].started_at.filter(|_| fresh).map(|started| UNIX + started),
+            up_since: self.endpoints[b].started_at.filter(|_| fresh).map(|started| UNIX_START + started),
         }
     }
 
+    /// Returns the time to an initiator's next request, drawn from an exponential distribution.
     fn next_request_in(&mut self, i: usize) -> Duration {
-        let drawn: f64 = self.initiators[i].clients.random();
-        Duration::from_secs_f64(-(1.0 - drawn).ln() / self.shape.rate)
+        let uniform: f64 = self.initiators[i].client_rng.random();
+        Duration::from_secs_f64(-(1.0 - uniform).ln() / self.config.rate)
     }
 
     fn schedule(&mut self, after: Duration, event: Event) {
-        self.numbered += 1;
-        self.events.insert((self.now + after, self.numbered), event);
+        self.last_sequence += 1;
+        self.events.insert((self.now + after, self.last_sequence), event);
     }
 
-    /// Plays on until then.
-    pub fn play(&mut self, until: Duration) {
+    /// Handles all events up to and including `until`, and sets the clock to it.
+    pub fn run_until(&mut self, until: Duration) {
         while let Some(entry) = self.events.first_entry().filter(|e| e.key().0 <= until) {
             self.now = entry.key().0;
             let event = entry.remove();
@@ -298,10 +331,10 @@
             Event::RequestDue(i) => {
                 let next = self.next_request_in(i);
                 self.schedule(next, Event::RequestDue(i));
-                self.ask(i);
+                self.start_request(i);
             }
-            Event::TimerFires(i, wake) => {
-                if self.initiators[i].wake == wake && self.initiators[i].incarnation.is_some() {
+            Event::TimerFires(i, timer_id) => {
+                if self.initiators[i].timer_id == timer_id && self.initiators[i].incarnation.is_some() {
                     self.step(i, Input::TimerFired);
                 }
             }
@@ -310,7 +343,7 @@
                 else {
                     return;
                 };
-                let outcome = self.endpoints[at].take(self.now, units, &self.shape.endpoints);
+                let outcome = self.endpoints[at].serve(self.now, units, &self.config.endpoints);
                 let (end, when) = match outcome {
                     Outcome::Served(when) => (TransportOutcome::Complete, when),
                     Outcome::Error => (TransportOutcome::EndpointError, self.now),
@@ -319,7 +352,7 @@
                     Outcome::NoAnswer => return,
                 };
                 self.schedule(
-                    when + ONE_WAY - self.now,
+                    when + ONE_WAY_DELAY - self.now,
                     Event::AttemptEnds { from, incarnation, request, number, end },
                 );
             }
@@ -339,32 +372,33 @@
                     let peer = self.initiators[i].next_peer % self.initiators.len();
                     self.initiators[i].next_peer = peer + 1;
                     self.exchange(i, peer);
-                    self.schedule(S, Event::ExchangeDue(i, incarnation));
+                    self.schedule(SECOND, Event::ExchangeDue(i, incarnation));
                 }
             }
             Event::ListRefreshes(i) => {
-                // The first message after a start with an old list is the whole one.
+                // A full list is sent each time; after a start with a stale list, it is the first update.
                 let kind = EndpointListKind::Full;
-                let entries = (0..self.endpoints.len()).map(|b| self.member(b, true)).collect();
+                let entries = (0..self.endpoints.len()).map(|b| self.endpoint_record(b, true)).collect();
                 self.step(i, Input::EndpointList(EndpointList { revision: self.revision, kind, entries }));
-                self.schedule(2 * S, Event::ListRefreshes(i));
+                self.schedule(2 * SECOND, Event::ListRefreshes(i));
             }
         }
     }
 
-    /// A frame each way, through the real form.
+    /// Exchanges reports between two initiators, one encoded frame in each direction.
     fn exchange(&mut self, i: usize, peer: usize) {
-        let cut = [i, peer].iter().any(|n| self.cut_off == Some(*n));
-        if i == peer || cut || self.initiators[peer].incarnation.is_none() {
+        let isolated = [i, peer].iter().any(|n| self.isolated == Some(*n));
+        if i == peer || isolated || self.initiators[peer].incarnation.is_none() {
             return;
         }
-        let now = self.zero + self.now;
+        let now = self.origin + self.now;
         let frames = [i, peer].map(|n| {
             let (me, broker) = (&self.initiators[n].me, &self.initiators[n].broker);
-            frame::encode(me, 2 * ONE_WAY, broker.peer_reports(now))
+            frame::encode(me, 2 * ONE_WAY_DELAY, broker.peer_reports(now))
         });
         for (to, bytes) in [(peer, &frames[0]), (i, &frames[1])] {
-            let message = frame::decode(bytes).unwrap_or_else(|why| panic!("the own frame: {why}"));
+            let message =
+                frame::decode(bytes).unwrap_or_else(|why| panic!("an encoded frame does not decode: {why}"));
             self.step(
                 to,
                 Input::PeerReports {
@@ -376,39 +410,42 @@
         }
     }
 
-    fn ask(&mut self, i: usize) {
-        self.numbered += 1;
-        let request = self.numbered;
-        let clients = &mut self.initiators[i].clients;
-        let writes = clients.random_bool(self.shape.writes);
-        let units = f64::from(clients.random_range(1..=3u32));
-        let (shard, volume) = (clients.random_range(0..self.shape.shards), clients.random_range(1..=8));
-        let ask = IncomingRequest {
-            class: u16::from(writes),
+    /// Draws a request of an initiator's clients and passes it to the broker.
+    fn start_request(&mut self, i: usize) {
+        self.last_sequence += 1;
+        let request = self.last_sequence;
+        let client_rng = &mut self.initiators[i].client_rng;
+        let is_write = client_rng.random_bool(self.config.write_fraction);
+        let units = f64::from(client_rng.random_range(1..=3u32));
+        let (shard, volume) =
+            (client_rng.random_range(0..self.config.shards), client_rng.random_range(1..=8));
+        let incoming = IncomingRequest {
+            class: u16::from(is_write),
             volume,
             initiators: self.initiators.len() as f64,
             key: request,
             shard: Some(shard),
             units,
-            time_remaining: 1200 * MS,
+            time_remaining: 1200 * MILLISECOND,
             ..IncomingRequest::default()
         };
-        self.initiators[i].tally.asked += 1;
+        self.initiators[i].request_counts.arrived += 1;
         self.initiators[i].open.insert(request, OpenRequest { arrived_at: self.now, units });
-        self.step(i, Input::RequestArrived { id: request, request: ask });
+        self.step(i, Input::RequestArrived { id: request, request: incoming });
     }
 
+    /// Passes an input to an initiator's broker and carries out the effects.
     fn step(&mut self, i: usize, input: Input) {
-        let effects = self.initiators[i].broker.step(self.zero + self.now, input);
+        let effects = self.initiators[i].broker.step(self.origin + self.now, input);
         let incarnation = self.initiators[i].me.incarnation;
         for effect in effects {
             match effect {
                 Effect::StartAttempt { attempt: AttemptId { request, number }, to, .. } => {
                     let at = usize::from(to.port());
-                    let astray = self.endpoints[at].mode != Mode::Serving;
-                    self.initiators[i].tally.misdirected += u64::from(astray);
+                    let misdirected = self.endpoints[at].mode != Mode::Serving;
+                    self.initiators[i].request_counts.misdirected += u64::from(misdirected);
                     self.schedule(
-                        ONE_WAY,
+                        ONE_WAY_DELAY,
                         Event::AttemptArrives { from: i, incarnation, request, number, at },
                     );
                 }
@@ -417,23 +454,23 @@
                     let Some(OpenRequest { arrived_at, .. }) = initiator.open.remove(&request) else {
                         continue;
                     };
-                    let tally = &mut initiator.tally;
+                    let request_counts = &mut initiator.request_counts;
                     match answer {
-                        Answer::Served(_) => tally.served += 1,
-                        Answer::Rejected(_) => tally.rejected += 1,
-                        Answer::Failed => tally.failed += 1,
+                        Answer::Served(_) => request_counts.served += 1,
+                        Answer::Rejected(_) => request_counts.rejected += 1,
+                        Answer::Failed => request_counts.failed += 1,
                     }
-                    tally.times.saturating_record((now - arrived_at).as_micros() as u64);
+                    request_counts.response_times.saturating_record((now - arrived_at).as_micros() as u64);
                 }
                 Effect::SetTimer(at) => {
-                    self.numbered += 1;
-                    let wake = self.numbered;
-                    self.initiators[i].wake = wake;
-                    // As coarse as the timers of the program's runtime.
-                    let after = (at - self.zero).saturating_sub(self.now).max(MS);
-                    self.schedule(after, Event::TimerFires(i, wake));
+                    self.last_sequence += 1;
+                    let timer_id = self.last_sequence;
+                    self.initiators[i].timer_id = timer_id;
+                    // The timers of the program's runtime have a resolution of one millisecond.
+                    let after = (at - self.origin).saturating_sub(self.now).max(MILLISECOND);
+                    self.schedule(after, Event::TimerFires(i, timer_id));
                 }
-                // What was given up goes on at its endpoint: that work is wasted, as it is in life.
+                // An aborted attempt is still served by its endpoint, as by a real one; that work is wasted.
                 Effect::AbortAttempt(..) | Effect::Log(_) | Effect::Broadcast(_) => {}
             }
         }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,7 +1,9 @@
-//! `shaletack-lab`: experiments by name, whose results are kept as tables and charts: in virtual time and
-//! from fixed seeds, or in real time, on real sockets ([`hollow`]) and of one real process ([`slopes`]). It owns a
-//! fleet of the real reducers ([`fleet`]) and model boxes ([`model`]), and shows only what the benches outside
-//! cannot. It decides nothing: what it plays is the program's own core.
+//! `shaletack-lab`: experiments, selected by name, that write their results as tables and charts.
+//!
+//! Some run in virtual time from fixed seeds, with the program's own reducers ([`fleet`]) against model endpoints
+//! ([`model`]). Others run in real time: on real sockets ([`hollow`]), or with one real process of the program
+//! ([`slopes`]). They measure what external benchmarks cannot show. All decisions are made by the program's own
+//! code; the experiments only supply its inputs.
 
 mod fleet;
 mod hollow;
@@ -19,7 +21,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Counts what is in use.
+/// Counts the bytes that are allocated, for the memory figures of [`scale`].
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
@@ -49,25 +51,29 @@
         hollow::Options { initiators: 100, processes: 9, program: PathBuf::new(), seconds: 30, volumes: 0 };
     let (mut only, mut jobs) = (None::<String>, 2usize);
     let mut args = lexopt::Parser::from_env();
-    let told = |e: lexopt::Error| format!("{e}\n{USAGE}");
-    while let Some(arg) = args.next().map_err(told)? {
+    let usage_error = |e: lexopt::Error| format!("{e}\n{USAGE}");
+    while let Some(arg) = args.next().map_err(usage_error)? {
         match arg {
-            Long("seeds") => seeds = args.value().and_then(|v| v.parse()).map_err(told)?,
-            Long("out") => out = args.value().map_err(told)?.into(),
-            Long("initiators") => hollow.initiators = args.value().and_then(|v| v.parse()).map_err(told)?,
-            Long("processes") => hollow.processes = args.value().and_then(|v| v.parse()).map_err(told)?,
-            Long("seconds") => hollow.seconds = args.value().and_then(|v| v.parse()).map_err(told)?,
-            Long("volumes") => hollow.volumes = args.value().and_then(|v| v.parse()).map_err(told)?,
-            Long("program") => hollow.program = args.value().map_err(told)?.into(),
-            Long("only") => only = Some(args.value().and_then(|v| v.string()).map_err(told)?),
-            Long("jobs") => jobs = args.value().and_then(|v| v.parse()).map_err(told)?,
+            Long("seeds") => seeds = args.value().and_then(|v| v.parse()).map_err(usage_error)?,
+            Long("out") => out = args.value().map_err(usage_error)?.into(),
+            Long("initiators") => {
+                hollow.initiators = args.value().and_then(|v| v.parse()).map_err(usage_error)?
+            }
+            Long("processes") => {
+                hollow.processes = args.value().and_then(|v| v.parse()).map_err(usage_error)?
+            }
+            Long("seconds") => hollow.seconds = args.value().and_then(|v| v.parse()).map_err(usage_error)?,
+            Long("volumes") => hollow.volumes = args.value().and_then(|v| v.parse()).map_err(usage_error)?,
+            Long("program") => hollow.program = args.value().map_err(usage_error)?.into(),
+            Long("only") => only = Some(args.value().and_then(|v| v.string()).map_err(usage_error)?),
+            Long("jobs") => jobs = args.value().and_then(|v| v.parse()).map_err(usage_error)?,
             Long("help") | Short('h') => {
                 println!("{USAGE}");
                 return Ok(());
             }
-            Value(word) if name.is_none() && word == "scale" => return scale::run(args),
-            Value(word) if name.is_none() => name = Some(word.string().map_err(told)?),
-            other => return Err(told(other.unexpected())),
+            Value(argument) if name.is_none() && argument == "scale" => return scale::run(args),
+            Value(argument) if name.is_none() => name = Some(argument.string().map_err(usage_error)?),
+            other => return Err(usage_error(other.unexpected())),
         }
     }
     if name.as_deref() == Some("mutants") && jobs > 0 {
@@ -75,12 +81,14 @@
     }
     std::fs::create_dir_all(&out).map_err(|e| format!("{}: {e}", out.display()))?;
     match name.as_deref() {
-        Some("hollow") => hollow::run(&hollow, &out).map_err(|why| why.to_string()),
+        Some("hollow") => hollow::run(&hollow, &out).map_err(|error| error.to_string()),
         Some("restart") if seeds > 0 => restart::run(seeds, &out),
         Some("slopes") if hollow.program.as_os_str().is_empty() => {
-            Err(format!("slopes: --program is needed\n{USAGE}"))
+            Err(format!("slopes: --program is required\n{USAGE}"))
+        }
+        Some("slopes") => {
+            slopes::run(&hollow.program, only.as_deref(), &out).map_err(|error| error.to_string())
         }
-        Some("slopes") => slopes::run(&hollow.program, only.as_deref(), &out).map_err(|why| why.to_string()),
         _ => Err(USAGE.into()),
     }
 }
@@ -88,8 +96,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("shaletack-lab: {why}");
+        Err(error) => {
+            eprintln!("shaletack-lab: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -1,87 +1,88 @@
-//! A model of an endpoint: serves one request after another in their order, slower in slow start, and crashes when
-//! it is overloaded then.
+//! A model of an endpoint: a FIFO queue with one server, which is slower during slow start and crashes when it is
+//! overloaded during slow start.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What an endpoint does with work.
+/// How an endpoint treats requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Serves it.
+    /// Serves them.
     Serving,
-    /// Rejects it unserved.
+    /// Rejects them without serving them.
     Draining,
-    /// Takes it and never answers: its process is stopped, or its address drops packets.
+    /// Accepts them and never answers: its process is stopped, or its address drops packets.
     Unresponsive,
-    /// Answers an error.
+    /// Answers with an error.
     Failing,
 }
 
-/// The figures that all endpoints of a fleet have.
+/// Capacity and overload parameters, the same for all endpoints of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointFigures {
-    /// Units a second after slow start.
+    /// Capacity after slow start, in units per second.
     pub capacity: f64,
-    /// The part of that just after a start.
+    /// Fraction of `capacity` that is available immediately after a start.
     pub slow_start_capacity: f64,
-    /// How long slow start lasts.
+    /// Duration of slow start.
     pub slow_start_duration: Duration,
-    /// An endpoint in slow start crashes when it is sent so many times what it can do within the window.
+    /// An endpoint in slow start crashes when the units sent within the window exceed this multiple of what it
+    /// can serve in that time.
     pub overload_factor: f64,
-    /// That window.
+    /// Length of the overload window.
     pub overload_window: Duration,
 }
 
-/// What becomes of one request.
+/// Outcome of one request at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served, at this time since the start of the run.
+    /// Served; the work ends at this time since the start of the run.
     Served(Duration),
-    /// An error at once.
+    /// Answered with an error, immediately.
     Error,
-    /// Rejected at once.
+    /// Rejected, immediately.
     Rejected,
-    /// Nothing ever comes back.
+    /// No answer is ever sent.
     NoAnswer,
-    /// The connection breaks.
+    /// The connection is closed without an answer.
     ConnectionLost,
 }
 
-/// Work that came to an endpoint.
+/// A request that arrived at an endpoint.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at: Duration,
     units: f64,
 }
 
-/// One endpoint.
+/// State of one endpoint.
 #[derive(Clone, Debug)]
 pub struct ModelEndpoint {
     /// The shard it holds.
     pub shard: u16,
-    /// What it does now.
+    /// How it treats requests at present.
     pub mode: Mode,
-    /// When it last started; `None`: long before the run.
+    /// Time of its last start; `None` if it started long before the run.
     pub started_at: Option<Duration>,
-    /// It crashed under overload.
+    /// Whether it crashed under overload.
     pub crashed: bool,
     busy_until: Duration,
     arrivals: VecDeque<Arrival>,
 }
 
 impl ModelEndpoint {
-    /// One that has long been running.
+    /// Returns an endpoint that has finished slow start.
     pub fn new(shard: u16) -> Self {
         let (started_at, busy_until, arrivals) = (None, Duration::ZERO, VecDeque::new());
         ModelEndpoint { shard, mode: Mode::Serving, started_at, crashed: false, busy_until, arrivals }
     }
 
-    /// Starts anew, in slow start and with nothing queued.
+    /// Restarts the endpoint: it is in slow start and its queue is empty.
     pub fn restart(&mut self, now: Duration) {
         *self = ModelEndpoint { started_at: Some(now), ..ModelEndpoint::new(self.shard) };
     }
 
-    /// Units a second at that time.
+    /// Returns the capacity at `now` in units per second; it rises linearly during slow start.
     fn rate(&self, now: Duration, figures: &EndpointFigures) -> f64 {
         let age = self
             .started_at
@@ -90,8 +91,8 @@
         figures.capacity * (figures.slow_start_capacity + (1.0 - figures.slow_start_capacity) * age)
     }
 
-    /// Takes a request of so many units, or not.
-    pub fn take(&mut self, now: Duration, units: f64, figures: &EndpointFigures) -> Outcome {
+    /// Queues a request of `units`, unless the endpoint's mode or an overload prevents it.
+    pub fn serve(&mut self, now: Duration, units: f64, figures: &EndpointFigures) -> Outcome {
         match self.mode {
             _ if self.crashed => return Outcome::ConnectionLost,
             Mode::Draining => return Outcome::Rejected,
--- a/crates/lab/src/restart.rs
+++ b/crates/lab/src/restart.rs
@@ -1,8 +1,11 @@
-//! One initiator is killed and returns with the list it was first started with, which stays silent for its
-//! first ten seconds, amid endpoints that drain, do not answer, fail and have just started. Its errors in those ten seconds,
-//! alone and informed by its peers, on the same seeds.
+//! Measures the errors of an initiator that restarts with a stale endpoint list.
+//!
+//! One initiator is killed and restarts with the list that it was first started with. No list update reaches
+//! it for ten seconds, while some endpoints drain, do not answer, fail or are in slow start. The experiment
+//! compares its errors in those ten seconds on the same seeds without peers, with peers that do not answer,
+//! and with peers that do.
 
-use crate::fleet::{Fleet, Shape, Tally, S};
+use crate::fleet::{Fleet, FleetConfig, RequestCounts, SECOND};
 use crate::model::{EndpointFigures, Mode};
 use plotters::prelude::{
     ChartBuilder, Color, IntoDrawingArea, Rectangle, SVGBackend, BLACK, BLUE, RED, WHITE, YELLOW,
@@ -14,10 +17,11 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What is measured.
-const SPAN: Duration = Duration::from_secs(10);
+/// Virtual time after the restart over which errors are counted.
+const MEASURED_SPAN: Duration = Duration::from_secs(10);
 
-fn shape(peers: bool) -> Shape {
+/// Returns the fleet's configuration, which differs between the arms in `peers` only.
+fn config(peers: bool) -> FleetConfig {
     let endpoints = EndpointFigures {
         capacity: 40.0,
         slow_start_capacity: 0.16,
@@ -25,65 +29,68 @@
         overload_factor: 3.0,
         overload_window: Duration::from_secs(3),
     };
-    Shape {
+    FleetConfig {
         initiators: 4,
         shards: 8,
-        copies: 2,
+        replicas_per_shard: 2,
         rate: 20.0,
-        writes: 0.3,
+        write_fraction: 0.3,
         peers,
         endpoints,
         slow_start_units: 16.0,
     }
 }
 
-/// How the returning initiator stands to the others.
+/// What the restarted initiator can learn from its peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Arm {
-    /// Peers are off everywhere: the start as it was before.
+    /// Peers are disabled on all initiators.
     Cold,
-    /// Peers are on, and none answers the one that returns: what its own observations do alone.
+    /// Peers are enabled, but none answers the restarted initiator, which has its own observations only.
     Alone,
-    /// Peers answer.
+    /// Peers are enabled and answer.
     Informed,
 }
 
 const ARMS: [(Arm, &str); 3] = [(Arm::Cold, "cold"), (Arm::Alone, "alone"), (Arm::Informed, "informed")];
 
+/// Result of one run.
 struct Outcome {
-    tally: Tally,
+    request_counts: RequestCounts,
     crashed: usize,
 }
 
-/// One run: the same faults and the same requests in each arm.
-fn play(seed: u64, arm: Arm) -> Outcome {
-    let shape = shape(arm != Arm::Cold);
-    let mut fleet = Fleet::new(shape, seed);
+/// Runs one seed, with the same faults and the same requests in each arm.
+fn run_seed(seed: u64, arm: Arm) -> Outcome {
+    let config = config(arm != Arm::Cold);
+    let mut fleet = Fleet::new(config, seed);
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
     // At most one endpoint of a shard has a fault.
-    let mut shards: Vec<usize> = (0..usize::from(shape.shards)).collect();
+    let mut shards: Vec<usize> = (0..usize::from(config.shards)).collect();
     shards.shuffle(&mut rng);
-    let mut faulty = shards.into_iter().map(|s| s * shape.copies + rng.random_range(0..shape.copies));
-    let mut some = |n| -> Vec<usize> { faulty.by_ref().take(n).collect() };
-    let (removed, drained, failing, cold) = (some(2), some(1), some(1), some(2));
-    fleet.play(6 * S);
-    removed.iter().for_each(|b| fleet.change(*b, Mode::Unresponsive, true));
-    drained.iter().for_each(|b| fleet.change(*b, Mode::Draining, true));
-    fleet.play(12 * S);
-    failing.iter().for_each(|b| fleet.change(*b, Mode::Failing, false));
-    fleet.play(18 * S);
+    let mut faulty = shards
+        .into_iter()
+        .map(|s| s * config.replicas_per_shard + rng.random_range(0..config.replicas_per_shard));
+    let mut take_faulty = |n| -> Vec<usize> { faulty.by_ref().take(n).collect() };
+    let (removed, drained, failing, cold) = (take_faulty(2), take_faulty(1), take_faulty(1), take_faulty(2));
+    fleet.run_until(6 * SECOND);
+    removed.iter().for_each(|b| fleet.set_mode(*b, Mode::Unresponsive, true));
+    drained.iter().for_each(|b| fleet.set_mode(*b, Mode::Draining, true));
+    fleet.run_until(12 * SECOND);
+    failing.iter().for_each(|b| fleet.set_mode(*b, Mode::Failing, false));
+    fleet.run_until(18 * SECOND);
     cold.iter().for_each(|b| fleet.restart(*b));
-    fleet.play(20 * S);
+    fleet.run_until(20 * SECOND);
     fleet.kill(0);
-    fleet.play(21 * S);
-    fleet.cut_off = (arm == Arm::Alone).then_some(0);
-    fleet.return_stale(0, SPAN);
-    fleet.play(21 * S + SPAN);
+    fleet.run_until(21 * SECOND);
+    fleet.isolated = (arm == Arm::Alone).then_some(0);
+    fleet.restart_with_stale_list(0, MEASURED_SPAN);
+    fleet.run_until(21 * SECOND + MEASURED_SPAN);
     let crashed = fleet.endpoints.iter().filter(|b| b.crashed).count();
-    Outcome { tally: fleet.tally(0).clone(), crashed }
+    Outcome { request_counts: fleet.request_counts(0).clone(), crashed }
 }
 
-/// Plays all seeds in each arm, and keeps a table and a chart.
+/// Runs all seeds in each arm, writes the table and the chart into `out` and prints the totals.
 pub fn run(seeds: u64, out: &Path) -> Result<(), String> {
     let mut table = String::from(
         "seed,arm,asked,served,refused,failed,errors,sent_astray,median_ms,p99_ms,cold_boxes_fallen\n",
@@ -92,27 +99,28 @@
     let mut crashed = 0;
     for seed in 1..=seeds {
         errors.push(ARMS.map(|(arm, name)| {
-            let Outcome { tally: t, crashed: fell } = play(seed, arm);
-            let at = |part| t.times.value_at_quantile(part) as f64 / 1e3;
+            let Outcome { request_counts: counts, crashed: crashed_endpoints } = run_seed(seed, arm);
+            let at = |part| counts.response_times.value_at_quantile(part) as f64 / 1e3;
             let _ = writeln!(
                 table,
-                "{seed},{name},{},{},{},{},{},{},{:.1},{:.1},{fell}",
-                t.asked,
-                t.served,
-                t.rejected,
-                t.failed,
-                t.errors(),
-                t.misdirected,
+                "{seed},{name},{},{},{},{},{},{},{:.1},{:.1},{crashed_endpoints}",
+                counts.arrived,
+                counts.served,
+                counts.rejected,
+                counts.failed,
+                counts.errors(),
+                counts.misdirected,
                 at(0.5),
                 at(0.99)
             );
-            crashed += if arm == Arm::Informed { fell } else { 0 };
-            t.errors()
+            crashed += if arm == Arm::Informed { crashed_endpoints } else { 0 };
+            counts.errors()
         }));
     }
-    let written = |name: &str, why: &dyn std::fmt::Display| format!("{}: {why}", out.join(name).display());
-    std::fs::write(out.join("restart.csv"), table).map_err(|e| written("restart.csv", &e))?;
-    draw(&errors, &out.join("restart.svg")).map_err(|e| written("restart.svg", &e))?;
+    let write_error =
+        |name: &str, why: &dyn std::fmt::Display| format!("{}: {why}", out.join(name).display());
+    std::fs::write(out.join("restart.csv"), table).map_err(|e| write_error("restart.csv", &e))?;
+    draw(&errors, &out.join("restart.svg")).map_err(|e| write_error("restart.svg", &e))?;
     let [cold, alone, informed] = [0, 1, 2].map(|arm| errors.iter().map(|e| e[arm]).sum::<u64>());
     let worse = errors.iter().filter(|e| e[2] > e[0]).count();
     println!(
@@ -125,6 +133,7 @@
     Ok(())
 }
 
+/// Draws the errors of each seed as one bar for each arm.
 fn draw(errors: &[[u64; 3]], to: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let top = errors.iter().flatten().max().copied().unwrap_or(1).max(1);
     let area = SVGBackend::new(to, (900, 420)).into_drawing_area();
--- a/crates/lab/src/scale/faults.rs
+++ b/crates/lab/src/scale/faults.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::{Arm, Fleet, Size};
 use super::plans::{met, some, Book};
-use crate::fleet::{MS, S};
+use crate::fleet::{MILLISECOND, SECOND};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use shaletack_core::interface::Readiness::{self, Draining, Ready};
@@ -27,7 +27,7 @@
     ("tenth-restarted", restarted),
     ("zone-cut-for-a-minute", zone_cut),
     ("regions-cut-for-an-hour", regions_cut),
-    ("all-started-at-once", |s| s.pass(10 * S).drain(1)),
+    ("all-started-at-once", |s| s.pass(10 * SECOND).drain(1)),
     ("partners-that-never-answer", mute),
     ("loss-of-a-fifth-and-doubling", lossy),
     ("box-that-flaps", flapping),
@@ -102,7 +102,7 @@
 
 fn restarted(s: &mut Stage) {
     s.drain(1);
-    s.pass(10 * S);
+    s.pass(10 * SECOND);
     let those = s.others(s.fleet.size.initiators / 10);
     s.fleet.troubled_until = s.fleet.now + AFTERMATH;
     those.into_iter().for_each(|i| s.fleet.restart(i));
@@ -113,13 +113,13 @@
     let cut_off = (s.teller + 1) % zones;
     let within = (0..s.fleet.size.initiators).find(|i| i % zones == cut_off).unwrap_or(s.teller);
     s.sides(|i| u8::from(i % zones == cut_off));
-    s.pass(30 * S);
+    s.pass(30 * SECOND);
     let stale = some(&mut s.rng, boxes, STALE.min(boxes / 2));
     s.says(within, &stale, Draining);
     s.says(s.teller, &stale, Draining);
-    s.pass(15 * S);
+    s.pass(15 * SECOND);
     s.says(s.teller, &stale, Ready);
-    s.pass(15 * S);
+    s.pass(15 * SECOND);
     s.heal();
 }
 
@@ -127,30 +127,30 @@
     let regions = s.fleet.size.regions;
     let zones = s.fleet.size.zones;
     s.sides(|i| (i % zones % regions) as u8);
-    s.pass(3590 * S);
+    s.pass(3590 * SECOND);
     s.drain(30);
-    s.pass(10 * S);
+    s.pass(10 * SECOND);
     s.heal();
 }
 
 fn mute(s: &mut Stage) {
     let those = s.others(s.fleet.size.initiators / 50 + 1);
     those.into_iter().for_each(|i| s.fleet.hollows[i].mute = true);
-    s.pass(2 * S).drain(2);
+    s.pass(2 * SECOND).drain(2);
 }
 
 fn lossy(s: &mut Stage) {
     (s.fleet.links.loss, s.fleet.links.doubling) = (0.2, 0.2);
-    s.pass(20 * S).drain(2);
+    s.pass(20 * SECOND).drain(2);
 }
 
 fn flapping(s: &mut Stage) {
     let b = s.rng.random_range(0..s.fleet.size.boxes);
     for _ in 0..5 {
         s.says(s.teller, &[b], Draining);
-        s.pass(S);
+        s.pass(SECOND);
         s.says(s.teller, &[b], Ready);
-        s.pass(S);
+        s.pass(SECOND);
     }
     s.drain(1);
 }
@@ -159,10 +159,10 @@
     let [one, other] = s.others(2)[..] else { return };
     s.fleet.troubled_until = s.fleet.now + AFTERMATH;
     s.fleet.restart_as(other, one);
-    s.pass(5 * S);
+    s.pass(5 * SECOND);
     let boxes = some(&mut s.rng, s.fleet.size.boxes, 2);
     s.says(one, &boxes[..1], Draining);
-    s.pass(S);
+    s.pass(SECOND);
     // Its list speaks later, and names both.
     s.says(other, &boxes, Draining);
 }
@@ -170,12 +170,12 @@
 fn noise(s: &mut Stage) {
     for _ in 0..100 {
         s.fleet.noise(20);
-        s.pass(20 * MS);
+        s.pass(20 * MILLISECOND);
     }
     s.drain(2);
     for _ in 0..50 {
         s.fleet.noise(20);
-        s.pass(20 * MS);
+        s.pass(20 * MILLISECOND);
     }
 }
 
@@ -183,8 +183,8 @@
     let those = s.others(s.fleet.size.initiators / 50 + 1);
     s.fleet.troubled_until = Duration::MAX;
     those.iter().for_each(|i| s.fleet.pause(*i));
-    s.pass(5 * S).drain(2);
-    s.pass(15 * S);
+    s.pass(5 * SECOND).drain(2);
+    s.pass(15 * SECOND);
     those.iter().for_each(|i| s.fleet.resume(*i));
     s.fleet.troubled_until = s.fleet.now + AFTERMATH;
 }
@@ -202,7 +202,7 @@
         met(size, arm, seed)?
     };
     if fleet.now > Duration::ZERO {
-        fleet.play(fleet.now + 2 * S);
+        fleet.play(fleet.now + 2 * SECOND);
     }
     fleet.count_anew();
     let dead = fleet.seen.taken_for_dead;
@@ -213,11 +213,11 @@
     plan(&mut stage);
     let from = stage.fleet.now;
     while !stage.healed() && stage.fleet.now < from + NEVER {
-        stage.pass(50 * MS);
+        stage.pass(50 * MILLISECOND);
     }
     let healed = if stage.healed() { (stage.fleet.now - from).as_secs_f64() } else { f64::INFINITY };
     book.note(format!("{name}:healed_s"), healed);
-    stage.pass(5 * S);
+    stage.pass(5 * SECOND);
     let fleet = &stage.fleet;
     let sum = |of: &dyn Fn(&super::fleet::Hollow) -> u64| fleet.hollows.iter().map(of).sum::<u64>();
     let most = |of: &dyn Fn(&super::fleet::Hollow) -> f64| fleet.hollows.iter().map(of).fold(0.0, f64::max);
--- a/crates/lab/src/scale/fleet/exchange.rs
+++ b/crates/lab/src/scale/fleet/exchange.rs
@@ -4,7 +4,7 @@
 use super::event::Event;
 use super::hollow::{timed, Part};
 use super::{Arm, Fleet};
-use crate::fleet::S;
+use crate::fleet::SECOND;
 use crate::scale::net::{address, index, Connection, RETRANSMITTED_AFTER};
 use rand::rngs::StdRng;
 use rand::RngExt;
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// How often an exchange begins, and how long one may take (`src/peers`).
-pub const ASKED_EVERY: Duration = S;
+pub const ASKED_EVERY: Duration = SECOND;
 const EXCHANGE: Duration = Duration::from_millis(300);
 
 impl Fleet {
--- a/crates/lab/src/scale/fleet/hollow.rs
+++ b/crates/lab/src/scale/fleet/hollow.rs
@@ -2,7 +2,7 @@
 
 use super::event::Event;
 use super::{Fleet, Size};
-use crate::fleet::{settings, Shape, UNIX};
+use crate::fleet::{settings, FleetConfig, UNIX_START};
 use crate::model::EndpointFigures;
 use crate::scale::net::{address, Place, Traffic};
 use rand::RngExt;
@@ -82,11 +82,11 @@
     pub(super) fn hollow(&mut self, i: usize, named: usize, boot: u64) -> Hollow {
         let life = self.rng.random();
         let me = Observer { name: format!("init-{named:04}"), incarnation: life };
-        let epoch = (UNIX + self.now).as_millis() as u64;
+        let epoch = (UNIX_START + self.now).as_millis() as u64;
         let peer =
             membership::Member { name: me.name.clone(), incarnation: life, epoch, address: address(i) };
         let set = Settings { rank: i as u32, ..fleet_settings(&self.size) };
-        let clock = Clock::new(self.zero, UNIX + self.now);
+        let clock = Clock::new(self.zero, UNIX_START + self.now);
         let broker = Broker::new(set, self.rng.random(), clock, self.zero).with_peers(me.clone());
         let used = VOLUMES_USED.min(self.size.volumes);
         let from = self.rng.random_range(0..self.size.volumes as u64);
@@ -132,17 +132,17 @@
         overload_window: Duration::from_secs(3),
     };
     let (initiators, shards) = (size.initiators, size.shards());
-    let shape = Shape {
+    let config = FleetConfig {
         initiators,
         shards,
-        copies: 2,
+        replicas_per_shard: 2,
         rate: 0.0,
-        writes: 0.0,
+        write_fraction: 0.0,
         peers: true,
         endpoints,
         slow_start_units: 16.0,
     };
-    let set = settings(&shape);
+    let set = settings(&config);
     let plans = set.plans.iter().map(|plan| Plan { rate: 1e6, ..plan.clone() }).collect();
     Settings { plans, ..set }
 }
--- a/crates/lab/src/scale/fleet/reducers.rs
+++ b/crates/lab/src/scale/fleet/reducers.rs
@@ -4,7 +4,7 @@
 use super::event::Event;
 use super::hollow::{timed, Part};
 use super::{Arm, Fleet};
-use crate::fleet::MS;
+use crate::fleet::MILLISECOND;
 use crate::scale::net::{index, UDP_HEADER};
 use shaletack_core::broker::{AttemptId, Effect, IncomingRequest, Input};
 use shaletack_core::gossip::{Aged, PeerTotals, VolumeDemand};
@@ -18,7 +18,7 @@
 /// How often a busy initiator's clients ask for each volume that is in use there.
 pub const ASKED_AGAIN: Duration = Duration::from_secs(2);
 /// How long an endpoint serves a request.
-const SERVED_IN: Duration = MS;
+const SERVED_IN: Duration = MILLISECOND;
 
 /// Whether a datagram of gossip is one of the sums: the last of the kinds, after a head and who sends
 /// it.
@@ -132,7 +132,7 @@
                 Effect::SetTimer(at) => {
                     // As coarse as the timers of the program's runtime.
                     let local = at.saturating_duration_since(self.zero);
-                    let soonest = self.hollows[i].local(self.now) + MS;
+                    let soonest = self.hollows[i].local(self.now) + MILLISECOND;
                     self.wake(i, Part::Broker, local.max(soonest));
                 }
                 Effect::Log(OperatorEvent::AdviceChanged { id, stopped, .. }) => {
@@ -169,7 +169,7 @@
             key: number,
             shard: Some((volume % u64::from(self.size.shards())) as u16),
             units,
-            time_remaining: 1200 * MS,
+            time_remaining: 1200 * MILLISECOND,
             ..IncomingRequest::default()
         };
         let gap = ASKED_AGAIN / hollow.used.len() as u32;
--- a/crates/lab/src/scale/net.rs
+++ b/crates/lab/src/scale/net.rs
@@ -1,6 +1,6 @@
 //! The network between hollow initiators: ways, loss, doubling, cuts, and what goes over each one's wire.
 
-use crate::fleet::S;
+use crate::fleet::SECOND;
 use bytes::Bytes;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -126,7 +126,7 @@
     }
 
     pub fn add(&mut self, now: Duration, bytes: usize, across: bool) {
-        let second = (now.as_nanos() / S.as_nanos()) as u64;
+        let second = (now.as_nanos() / SECOND.as_nanos()) as u64;
         if second != self.second {
             (self.second, self.in_second) = (second, 0);
         }
--- a/crates/lab/src/scale/plans.rs
+++ b/crates/lab/src/scale/plans.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::{Arm, Fleet, Size};
 use super::Row;
-use crate::fleet::S;
+use crate::fleet::SECOND;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -52,13 +52,13 @@
         if fleet.now >= MEETING {
             return Err(format!("{} initiators have not met within {MEETING:?}", size.initiators));
         }
-        fleet.play(fleet.now + S);
+        fleet.play(fleet.now + SECOND);
     }
     fleet.talk();
     // Those that speak the spread find out of each other after the start: what that costs is not what a day
     // costs.
     while fleet.unmet_part() > 1.0 - MET && fleet.now < 2 * MEETING {
-        fleet.play(fleet.now + S);
+        fleet.play(fleet.now + SECOND);
     }
     Ok(fleet)
 }
@@ -103,8 +103,8 @@
         fleet.grow_busy();
     }
     // Demand is smoothed over two seconds, and counts for four.
-    fleet.play(fleet.now + 8 * S);
-    costs(&mut fleet, 10 * S, book);
+    fleet.play(fleet.now + 8 * SECOND);
+    costs(&mut fleet, 10 * SECOND, book);
     let grown = crate::ALLOCATOR.allocated().saturating_sub(before);
     book.note("memory_megabytes", grown as f64 / 1e6 / size.initiators as f64);
     Ok(())
@@ -121,7 +121,7 @@
 /// Every few seconds a box drains, and one initiator alone hears of it from its list.
 pub fn spread(size: Size, arm: Arm, seed: u64, book: &mut Book) -> Result<(), String> {
     let mut fleet = met(size, arm, seed)?;
-    fleet.play(fleet.now + 3 * S);
+    fleet.play(fleet.now + 3 * SECOND);
     let mut rng = StdRng::seed_from_u64(seed ^ 0xd7a1);
     let boxes = some(&mut rng, size.boxes, DRAINS);
     let teller = rng.random_range(0..size.initiators);
@@ -163,13 +163,13 @@
 pub fn sums(size: Size, arm: Arm, seed: u64, book: &mut Book) -> Result<(), String> {
     let mut fleet = met(size, arm, seed)?;
     fleet.grow_busy();
-    fleet.play(fleet.now + 8 * S);
+    fleet.play(fleet.now + 8 * SECOND);
     // What each was asked for over the last four seconds, and the sums of it.
     let mut past: VecDeque<Moment> = VecDeque::new();
     let mut hits: BTreeMap<u64, u64> = BTreeMap::new();
     let (mut samples, mut twice) = (0, 0);
     for step in 0..24 {
-        fleet.play(fleet.now + S / 2);
+        fleet.play(fleet.now + SECOND / 2);
         let own: Vec<_> = fleet.hollows.iter().map(|h| h.own.clone()).collect();
         let mut all = BTreeMap::new();
         own.iter().flatten().for_each(|(volume, rate)| *all.entry(*volume).or_default() += rate);
@@ -200,7 +200,7 @@
     book.note("counted_twice", twice as f64);
     let mut rng = StdRng::seed_from_u64(seed ^ 0xdead);
     some(&mut rng, size.initiators, size.initiators / 10).into_iter().for_each(|i| fleet.kill(i));
-    fleet.play(fleet.now + 10 * S);
+    fleet.play(fleet.now + 10 * SECOND);
     let mut of_dead = 0;
     for _ in 0..6 {
         let used = users(&fleet);
@@ -210,7 +210,7 @@
             };
             of_dead += hollow.others.iter().filter(|told| more(*told)).count();
         }
-        fleet.play(fleet.now + S / 2);
+        fleet.play(fleet.now + SECOND / 2);
     }
     book.note("of_dead", of_dead as f64);
     Ok(())
--- a/crates/lab/tests/slopes.rs
+++ b/crates/lab/tests/slopes.rs
@@ -10,7 +10,7 @@
     let (file, away) = (file.to_str().unwrap(), folder.path().join("none"));
     let away = away.to_str().unwrap();
     for (args, what) in [
-        (vec!["slopes"], "--program is needed"),
+        (vec!["slopes"], "--program is required"),
         (vec!["slopes", "--program", away], "is no file"),
         (vec!["slopes", "--program", file, "--only", "sideways"], "'sideways' is none of idle-http"),
         (vec!["slopes", "--program", file, "--only", "list", "--out", file], file),
