--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -176,8 +176,8 @@
 }
 
 impl Fleet {
-    /// Creates a fleet in which all endpoints have finished slow start, all lists are current and every initiator
-    /// has clients.
+    /// Creates a fleet in which all endpoints have finished slow start, all lists are current and every
+    /// initiator has clients.
     pub fn new(config: FleetConfig, seed: u64) -> Self {
         let endpoints = (0..config.shards)
             .flat_map(|s| (0..config.replicas_per_shard).map(move |_| ModelEndpoint::new(s)))
@@ -251,8 +251,8 @@
         self.events.retain(|_, e| !matches!(e, Event::RequestDue(n) | Event::ListRefreshes(n) if *n == i));
     }
 
-    /// Restarts an initiator with the list that it was first started with. Updates of the list reach it only after
-    /// `list_silent_for`.
+    /// Restarts an initiator with the list that it was first started with. Updates of the list reach it only
+    /// after `list_silent_for`.
     pub fn restart_with_stale_list(&mut self, i: usize, list_silent_for: Duration) {
         let list_updates_from = self.now + list_silent_for;
         self.initiators[i] = self.new_initiator(i, list_updates_from);
@@ -264,8 +264,8 @@
         &self.initiators[i].request_counts
     }
 
-    /// Changes how an endpoint treats requests. With `listed`, the endpoint list shows it as draining: the list
-    /// announces drains, removals and starts, but no faults.
+    /// Changes how an endpoint treats requests. With `listed`, the endpoint list shows it as draining: the
+    /// list announces drains, removals and starts, but no faults.
     pub fn set_mode(&mut self, b: usize, mode: Mode, listed: bool) {
         self.endpoints[b].mode = mode;
         if listed {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,9 +1,9 @@
 //! `shaletack-lab`: experiments, selected by name, that write their results as tables and charts.
 //!
-//! Some run in virtual time from fixed seeds, with the program's own reducers ([`fleet`]) against model endpoints
-//! ([`model`]). Others run in real time: on real sockets ([`hollow`]), or with one real process of the program
-//! ([`slopes`]). They measure what external benchmarks cannot show. All decisions are made by the program's own
-//! code; the experiments only supply its inputs.
+//! Some run in virtual time from fixed seeds, with the program's own reducers ([`fleet`]) against model
+//! endpoints ([`model`]). Others run in real time: on real sockets ([`hollow`]), or with one real process of
+//! the program ([`slopes`]). They measure what external benchmarks cannot show. All decisions are made by the
+//! program's own code; the experiments only supply its inputs.
 
 mod fleet;
 mod hollow;
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -1,5 +1,5 @@
-//! A model of an endpoint: a FIFO queue with one server, which is slower during slow start and crashes when it is
-//! overloaded during slow start.
+//! A model of an endpoint: a FIFO queue with one server, which is slower during slow start and crashes when
+//! it is overloaded during slow start.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -26,8 +26,8 @@
     pub slow_start_capacity: f64,
     /// Duration of slow start.
     pub slow_start_duration: Duration,
-    /// An endpoint in slow start crashes when the units sent within the window exceed this multiple of what it
-    /// can serve in that time.
+    /// An endpoint in slow start crashes when the units sent within the window exceed this multiple of what
+    /// it can serve in that time.
     pub overload_factor: f64,
     /// Length of the overload window.
     pub overload_window: Duration,
--- a/crates/lab/src/mutants.rs
+++ b/crates/lab/src/mutants.rs
@@ -1,5 +1,5 @@
-//! Mutation testing of gossip and aggregation: applies the mutants of a table to a copy of the sources, one at a
-//! time, and requires that a test fails for each.
+//! Mutation testing of gossip and aggregation: applies the mutants of a table to a copy of the sources, one
+//! at a time, and requires that a test fails for each.
 
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -17,8 +17,8 @@
 const MIN_MUTANTS: usize = 15;
 /// A test file that runs longer than this counts as hung; for the unmodified crate the limit is half of it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(180);
-/// Manifest of the copy's workspace. The tests run in virtual time, so that the lower optimisation level changes
-/// no test's result.
+/// Manifest of the copy's workspace. The tests run in virtual time, so that the lower optimisation level
+/// changes no test's result.
 const WORKSPACE_MANIFEST: &str =
     "[workspace]\nmembers = [\"crates/*\"]\nresolver = \"2\"\n[workspace.lints]\n\
     [profile.dev]\ndebug = false\n[profile.dev.package.shaletack-gossip]\nopt-level = 1\n";
@@ -83,7 +83,8 @@
     Ok(())
 }
 
-/// Builds one test file and runs its tests until one fails or `time_limit` has passed; returns which one failed.
+/// Builds one test file and runs its tests until one fails or `time_limit` has passed; returns which one
+/// failed.
 fn run_suite(work: &Path, suite: &str, jobs: &str, time_limit: Duration) -> Result<Option<String>, String> {
     let mut build = Command::new("cargo");
     build.args(["test", "--offline", "-p", "shaletack-gossip", "--no-run", "-j", jobs, "--test", suite]);
--- a/crates/lab/src/scale/faults.rs
+++ b/crates/lab/src/scale/faults.rs
@@ -1,7 +1,7 @@
-//! What goes wrong in a large fleet, and how long after it all know again what they should.
+//! Faults in a large fleet, and the time until all initiators know again which endpoints drain.
 
 use super::fleet::{Arm, Fleet, Size};
-use super::plans::{met, some, Book};
+use super::plans::{converged_fleet, sample, Recorder};
 use crate::fleet::{MILLISECOND, SECOND};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -9,26 +9,28 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Who does not know by then never does.
-const NEVER: Duration = Duration::from_secs(60);
-/// So long after links heal or processes go on, members may still be taken for dead by what was said before.
-const AFTERMATH: Duration = Duration::from_secs(20);
-/// Stale facts of a zone that was cut off.
-const STALE: usize = 400;
-/// An hour's cut is played with no more initiators than this.
-const HOUR_MOST: usize = 90;
+/// A fleet that has not healed within this time counts as never healing.
+const HEALING_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time after links are restored or processes resume during which live members may still be considered dead,
+/// owing to messages from before.
+const RECOVERY_GRACE: Duration = Duration::from_secs(20);
+/// Number of endpoints about which a partitioned zone holds stale reports.
+const STALE_REPORTS: usize = 400;
+/// Maximum number of initiators in a partition that lasts an hour.
+const MAX_INITIATORS_FOR_HOUR: usize = 90;
 
-/// A plan leaves the fleet at the moment from which healing counts.
-pub type Plan = fn(&mut Stage);
+/// Applies a fault. The time to heal is measured from the moment at which the function returns.
+pub type Plan = fn(&mut FaultScenario);
 
+/// All fault plans by name.
 pub const PLANS: [(&str, Plan); 12] = [
     ("tenth-killed", |s| s.kill(10)),
     ("third-killed", |s| s.kill(3)),
     ("tenth-restarted", restarted),
     ("zone-cut-for-a-minute", zone_cut),
     ("regions-cut-for-an-hour", regions_cut),
-    ("all-started-at-once", |s| s.pass(10 * SECOND).drain(1)),
-    ("partners-that-never-answer", mute),
+    ("all-started-at-once", |s| s.advance(10 * SECOND).drain(1)),
+    ("partners-that-never-answer", unresponsive),
     ("loss-of-a-fifth-and-doubling", lossy),
     ("box-that-flaps", flapping),
     ("two-lives-of-one-name", twins),
@@ -37,195 +39,214 @@
 ];
 
 /// A fleet and what its initiators should know.
-pub struct Stage {
+pub struct FaultScenario {
     fleet: Fleet,
     rng: StdRng,
-    /// The one whose list speaks.
-    teller: usize,
-    /// Boxes that take no work.
-    out: BTreeSet<usize>,
-    /// Those whose own list says so.
-    exempt: BTreeSet<usize>,
+    /// The initiator that receives changes of the endpoint list.
+    notified_initiator: usize,
+    /// Endpoints that drain at present.
+    draining: BTreeSet<usize>,
+    /// Initiators whose own endpoint list shows the drains, so that they do not depend on their peers.
+    notified: BTreeSet<usize>,
 }
 
-impl Stage {
-    fn pass(&mut self, span: Duration) -> &mut Self {
-        self.fleet.play(self.fleet.now + span);
+impl FaultScenario {
+    /// Runs the fleet for a span.
+    fn advance(&mut self, span: Duration) -> &mut Self {
+        self.fleet.run_until(self.fleet.now + span);
         self
     }
 
-    fn says(&mut self, teller: usize, boxes: &[usize], readiness: Readiness) {
-        self.exempt.insert(teller);
-        self.fleet.list_says(teller, boxes.iter().copied(), readiness);
+    /// Sends a change of the endpoint list to one initiator.
+    fn announce(&mut self, initiator: usize, endpoints: &[usize], readiness: Readiness) {
+        self.notified.insert(initiator);
+        self.fleet.deliver_list_change(initiator, endpoints.iter().copied(), readiness);
         match readiness {
-            Ready => self.out.retain(|b| !boxes.contains(b)),
-            _ => self.out.extend(boxes),
+            Ready => self.draining.retain(|b| !endpoints.contains(b)),
+            _ => self.draining.extend(endpoints),
         }
     }
 
-    /// So many boxes drain.
+    /// Drains `count` endpoints drawn at random.
     fn drain(&mut self, count: usize) {
-        let boxes = some(&mut self.rng, self.fleet.size.boxes, count);
-        self.says(self.teller, &boxes, Draining);
+        let endpoints = sample(&mut self.rng, self.fleet.size.endpoints, count);
+        self.announce(self.notified_initiator, &endpoints, Draining);
     }
 
-    /// One of so many dies, all at once; a box drains just then.
+    /// Kills one in `of` initiators at once and drains an endpoint at the same time.
     fn kill(&mut self, of: usize) {
-        let teller = self.teller;
-        let dying = some(&mut self.rng, self.fleet.size.initiators, self.fleet.size.initiators / of);
-        dying.into_iter().filter(|i| *i != teller).for_each(|i| self.fleet.kill(i));
+        let notified_initiator = self.notified_initiator;
+        let dying = sample(&mut self.rng, self.fleet.size.initiators, self.fleet.size.initiators / of);
+        dying.into_iter().filter(|i| *i != notified_initiator).for_each(|i| self.fleet.kill(i));
         self.drain(1);
     }
 
-    fn others(&mut self, count: usize) -> Vec<usize> {
-        let teller = self.teller;
-        let drawn = some(&mut self.rng, self.fleet.size.initiators, count + 1);
-        drawn.into_iter().filter(|i| *i != teller).take(count).collect()
+    /// Draws `count` initiators other than the one that receives list changes.
+    fn other_initiators(&mut self, count: usize) -> Vec<usize> {
+        let notified_initiator = self.notified_initiator;
+        let drawn = sample(&mut self.rng, self.fleet.size.initiators, count + 1);
+        drawn.into_iter().filter(|i| *i != notified_initiator).take(count).collect()
     }
 
-    fn sides(&mut self, side: impl Fn(usize) -> u8) {
-        self.fleet.links.sides = (0..self.fleet.size.initiators).map(side).collect();
-        self.fleet.troubled_until = Duration::MAX;
+    /// Partitions the network; `side` gives the partition of each initiator.
+    fn partition(&mut self, side: impl Fn(usize) -> u8) {
+        self.fleet.links.partitions = (0..self.fleet.size.initiators).map(side).collect();
+        self.fleet.faults_until = Duration::MAX;
     }
 
+    /// Removes all partitions.
     fn heal(&mut self) {
-        self.fleet.links.sides.fill(0);
-        self.fleet.troubled_until = self.fleet.now + AFTERMATH;
+        self.fleet.links.partitions.fill(0);
+        self.fleet.faults_until = self.fleet.now + RECOVERY_GRACE;
     }
 
+    /// Returns whether every initiator that depends on its peers avoids exactly the draining endpoints.
     fn healed(&self) -> bool {
         let hollows = self.fleet.hollows.iter().enumerate();
-        let bound = |(i, h): &(usize, &super::fleet::Hollow)| h.alive && !h.mute && !self.exempt.contains(i);
-        hollows.filter(bound).all(|(_, h)| h.stopped == self.out)
+        let must_know = |(i, h): &(usize, &super::fleet::Hollow)| {
+            h.alive && !h.unresponsive && !self.notified.contains(i)
+        };
+        hollows.filter(must_know).all(|(_, h)| h.avoided_endpoints == self.draining)
     }
 }
 
-fn restarted(s: &mut Stage) {
+fn restarted(s: &mut FaultScenario) {
     s.drain(1);
-    s.pass(10 * SECOND);
-    let those = s.others(s.fleet.size.initiators / 10);
-    s.fleet.troubled_until = s.fleet.now + AFTERMATH;
-    those.into_iter().for_each(|i| s.fleet.restart(i));
+    s.advance(10 * SECOND);
+    let affected = s.other_initiators(s.fleet.size.initiators / 10);
+    s.fleet.faults_until = s.fleet.now + RECOVERY_GRACE;
+    affected.into_iter().for_each(|i| s.fleet.restart(i));
 }
 
-fn zone_cut(s: &mut Stage) {
-    let (zones, boxes) = (s.fleet.size.zones, s.fleet.size.boxes);
-    let cut_off = (s.teller + 1) % zones;
-    let within = (0..s.fleet.size.initiators).find(|i| i % zones == cut_off).unwrap_or(s.teller);
-    s.sides(|i| u8::from(i % zones == cut_off));
-    s.pass(30 * SECOND);
-    let stale = some(&mut s.rng, boxes, STALE.min(boxes / 2));
-    s.says(within, &stale, Draining);
-    s.says(s.teller, &stale, Draining);
-    s.pass(15 * SECOND);
-    s.says(s.teller, &stale, Ready);
-    s.pass(15 * SECOND);
+fn zone_cut(s: &mut FaultScenario) {
+    let (zones, endpoints) = (s.fleet.size.zones, s.fleet.size.endpoints);
+    let cut_off = (s.notified_initiator + 1) % zones;
+    let within = (0..s.fleet.size.initiators).find(|i| i % zones == cut_off).unwrap_or(s.notified_initiator);
+    s.partition(|i| u8::from(i % zones == cut_off));
+    s.advance(30 * SECOND);
+    let stale = sample(&mut s.rng, endpoints, STALE_REPORTS.min(endpoints / 2));
+    s.announce(within, &stale, Draining);
+    s.announce(s.notified_initiator, &stale, Draining);
+    s.advance(15 * SECOND);
+    s.announce(s.notified_initiator, &stale, Ready);
+    s.advance(15 * SECOND);
     s.heal();
 }
 
-fn regions_cut(s: &mut Stage) {
+fn regions_cut(s: &mut FaultScenario) {
     let regions = s.fleet.size.regions;
     let zones = s.fleet.size.zones;
-    s.sides(|i| (i % zones % regions) as u8);
-    s.pass(3590 * SECOND);
+    s.partition(|i| (i % zones % regions) as u8);
+    s.advance(3590 * SECOND);
     s.drain(30);
-    s.pass(10 * SECOND);
+    s.advance(10 * SECOND);
     s.heal();
 }
 
-fn mute(s: &mut Stage) {
-    let those = s.others(s.fleet.size.initiators / 50 + 1);
-    those.into_iter().for_each(|i| s.fleet.hollows[i].mute = true);
-    s.pass(2 * SECOND).drain(2);
+fn unresponsive(s: &mut FaultScenario) {
+    let affected = s.other_initiators(s.fleet.size.initiators / 50 + 1);
+    affected.into_iter().for_each(|i| s.fleet.hollows[i].unresponsive = true);
+    s.advance(2 * SECOND).drain(2);
 }
 
-fn lossy(s: &mut Stage) {
-    (s.fleet.links.loss, s.fleet.links.doubling) = (0.2, 0.2);
-    s.pass(20 * SECOND).drain(2);
+fn lossy(s: &mut FaultScenario) {
+    (s.fleet.links.loss, s.fleet.links.duplication) = (0.2, 0.2);
+    s.advance(20 * SECOND).drain(2);
 }
 
-fn flapping(s: &mut Stage) {
-    let b = s.rng.random_range(0..s.fleet.size.boxes);
+fn flapping(s: &mut FaultScenario) {
+    let b = s.rng.random_range(0..s.fleet.size.endpoints);
     for _ in 0..5 {
-        s.says(s.teller, &[b], Draining);
-        s.pass(SECOND);
-        s.says(s.teller, &[b], Ready);
-        s.pass(SECOND);
+        s.announce(s.notified_initiator, &[b], Draining);
+        s.advance(SECOND);
+        s.announce(s.notified_initiator, &[b], Ready);
+        s.advance(SECOND);
     }
     s.drain(1);
 }
 
-fn twins(s: &mut Stage) {
-    let [one, other] = s.others(2)[..] else { return };
-    s.fleet.troubled_until = s.fleet.now + AFTERMATH;
+fn twins(s: &mut FaultScenario) {
+    let [one, other] = s.other_initiators(2)[..] else { return };
+    s.fleet.faults_until = s.fleet.now + RECOVERY_GRACE;
     s.fleet.restart_as(other, one);
-    s.pass(5 * SECOND);
-    let boxes = some(&mut s.rng, s.fleet.size.boxes, 2);
-    s.says(one, &boxes[..1], Draining);
-    s.pass(SECOND);
-    // Its list speaks later, and names both.
-    s.says(other, &boxes, Draining);
+    s.advance(5 * SECOND);
+    let endpoints = sample(&mut s.rng, s.fleet.size.endpoints, 2);
+    s.announce(one, &endpoints[..1], Draining);
+    s.advance(SECOND);
+    // The list of the second process changes later and covers both endpoints.
+    s.announce(other, &endpoints, Draining);
 }
 
-fn noise(s: &mut Stage) {
+fn noise(s: &mut FaultScenario) {
     for _ in 0..100 {
         s.fleet.noise(20);
-        s.pass(20 * MILLISECOND);
+        s.advance(20 * MILLISECOND);
     }
     s.drain(2);
     for _ in 0..50 {
         s.fleet.noise(20);
-        s.pass(20 * MILLISECOND);
+        s.advance(20 * MILLISECOND);
     }
 }
 
-fn stopped(s: &mut Stage) {
-    let those = s.others(s.fleet.size.initiators / 50 + 1);
-    s.fleet.troubled_until = Duration::MAX;
-    those.iter().for_each(|i| s.fleet.pause(*i));
-    s.pass(5 * SECOND).drain(2);
-    s.pass(15 * SECOND);
-    those.iter().for_each(|i| s.fleet.resume(*i));
-    s.fleet.troubled_until = s.fleet.now + AFTERMATH;
+fn stopped(s: &mut FaultScenario) {
+    let affected = s.other_initiators(s.fleet.size.initiators / 50 + 1);
+    s.fleet.faults_until = Duration::MAX;
+    affected.iter().for_each(|i| s.fleet.pause(*i));
+    s.advance(5 * SECOND).drain(2);
+    s.advance(15 * SECOND);
+    affected.iter().for_each(|i| s.fleet.resume(*i));
+    s.fleet.faults_until = s.fleet.now + RECOVERY_GRACE;
 }
 
-/// Plays one plan, and notes how long healing took and what it cost.
-pub fn play(size: Size, arm: Arm, name: &str, plan: Plan, seed: u64, book: &mut Book) -> Result<(), String> {
+/// Runs one fault plan and records how long the fleet took to heal and what that cost.
+pub fn run(
+    size: Size,
+    arm: Arm,
+    name: &str,
+    plan: Plan,
+    seed: u64,
+    recorder: &mut Recorder,
+) -> Result<(), String> {
     let hour = name.contains("hour");
-    let initiators = if hour { size.initiators.min(HOUR_MOST) } else { size.initiators };
+    let initiators = if hour { size.initiators.min(MAX_INITIATORS_FOR_HOUR) } else { size.initiators };
     let size = Size { initiators, ..size };
     let mut fleet = if name.starts_with("all-started") {
-        let mut fleet = Fleet::new(size, arm, super::plans::LOSS, seed);
-        fleet.talk_at_once();
+        let mut fleet = Fleet::new(size, arm, super::plans::PACKET_LOSS, seed);
+        fleet.start_gossip_at_once();
         fleet
     } else {
-        met(size, arm, seed)?
+        converged_fleet(size, arm, seed)?
     };
     if fleet.now > Duration::ZERO {
-        fleet.play(fleet.now + 2 * SECOND);
+        fleet.run_until(fleet.now + 2 * SECOND);
     }
-    fleet.count_anew();
-    let dead = fleet.seen.taken_for_dead;
+    fleet.reset_costs();
+    let dead = fleet.counters.taken_for_dead;
     let mut rng = StdRng::seed_from_u64(seed ^ 0xfa17);
-    let teller = rng.random_range(0..initiators);
-    let (out, exempt) = (BTreeSet::new(), BTreeSet::new());
-    let mut stage = Stage { fleet, rng, teller, out, exempt };
-    plan(&mut stage);
-    let from = stage.fleet.now;
-    while !stage.healed() && stage.fleet.now < from + NEVER {
-        stage.pass(50 * MILLISECOND);
+    let notified_initiator = rng.random_range(0..initiators);
+    let (draining, notified) = (BTreeSet::new(), BTreeSet::new());
+    let mut scenario = FaultScenario { fleet, rng, notified_initiator, draining, notified };
+    plan(&mut scenario);
+    let from = scenario.fleet.now;
+    while !scenario.healed() && scenario.fleet.now < from + HEALING_TIMEOUT {
+        scenario.advance(50 * MILLISECOND);
     }
-    let healed = if stage.healed() { (stage.fleet.now - from).as_secs_f64() } else { f64::INFINITY };
-    book.note(format!("{name}:healed_s"), healed);
-    stage.pass(5 * SECOND);
-    let fleet = &stage.fleet;
+    let healed = if scenario.healed() { (scenario.fleet.now - from).as_secs_f64() } else { f64::INFINITY };
+    recorder.record(format!("{name}:healed_s"), healed);
+    scenario.advance(5 * SECOND);
+    let fleet = &scenario.fleet;
     let sum = |of: &dyn Fn(&super::fleet::Hollow) -> u64| fleet.hollows.iter().map(of).sum::<u64>();
     let most = |of: &dyn Fn(&super::fleet::Hollow) -> f64| fleet.hollows.iter().map(of).fold(0.0, f64::max);
-    book.note(format!("{name}:initiators"), initiators as f64);
-    book.note(format!("{name}:taken_for_dead"), (fleet.seen.taken_for_dead - dead) as f64);
-    book.note(format!("{name}:bytes_worst_second"), most(&|h| h.traffic.worst_second as f64));
-    book.note(format!("{name}:not_taken"), fleet.seen.bad as f64);
-    book.note(format!("{name}:ceilings_passed"), sum(&|h| h.news.passed + h.sums.passed) as f64);
-    book.note(format!("{name}:met_part"), fleet.met_part());
+    recorder.record(format!("{name}:initiators"), initiators as f64);
+    recorder.record(format!("{name}:taken_for_dead"), (fleet.counters.taken_for_dead - dead) as f64);
+    recorder.record(format!("{name}:bytes_worst_second"), most(&|h| h.traffic.worst_second as f64));
+    recorder.record(format!("{name}:not_taken"), fleet.counters.invalid as f64);
+    recorder.record(
+        format!("{name}:ceilings_passed"),
+        sum(&|h| h.observation_traffic.limit_exceeded_seconds + h.aggregation_traffic.limit_exceeded_seconds)
+            as f64,
+    );
+    recorder.record(format!("{name}:met_part"), fleet.known_pair_fraction());
     Ok(())
 }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,6 +1,8 @@
-//! Hollow initiators on one virtual clock: the program's membership, broker and gossip, without sockets, clients'
-//! bytes or endpoints. Here are the fleet and what is done to it; [`event`] is what happens in it, [`hollow`] one
-//! initiator, [`delivery`], [`reducers`] and [`exchange`] what an event does there.
+//! Hollow initiators on one virtual clock: the program's membership, broker and gossip reducers, without
+//! sockets, client data or endpoints.
+//!
+//! This module holds the fleet and the operations on it. [`event`] defines the events and [`hollow`] one
+//! initiator; [`delivery`], [`reducers`] and [`exchange`] handle the events at an initiator.
 
 mod delivery;
 mod event;
@@ -8,14 +10,14 @@
 mod hollow;
 mod reducers;
 
-use super::net::{address, Links, Traffic};
+use super::net::{initiator_address, Links, Traffic};
 use event::{Entry, Event};
-use exchange::ASKED_EVERY;
+use exchange::EXCHANGE_INTERVAL;
 pub use hollow::Hollow;
-use hollow::JOINED;
+use hollow::JOIN_TARGETS;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use reducers::ASKED_AGAIN;
+use reducers::REQUEST_INTERVAL;
 use shaletack_core::broker::Input;
 use shaletack_core::endpoint_list::{EndpointList, EndpointRecord};
 use shaletack_core::interface::{EndpointListKind, Readiness};
@@ -26,127 +28,137 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How reports go from one initiator to the others.
+/// How reports travel from one initiator to the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arm {
-    /// One member a second in the order of addresses, a frame each way over TCP.
+    /// Each initiator exchanges one frame in each direction over TCP with one member per second, in the order
+    /// of addresses.
     Before,
-    /// News to a few partners at once, digests and sums by datagrams, as `src/peers` does it.
+    /// New observations go to a few members at once, and digests and sums travel in datagrams, as in
+    /// `src/peers`.
     After,
 }
 
-/// The fleet's size.
+/// Size of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub initiators: usize,
-    pub boxes: usize,
+    pub endpoints: usize,
     pub volumes: usize,
     pub regions: usize,
     pub zones: usize,
 }
 
 impl Size {
-    /// Two endpoints hold each shard.
+    /// Returns the number of shards; each is held by two endpoints.
     pub fn shards(&self) -> u16 {
-        self.boxes.div_ceil(2) as u16
+        self.endpoints.div_ceil(2) as u16
     }
 }
 
-/// What was seen on the way.
+/// Counts of events since the start of the run.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
-    /// Exchanges begun, and failed.
+pub struct Counters {
+    /// Exchanges that were started.
     pub exchanges: u64,
+    /// Exchanges that failed.
     pub failed: u64,
-    /// Members that live and can be reached, taken for dead.
+    /// Times that a live, reachable member was considered dead.
     pub taken_for_dead: u64,
-    /// Sums that came to brokers anew.
+    /// Updates of the sums that brokers received.
     pub totals: u64,
-    /// Datagrams and frames that were not taken.
-    pub bad: u64,
+    /// Datagrams and frames that were rejected.
+    pub invalid: u64,
 }
 
+/// The initiators and the events that are scheduled for them.
 pub struct Fleet {
     pub now: Duration,
     pub size: Size,
     pub links: Links,
     pub hollows: Vec<Hollow>,
-    pub seen: Seen,
-    /// Who acted on the drain of which box, and when.
-    pub acted: Vec<(Duration, usize, usize)>,
-    /// Links were cut, or processes stopped, until then: who is taken for dead soon after may well be.
-    pub troubled_until: Duration,
+    pub counters: Counters,
+    /// Reactions to drains: the time, the initiator and the endpoint that it stopped using.
+    pub drain_reactions: Vec<(Duration, usize, usize)>,
+    /// Until this time, partitions or stopped processes explain that a member is considered dead.
+    pub faults_until: Duration,
     arm: Arm,
-    zero: Instant,
+    origin: Instant,
     rng: StdRng,
     events: BinaryHeap<Reverse<Entry>>,
-    numbered: u64,
+    last_sequence: u64,
     revision: u64,
-    /// Brokers talk to each other.
-    talks: bool,
+    /// Whether initiators exchange reports.
+    gossip_enabled: bool,
+    /// Whether clients use volumes.
     busy: bool,
 }
 
 impl Fleet {
-    /// All start at once; brokers are silent until [`Fleet::talk`].
+    /// Creates a fleet whose initiators all start at once. They exchange no reports until
+    /// [`Fleet::start_gossip`].
     pub fn new(size: Size, arm: Arm, loss: f64, seed: u64) -> Self {
         let mut fleet = Fleet {
             now: Duration::ZERO,
             size,
             links: Links::new(size.initiators, loss),
             hollows: Vec::with_capacity(size.initiators),
-            seen: Seen::default(),
-            acted: Vec::new(),
-            troubled_until: Duration::ZERO,
+            counters: Counters::default(),
+            drain_reactions: Vec::new(),
+            faults_until: Duration::ZERO,
             arm,
-            zero: Instant::now(),
+            origin: Instant::now(),
             rng: StdRng::seed_from_u64(seed),
             events: BinaryHeap::new(),
-            numbered: 0,
+            last_sequence: 0,
             revision: 1,
-            talks: false,
+            gossip_enabled: false,
             busy: false,
         };
         for i in 0..size.initiators {
-            let hollow = fleet.hollow(i, i, 0);
+            let hollow = fleet.new_hollow(i, i, 0);
             fleet.hollows.push(hollow);
         }
-        (0..size.initiators).for_each(|i| fleet.begin(i, EndpointListKind::Full));
+        (0..size.initiators).for_each(|i| fleet.start_hollow(i, EndpointListKind::Full));
         fleet
     }
 
-    fn begin(&mut self, i: usize, kind: EndpointListKind) {
-        let entries = (0..self.size.boxes).map(|b| self.member(b, Readiness::Ready)).collect();
+    /// Gives an initiator its first list and starts its membership.
+    fn start_hollow(&mut self, i: usize, kind: EndpointListKind) {
+        let entries = (0..self.size.endpoints).map(|b| self.member(b, Readiness::Ready)).collect();
         self.broker_input(i, Input::EndpointList(EndpointList { revision: 1, kind, entries }), false);
         self.membership_input(i, membership::Input::TimerExpired);
-        if self.talks {
-            // All that are listed are asked at once, before anything else.
-            for to in JOINED.into_iter().filter(|to| *to != i) {
-                self.ask(i, to);
+        if self.gossip_enabled {
+            // All configured peers are asked at once, before anything else.
+            for to in JOIN_TARGETS.into_iter().filter(|to| *to != i) {
+                self.start_exchange(i, to);
             }
-            self.join_talk(i);
+            self.schedule_gossip(i);
         }
     }
 
-    /// From now on brokers tell each other what they know.
-    pub fn talk(&mut self) {
-        self.start_talk();
-        // A fleet that has run for hours: exchanges take unlike times, so each is elsewhere in the order.
+    /// Starts to exchange reports, as in a fleet that has run for hours.
+    pub fn start_gossip(&mut self) {
+        self.enable_gossip();
+        // Exchanges take different times, so that after some hours each initiator is at a different position
+        // in the order of addresses.
         for i in 0..self.hollows.len() {
             let last = self.rng.random_range(0..self.hollows.len());
-            self.hollows[i].last_asked = Some(address(last));
+            self.hollows[i].last_exchanged = Some(initiator_address(last));
         }
-        (0..self.hollows.len()).for_each(|i| self.join_talk(i));
+        (0..self.hollows.len()).for_each(|i| self.schedule_gossip(i));
     }
 
-    /// The same for a fleet that starts just now: each begins with the first in the order.
-    pub fn talk_at_once(&mut self) {
-        self.start_talk();
-        (0..self.hollows.len()).for_each(|i| self.join_talk(i));
+    /// Starts to exchange reports, as in a fleet that has just started: each initiator begins with the first
+    /// member in the order of addresses.
+    pub fn start_gossip_at_once(&mut self) {
+        self.enable_gossip();
+        (0..self.hollows.len()).for_each(|i| self.schedule_gossip(i));
     }
 
-    fn start_talk(&mut self) {
-        self.talks = true;
+    /// Enables gossip and tells it of the members that are known.
+    fn enable_gossip(&mut self) {
+        self.gossip_enabled = true;
         for i in 0..self.hollows.len() {
             let members: Vec<membership::Member> = self.hollows[i].membership.others().cloned().collect();
             for peer in members {
@@ -158,29 +170,34 @@
         }
     }
 
-    fn join_talk(&mut self, i: usize) {
-        let boot = self.hollows[i].boot;
-        let first = Duration::from_nanos(self.rng.random_range(0..ASKED_EVERY.as_nanos() as u64));
-        self.at(self.now + first, Event::Turn { at: i, boot });
+    /// Schedules an initiator's first exchange and contribution.
+    fn schedule_gossip(&mut self, i: usize) {
+        let generation = self.hollows[i].generation;
+        let first = Duration::from_nanos(self.rng.random_range(0..EXCHANGE_INTERVAL.as_nanos() as u64));
+        self.schedule(self.now + first, Event::ExchangeDue { at: i, generation });
         if self.arm == Arm::After {
             self.gossip_input(i, gossip::Input::ConfigVersion(Some(1)));
-            self.at(self.now + first / 2, Event::Adds { at: i, boot });
+            self.schedule(self.now + first / 2, Event::ContributionDue { at: i, generation });
         }
         if self.busy {
-            self.use_volumes(i);
+            self.schedule_requests(i);
         }
     }
 
-    /// From now on every initiator's clients use volumes, at rates that move.
-    pub fn grow_busy(&mut self) {
+    /// Starts the clients of all initiators, which use volumes at varying rates.
+    pub fn start_load(&mut self) {
         self.busy = true;
-        (0..self.hollows.len()).for_each(|i| self.use_volumes(i));
+        (0..self.hollows.len()).for_each(|i| self.schedule_requests(i));
     }
 
-    fn use_volumes(&mut self, i: usize) {
-        let first = self.rng.random_range(0..ASKED_AGAIN.as_nanos() as u64);
-        let boot = self.hollows[i].boot;
-        self.at(self.now + Duration::from_nanos(first), Event::Request { at: i, boot, number: 1 });
+    /// Schedules the first request of an initiator's clients.
+    fn schedule_requests(&mut self, i: usize) {
+        let first = self.rng.random_range(0..REQUEST_INTERVAL.as_nanos() as u64);
+        let generation = self.hollows[i].generation;
+        self.schedule(
+            self.now + Duration::from_nanos(first),
+            Event::RequestDue { at: i, generation, number: 1 },
+        );
     }
 
     fn member(&self, b: usize, readiness: Readiness) -> EndpointRecord {
@@ -194,10 +211,15 @@
         }
     }
 
-    /// One initiator's list speaks of boxes; every other one's stays silent.
-    pub fn list_says(&mut self, i: usize, boxes: impl IntoIterator<Item = usize>, readiness: Readiness) {
+    /// Sends a change of the endpoint list to one initiator; the others receive none.
+    pub fn deliver_list_change(
+        &mut self,
+        i: usize,
+        endpoints: impl IntoIterator<Item = usize>,
+        readiness: Readiness,
+    ) {
         self.revision += 1;
-        let entries = boxes.into_iter().map(|b| self.member(b, readiness)).collect();
+        let entries = endpoints.into_iter().map(|b| self.member(b, readiness)).collect();
         let kind = EndpointListKind::Delta;
         self.broker_input(
             i,
@@ -206,63 +228,67 @@
         );
     }
 
+    /// Kills an initiator's process.
     pub fn kill(&mut self, i: usize) {
         let hollow = &mut self.hollows[i];
-        (hollow.alive, hollow.boot) = (false, hollow.boot + 1);
+        (hollow.alive, hollow.generation) = (false, hollow.generation + 1);
     }
 
-    /// A new process at the same address.
+    /// Starts a new process at the address of an initiator.
     pub fn restart(&mut self, i: usize) {
         self.restart_as(i, i);
     }
 
-    /// The same, under the name of another.
+    /// Starts a new process at the address of an initiator, under the name of another one.
     pub fn restart_as(&mut self, i: usize, named: usize) {
-        let boot = self.hollows[i].boot + 1;
+        let generation = self.hollows[i].generation + 1;
         let traffic = self.hollows[i].traffic;
-        self.hollows[i] = Hollow { traffic, ..self.hollow(i, named, boot) };
-        self.begin(i, EndpointListKind::Cached);
+        self.hollows[i] = Hollow { traffic, ..self.new_hollow(i, named, generation) };
+        self.start_hollow(i, EndpointListKind::Cached);
     }
 
-    /// So many datagrams that no initiator sent, or that were cut or altered on the way, at initiators drawn.
+    /// Sends `count` datagrams with random contents to initiators drawn at random, like datagrams that no
+    /// initiator sent or that were truncated or altered on the way.
     pub fn noise(&mut self, count: usize) {
         for _ in 0..count {
             let (from, to) =
                 (self.rng.random_range(0..self.hollows.len()), self.rng.random_range(0..self.hollows.len()));
             let length = self.rng.random_range(0..=1500);
             let mut bytes: Vec<u8> = (0..length).map(|_| self.rng.random()).collect();
-            // Some begin as membership's of this version, of another, or as gossip's.
+            // Some begin with the header of a membership datagram, of this version or another, or of a gossip
+            // datagram.
             let heads: [&[u8]; 4] = [&[], &[0xd7, 1], &[0xd7, 9], &[0xd8, 1]];
             let head = heads[self.rng.random_range(0..heads.len())];
             bytes.iter_mut().zip(head).for_each(|(byte, is)| *byte = *is);
-            self.at(self.now, Event::Datagram { to, from, bytes: bytes.into() });
+            self.schedule(self.now, Event::Datagram { to, from, bytes: bytes.into() });
         }
     }
 
+    /// Stops an initiator's process.
     pub fn pause(&mut self, i: usize) {
         self.hollows[i].paused = true;
     }
 
-    /// All that came meanwhile is there at once.
+    /// Resumes an initiator's process; all events that were deferred arrive at once.
     pub fn resume(&mut self, i: usize) {
         let hollow = &mut self.hollows[i];
         hollow.paused = false;
-        hollow.held_bytes = 0;
-        for event in std::mem::take(&mut hollow.held) {
-            self.at(self.now, event);
+        hollow.deferred_bytes = 0;
+        for event in std::mem::take(&mut hollow.deferred_events) {
+            self.schedule(self.now, event);
         }
     }
 
-    /// The part of all pairs of processes that live of which the first knows the second.
-    pub fn met_part(&self) -> f64 {
+    /// Returns the fraction of all pairs of live processes in which the first knows the second.
+    pub fn known_pair_fraction(&self) -> f64 {
         let alive = self.hollows.iter().filter(|h| h.alive).count();
         let known = self.hollows.iter().filter(|h| h.alive).map(|h| h.membership.others().count());
         known.sum::<usize>() as f64 / (alive * (alive - 1)).max(1) as f64
     }
 
-    /// The part of all pairs of which the first has the second for a member, and does not know that it speaks
-    /// gossip.
-    pub fn unmet_part(&self) -> f64 {
+    /// Returns the fraction of all pairs in which the first has the second as a member, but has no
+    /// confirmation that it supports gossip datagrams.
+    pub fn unconfirmed_pair_fraction(&self) -> f64 {
         let alive = self.hollows.iter().filter(|h| h.alive).count();
         let unmet = self
             .hollows
@@ -272,26 +298,29 @@
         unmet.sum::<usize>() as f64 / (alive * (alive - 1)).max(1) as f64
     }
 
-    /// Counts bytes and processor time from now on.
-    pub fn count_anew(&mut self) {
+    /// Resets the counts of bytes and processor time.
+    pub fn reset_costs(&mut self) {
         for hollow in &mut self.hollows {
-            (hollow.traffic, hollow.cpu) = (Traffic::default(), [Duration::ZERO; 3]);
-            (hollow.news.passed, hollow.sums.passed) = (0, 0);
-            (hollow.news.all, hollow.sums.all) = (0, 0);
+            (hollow.traffic, hollow.cpu_time) = (Traffic::default(), [Duration::ZERO; 3]);
+            (
+                hollow.observation_traffic.limit_exceeded_seconds,
+                hollow.aggregation_traffic.limit_exceeded_seconds,
+            ) = (0, 0);
+            (hollow.observation_traffic.total_bytes, hollow.aggregation_traffic.total_bytes) = (0, 0);
         }
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
-        self.numbered += 1;
-        self.events.push(Reverse(Entry { at: (at, self.numbered), event }));
+    fn schedule(&mut self, at: Duration, event: Event) {
+        self.last_sequence += 1;
+        self.events.push(Reverse(Entry { at: (at, self.last_sequence), event }));
     }
 
-    /// Plays on until then.
-    pub fn play(&mut self, until: Duration) {
+    /// Handles all events up to and including `until`, and sets the clock to it.
+    pub fn run_until(&mut self, until: Duration) {
         while self.events.peek().is_some_and(|Reverse(first)| first.at.0 <= until) {
             let Some(Reverse(Entry { at, event })) = self.events.pop() else { break };
             self.now = self.now.max(at.0);
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now = until;
     }
--- a/crates/lab/src/scale/fleet/delivery.rs
+++ b/crates/lab/src/scale/fleet/delivery.rs
@@ -1,9 +1,10 @@
-//! Delivers events and datagrams to initiators: what a dead process never hears, and a stopped one hears later.
+//! Delivers events and datagrams to initiators. Those of a dead process are dropped, and those of a stopped
+//! process are deferred until it resumes.
 
 use super::event::Event;
-use super::hollow::Part;
+use super::hollow::Reducer;
 use super::{Arm, Fleet};
-use crate::scale::net::{address, held, HELD_MOST, UDP_HEADER};
+use crate::scale::net::{initiator_address, receive_buffer_charge, RECEIVE_BUFFER_BYTES, UDP_HEADER_BYTES};
 use bytes::Bytes;
 use rand::RngExt;
 use shaletack_core::broker::{AttemptId, AttemptResult, Input};
@@ -13,80 +14,97 @@
 use shaletack_membership as membership;
 use std::time::Duration;
 
-/// How often what a process adds to the sums is looked at (`src/peers`).
-const ADDED_EVERY: Duration = Duration::from_millis(500);
+/// How often an initiator updates its contribution to the sums, as in `src/peers`.
+const CONTRIBUTION_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Fleet {
-    /// What an event does at the initiator it is for.
-    pub(super) fn happen(&mut self, event: Event) {
+    /// Handles an event at the initiator that it concerns.
+    pub(super) fn handle_event(&mut self, event: Event) {
         match event {
             Event::Datagram { to, from, bytes } => self.datagram(to, from, bytes),
-            Event::Wakes { at, boot, part, number } => self.woken(at, boot, part, number),
-            Event::Turn { at, boot } => {
-                if self.hears(at, Some(boot), || (Event::Turn { at, boot }, 0)) {
-                    self.turn(at, boot);
+            Event::TimerFired { at, generation, reducer, number } => {
+                self.timer_fired(at, generation, reducer, number)
+            }
+            Event::ExchangeDue { at, generation } => {
+                if self.accepts_event(at, Some(generation), || (Event::ExchangeDue { at, generation }, 0)) {
+                    self.start_due_exchange(at, generation);
                 }
             }
-            Event::Asked { to, from, boot, began, sent, frame } => {
-                // A process that is stopped answers when nobody waits any more.
+            Event::ExchangeRequest { to, from, generation, began, sent, frame } => {
+                // A stopped process would answer only after the peer's timeout.
                 let hollow = &self.hollows[to];
-                if hollow.alive && !hollow.paused && !hollow.mute && self.links.joins(from, to) {
-                    self.answer(to, from, boot, began, sent, &frame);
+                if hollow.alive && !hollow.paused && !hollow.unresponsive && self.links.connected(from, to) {
+                    self.answer_exchange(to, from, generation, began, sent, &frame);
                 }
             }
-            Event::Answered { to, boot, trip, frame } => {
-                let again = || (Event::Answered { to, boot, trip, frame: frame.clone() }, 0);
-                if self.hears(to, Some(boot), again) {
-                    self.hear(to, trip, &frame);
+            Event::ExchangeReply { to, generation, round_trip, frame } => {
+                let again = || (Event::ExchangeReply { to, generation, round_trip, frame: frame.clone() }, 0);
+                if self.accepts_event(to, Some(generation), again) {
+                    self.receive_frame(to, round_trip, &frame);
                 }
             }
-            Event::Adds { at, boot } => {
-                if self.hears(at, Some(boot), || (Event::Adds { at, boot }, 0)) {
-                    self.add(at);
-                    self.at(self.now + ADDED_EVERY, Event::Adds { at, boot });
+            Event::ContributionDue { at, generation } => {
+                if self.accepts_event(at, Some(generation), || (Event::ContributionDue { at, generation }, 0))
+                {
+                    self.update_contribution(at);
+                    self.schedule(
+                        self.now + CONTRIBUTION_INTERVAL,
+                        Event::ContributionDue { at, generation },
+                    );
                 }
             }
-            Event::Request { at, boot, number } => {
-                if self.hears(at, Some(boot), || (Event::Request { at, boot, number }, 0)) {
-                    self.request(at, boot, number);
+            Event::RequestDue { at, generation, number } => {
+                if self
+                    .accepts_event(at, Some(generation), || (Event::RequestDue { at, generation, number }, 0))
+                {
+                    self.request(at, generation, number);
                 }
             }
-            Event::Ended { at, boot, request, number } => self.ended(at, boot, request, number),
+            Event::AttemptEnded { at, generation, request, number } => {
+                self.attempt_ended(at, generation, request, number)
+            }
         }
     }
 
     fn datagram(&mut self, to: usize, from: usize, bytes: Bytes) {
-        if !self.links.joins(from, to) {
+        if !self.links.connected(from, to) {
             return;
         }
-        let again = || (Event::Datagram { to, from, bytes: bytes.clone() }, held(&bytes));
-        if !self.hears(to, None, again) {
+        let again = || (Event::Datagram { to, from, bytes: bytes.clone() }, receive_buffer_charge(&bytes));
+        if !self.accepts_event(to, None, again) {
             return;
         }
-        self.count(to, from, bytes.len() + UDP_HEADER);
+        self.count_bytes(to, from, bytes.len() + UDP_HEADER_BYTES);
         if self.arm == Arm::After && bytes.first() == Some(&GOSSIP_MAGIC) {
-            self.gossip_input(to, gossip::Input::Datagram { from: address(from), bytes: bytes.to_vec() });
+            self.gossip_input(
+                to,
+                gossip::Input::Datagram { from: initiator_address(from), bytes: bytes.to_vec() },
+            );
         } else {
             self.membership_input(to, membership::Input::DatagramReceived(bytes));
         }
     }
 
-    fn woken(&mut self, at: usize, boot: u64, part: Part, number: u64) {
-        let again = || (Event::Wakes { at, boot, part, number }, 0);
-        if !self.hears(at, Some(boot), again) || self.hollows[at].wakes[part as usize].0 != number {
+    fn timer_fired(&mut self, at: usize, generation: u64, reducer: Reducer, number: u64) {
+        let again = || (Event::TimerFired { at, generation, reducer, number }, 0);
+        if !self.accepts_event(at, Some(generation), again)
+            || self.hollows[at].timers[reducer as usize].0 != number
+        {
             return;
         }
-        self.hollows[at].wakes[part as usize].1 = Duration::MAX;
-        match part {
-            Part::Membership => self.membership_input(at, membership::Input::TimerExpired),
-            // Nearly all of these are for requests.
-            Part::Broker => self.broker_input(at, Input::TimerFired, false),
-            Part::Gossip => self.gossip_input(at, gossip::Input::TimerFired),
+        self.hollows[at].timers[reducer as usize].1 = Duration::MAX;
+        match reducer {
+            Reducer::Membership => self.membership_input(at, membership::Input::TimerExpired),
+            // Nearly all of the broker's timers concern requests, whose processor time is not counted.
+            Reducer::Broker => self.broker_input(at, Input::TimerFired, false),
+            Reducer::Gossip => self.gossip_input(at, gossip::Input::TimerFired),
         }
     }
 
-    fn ended(&mut self, at: usize, boot: u64, request: u64, number: u8) {
-        if !self.hears(at, Some(boot), || (Event::Ended { at, boot, request, number }, 0)) {
+    fn attempt_ended(&mut self, at: usize, generation: u64, request: u64, number: u8) {
+        if !self.accepts_event(at, Some(generation), || {
+            (Event::AttemptEnded { at, generation, request, number }, 0)
+        }) {
             return;
         }
         let attempt = AttemptId::new(request, number);
@@ -94,43 +112,50 @@
         self.broker_input(at, Input::AttemptEnded { attempt, result }, false);
     }
 
+    /// Sends a datagram, which may be lost or duplicated.
     pub(super) fn send(&mut self, from: usize, to: usize, bytes: Bytes) {
         if to >= self.hollows.len() {
             return;
         }
-        self.count(from, to, bytes.len() + UDP_HEADER);
+        self.count_bytes(from, to, bytes.len() + UDP_HEADER_BYTES);
         self.hollows[from].traffic.datagrams += 1;
-        let way = self.hollows[from].place.way(self.hollows[to].place);
-        let copies = 1 + usize::from(self.links.doubling > 0.0 && self.rng.random_bool(self.links.doubling));
+        let one_way_delay = self.hollows[from].placement.one_way_delay(self.hollows[to].placement);
+        let copies =
+            1 + usize::from(self.links.duplication > 0.0 && self.rng.random_bool(self.links.duplication));
         for copy in 0..copies {
             if self.links.loss == 0.0 || !self.rng.random_bool(self.links.loss) {
                 let bytes = bytes.clone();
-                self.at(self.now + way * (1 + copy as u32), Event::Datagram { to, from, bytes });
+                self.schedule(
+                    self.now + one_way_delay * (1 + copy as u32),
+                    Event::Datagram { to, from, bytes },
+                );
             }
         }
     }
 
-    pub(super) fn count(&mut self, at: usize, other: usize, bytes: usize) {
-        let across = self.hollows[at].place.region != self.hollows[other].place.region;
-        self.hollows[at].traffic.add(self.now, bytes, across);
+    /// Counts bytes that an initiator exchanged with another.
+    pub(super) fn count_bytes(&mut self, at: usize, other: usize, bytes: usize) {
+        let cross_region = self.hollows[at].placement.region != self.hollows[other].placement.region;
+        self.hollows[at].traffic.add(self.now, bytes, cross_region);
     }
 
-    /// Whether the process that an event is for is still there, and hears it now.
-    pub(super) fn hears(
+    /// Returns whether the process that an event is for still runs and handles the event now. Defers the
+    /// event if the process is stopped and its receive buffer has space for the event.
+    pub(super) fn accepts_event(
         &mut self,
         i: usize,
-        boot: Option<u64>,
+        generation: Option<u64>,
         event: impl FnOnce() -> (Event, usize),
     ) -> bool {
         let hollow = &mut self.hollows[i];
-        if !hollow.alive || boot.is_some_and(|boot| boot != hollow.boot) {
+        if !hollow.alive || generation.is_some_and(|generation| generation != hollow.generation) {
             return false;
         }
         if hollow.paused {
             let (event, bytes) = event();
-            if hollow.held_bytes + bytes <= HELD_MOST {
-                hollow.held_bytes += bytes;
-                hollow.held.push(event);
+            if hollow.deferred_bytes + bytes <= RECEIVE_BUFFER_BYTES {
+                hollow.deferred_bytes += bytes;
+                hollow.deferred_events.push(event);
             }
             return false;
         }
--- a/crates/lab/src/scale/fleet/event.rs
+++ b/crates/lab/src/scale/fleet/event.rs
@@ -1,34 +1,42 @@
-//! What happens in a fleet of hollow initiators, in the order of virtual time.
+//! Events in a fleet of hollow initiators, ordered by virtual time.
 
-use super::hollow::Part;
+use super::hollow::Reducer;
 use bytes::Bytes;
 use std::time::Duration;
 
-/// What happens at an initiator; `boot` names the run of the process, so that none hears what was for an
-/// earlier one.
+/// An event at an initiator. `generation` identifies a run of the process, so that a process does not receive
+/// events of an earlier one.
 #[derive(Debug)]
 pub enum Event {
-    /// A datagram is there.
+    /// A datagram arrives.
     Datagram { to: usize, from: usize, bytes: Bytes },
-    /// A reducer's timer fires, unless it was set anew.
-    Wakes { at: usize, boot: u64, part: Part, number: u64 },
-    /// The next member is asked.
-    Turn { at: usize, boot: u64 },
-    /// The asker's frame of an exchange is there, and is answered.
-    Asked { to: usize, from: usize, boot: u64, began: Duration, sent: Duration, frame: Vec<u8> },
-    /// The answer to an exchange is there, after that round trip.
-    Answered { to: usize, boot: u64, trip: Duration, frame: Vec<u8> },
-    /// What this process adds to the sums is looked at.
-    Adds { at: usize, boot: u64 },
-    /// A client asks for something.
-    Request { at: usize, boot: u64, number: u64 },
-    /// An attempt at an endpoint ended.
-    Ended { at: usize, boot: u64, request: u64, number: u8 },
+    /// A reducer's timer fires, unless it was set again.
+    TimerFired { at: usize, generation: u64, reducer: Reducer, number: u64 },
+    /// The next exchange with a member is due.
+    ExchangeDue { at: usize, generation: u64 },
+    /// The first frame of an exchange arrives and is answered.
+    ExchangeRequest {
+        to: usize,
+        from: usize,
+        generation: u64,
+        began: Duration,
+        sent: Duration,
+        frame: Vec<u8>,
+    },
+    /// The answer to an exchange arrives after this round trip.
+    ExchangeReply { to: usize, generation: u64, round_trip: Duration, frame: Vec<u8> },
+    /// The process updates its contribution to the sums.
+    ContributionDue { at: usize, generation: u64 },
+    /// A client sends a request.
+    RequestDue { at: usize, generation: u64, number: u64 },
+    /// An attempt at an endpoint ends.
+    AttemptEnded { at: usize, generation: u64, request: u64, number: u8 },
 }
 
-/// An event in its turn.
+/// An event in the queue.
 pub struct Entry {
-    /// Virtual time since the start, and a number that keeps events of one moment in the order they were made.
+    /// Virtual time since the start, and a sequence number that keeps events of the same time in the order in
+    /// which they were scheduled.
     pub at: (Duration, u64),
     pub event: Event,
 }
--- a/crates/lab/src/scale/fleet/hollow.rs
+++ b/crates/lab/src/scale/fleet/hollow.rs
@@ -1,10 +1,10 @@
-//! One hollow initiator: the program's reducers, its clock, and what is counted of it.
+//! One hollow initiator: the program's reducers, its clock and its counters.
 
 use super::event::Event;
 use super::{Fleet, Size};
 use crate::fleet::{settings, FleetConfig, UNIX_START};
 use crate::model::EndpointFigures;
-use crate::scale::net::{address, Place, Traffic};
+use crate::scale::net::{initiator_address, Placement, Traffic};
 use rand::RngExt;
 use shaletack_core::broker::{Broker, Clock};
 use shaletack_core::interface::{Plan, Settings};
@@ -17,112 +17,131 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Clocks run off by so much at most.
-const DRIFT: f64 = 0.001;
-/// Volumes in use at a busy initiator.
-const VOLUMES_USED: usize = 100;
-/// The two initiators that every process is given to join.
-pub const JOINED: [usize; 2] = [0, 1];
+/// Maximum drift of a process's clock, as a fraction.
+const MAX_CLOCK_DRIFT: f64 = 0.001;
+/// Volumes that the clients of a busy initiator use.
+const VOLUMES_PER_INITIATOR: usize = 100;
+/// The two initiators that every process is configured to join.
+pub const JOIN_TARGETS: [usize; 2] = [0, 1];
 
-/// The reducers of a process, which are woken and whose processor time is measured each on its own.
+/// A reducer of a process. Each has its own timer, and its processor time is measured separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Reducer {
     Membership,
     Broker,
     Gossip,
 }
 
-/// One hollow initiator.
+/// State of one hollow initiator.
 pub struct Hollow {
-    pub place: Place,
+    pub placement: Placement,
     pub alive: bool,
     pub paused: bool,
-    /// Its peers get no answer to an exchange.
-    pub mute: bool,
+    /// Whether it leaves exchanges unanswered and sends no gossip datagrams.
+    pub unresponsive: bool,
     pub traffic: Traffic,
-    /// Processor time in the reducers' calls: membership, the broker's part, and gossip or the exchange's
-    /// frames.
-    pub cpu: [Duration; 3],
-    /// Boxes that its broker sends nothing to by peers' word.
-    pub stopped: BTreeSet<usize>,
+    /// Processor time spent in membership, in the broker's handling of control traffic, and in gossip or the
+    /// frames of exchanges.
+    pub cpu_time: [Duration; 3],
+    /// Endpoints that its broker avoids on the advice of peers.
+    pub avoided_endpoints: BTreeSet<usize>,
     pub membership: Membership,
     pub gossip: Gossip,
-    /// What it sends of news and digests, and of sums.
-    pub news: Traffic,
-    pub sums: Traffic,
-    /// What it last added to the sums, and what it was last told of the others.
-    pub own: BTreeMap<u64, u64>,
-    pub others: BTreeMap<u64, Total>,
-    pub(super) boot: u64,
-    pub(super) born: Duration,
-    pub(super) drift: f64,
-    pub(super) me: Observer,
+    /// Gossip datagrams sent with observations and digests.
+    pub observation_traffic: Traffic,
+    /// Gossip datagrams sent with sums.
+    pub aggregation_traffic: Traffic,
+    /// Its latest contribution to the sums, by volume.
+    pub own_demand: BTreeMap<u64, u64>,
+    /// The latest sums over the other initiators, by volume.
+    pub peer_demand: BTreeMap<u64, Total>,
+    /// Identifies the current run of the process.
+    pub(super) generation: u64,
+    pub(super) started_at: Duration,
+    pub(super) clock_drift: f64,
+    pub(super) identity: Observer,
     pub(super) broker: Broker,
-    pub(super) wakes: [(u64, Duration); 3],
-    pub(super) last_asked: Option<SocketAddr>,
-    pub(super) held: Vec<Event>,
-    pub(super) held_bytes: usize,
-    pub(super) used: Vec<u64>,
+    /// The id and the time of each reducer's timer.
+    pub(super) timers: [(u64, Duration); 3],
+    pub(super) last_exchanged: Option<SocketAddr>,
+    /// Events that arrived while the process was stopped.
+    pub(super) deferred_events: Vec<Event>,
+    pub(super) deferred_bytes: usize,
+    pub(super) volumes_used: Vec<u64>,
 }
 
 impl Hollow {
-    /// The process's own time at a moment of the fleet's: since its start, by a clock that runs off.
-    pub(super) fn local(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.born).mul_f64(1.0 + self.drift)
+    /// Converts the fleet's time to the process's: the time since its start, by its drifting clock.
+    pub(super) fn local_time(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.started_at).mul_f64(1.0 + self.clock_drift)
     }
 
-    /// A little late rather than early: a wake before its time only asks for another one.
-    pub(super) fn global(&self, local: Duration) -> Duration {
-        self.born + local.div_f64(1.0 + self.drift) + Duration::from_micros(1)
+    /// Converts the process's time to the fleet's, rounded up: a timer that fired early would only be set
+    /// again.
+    pub(super) fn fleet_time(&self, local: Duration) -> Duration {
+        self.started_at + local.div_f64(1.0 + self.clock_drift) + Duration::from_micros(1)
     }
 }
 
 impl Fleet {
-    /// A process that knows its list as it was and two addresses.
-    pub(super) fn hollow(&mut self, i: usize, named: usize, boot: u64) -> Hollow {
-        let life = self.rng.random();
-        let me = Observer { name: format!("init-{named:04}"), incarnation: life };
+    /// Creates a process that knows the first endpoint list and two peer addresses.
+    pub(super) fn new_hollow(&mut self, i: usize, named: usize, generation: u64) -> Hollow {
+        let incarnation = self.rng.random();
+        let identity = Observer { name: format!("init-{named:04}"), incarnation: incarnation };
         let epoch = (UNIX_START + self.now).as_millis() as u64;
-        let peer =
-            membership::Member { name: me.name.clone(), incarnation: life, epoch, address: address(i) };
-        let set = Settings { rank: i as u32, ..fleet_settings(&self.size) };
-        let clock = Clock::new(self.zero, UNIX_START + self.now);
-        let broker = Broker::new(set, self.rng.random(), clock, self.zero).with_peers(me.clone());
-        let used = VOLUMES_USED.min(self.size.volumes);
+        let peer = membership::Member {
+            name: identity.name.clone(),
+            incarnation: incarnation,
+            epoch,
+            address: initiator_address(i),
+        };
+        let settings = Settings { rank: i as u32, ..fleet_settings(&self.size) };
+        let clock = Clock::new(self.origin, UNIX_START + self.now);
+        let broker =
+            Broker::new(settings, self.rng.random(), clock, self.origin).with_peers(identity.clone());
+        let volumes_used = VOLUMES_PER_INITIATOR.min(self.size.volumes);
         let from = self.rng.random_range(0..self.size.volumes as u64);
-        let place = Place::of(i, self.size.regions, self.size.zones);
-        let named = |kind: &str, number: usize| format!("{kind}{number}");
-        let stands = Locality { region: named("r", place.region), zone: named("z", place.zone) };
-        let gossip = Gossip::new(me.clone(), address(i), stands, self.rng.random(), Duration::ZERO);
+        let placement = Placement::of(i, self.size.regions, self.size.zones);
+        let numbered = |kind: &str, number: usize| format!("{kind}{number}");
+        let locality =
+            Locality { region: numbered("r", placement.region), zone: numbered("z", placement.zone) };
+        let gossip =
+            Gossip::new(identity.clone(), initiator_address(i), locality, self.rng.random(), Duration::ZERO);
         Hollow {
-            place,
+            placement,
             alive: true,
             paused: false,
-            mute: false,
+            unresponsive: false,
             traffic: Traffic::default(),
-            cpu: [Duration::ZERO; 3],
+            cpu_time: [Duration::ZERO; 3],
             gossip,
-            news: Traffic::bounded(GOSSIP_BYTES_PER_SECOND + GOSSIP_BURST_BYTES),
-            sums: Traffic::bounded(2.0 * (OWNER_BYTES_PER_SECOND + ANSWER_BYTES_PER_SECOND)),
-            own: BTreeMap::new(),
-            others: BTreeMap::new(),
-            stopped: BTreeSet::new(),
-            membership: Membership::new(peer, JOINED.map(address).to_vec(), self.rng.random()),
-            boot,
-            born: self.now,
-            drift: self.rng.random_range(-DRIFT..=DRIFT),
-            me,
+            observation_traffic: Traffic::bounded(GOSSIP_BYTES_PER_SECOND + GOSSIP_BURST_BYTES),
+            aggregation_traffic: Traffic::bounded(2.0 * (OWNER_BYTES_PER_SECOND + ANSWER_BYTES_PER_SECOND)),
+            own_demand: BTreeMap::new(),
+            peer_demand: BTreeMap::new(),
+            avoided_endpoints: BTreeSet::new(),
+            membership: Membership::new(
+                peer,
+                JOIN_TARGETS.map(initiator_address).to_vec(),
+                self.rng.random(),
+            ),
+            generation,
+            started_at: self.now,
+            clock_drift: self.rng.random_range(-MAX_CLOCK_DRIFT..=MAX_CLOCK_DRIFT),
+            identity,
             broker,
-            wakes: [(0, Duration::MAX); 3],
-            last_asked: None,
-            held: Vec::new(),
-            held_bytes: 0,
-            used: (0..used as u64).map(|v| (from + v * 7) % self.size.volumes as u64).collect(),
+            timers: [(0, Duration::MAX); 3],
+            last_exchanged: None,
+            deferred_events: Vec::new(),
+            deferred_bytes: 0,
+            volumes_used: (0..volumes_used as u64)
+                .map(|v| (from + v * 7) % self.size.volumes as u64)
+                .collect(),
         }
     }
 }
 
-/// What the program of every initiator is set to, but for its rank.
+/// Returns the settings of an initiator, except for its rank.
 fn fleet_settings(size: &Size) -> Settings {
     let endpoints = EndpointFigures {
         capacity: 4000.0,
@@ -142,21 +161,21 @@
         endpoints,
         slow_start_units: 16.0,
     };
-    let set = settings(&config);
-    let plans = set.plans.iter().map(|plan| Plan { rate: 1e6, ..plan.clone() }).collect();
-    Settings { plans, ..set }
+    let settings = settings(&config);
+    let plans = settings.plans.iter().map(|plan| Plan { rate: 1e6, ..plan.clone() }).collect();
+    Settings { plans, ..settings }
 }
 
-/// Processor time of this thread so far.
-fn processor() -> Duration {
+/// Returns the processor time of this thread so far.
+fn thread_cpu_time() -> Duration {
     let spent = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     Duration::new(spent.tv_sec as u64, spent.tv_nsec as u32)
 }
 
-/// Does it, and adds what it took.
-pub fn timed<T>(cpu: &mut Duration, work: impl FnOnce() -> T) -> T {
-    let start = processor();
+/// Runs `work` and adds the processor time that it took to `cpu_time`.
+pub fn measure_cpu<T>(cpu_time: &mut Duration, work: impl FnOnce() -> T) -> T {
+    let start = thread_cpu_time();
     let done = work();
-    *cpu += processor().saturating_sub(start);
+    *cpu_time += thread_cpu_time().saturating_sub(start);
     done
 }
--- a/crates/lab/src/scale/fleet/reducers.rs
+++ b/crates/lab/src/scale/fleet/reducers.rs
@@ -1,11 +1,10 @@
-//! Gives the reducers of an initiator their inputs and carries out what they ask for; their processor time is
-//! counted.
+//! Passes inputs to the reducers of an initiator, carries out the effects and counts the processor time.
 
 use super::event::Event;
-use super::hollow::{timed, Part};
+use super::hollow::{measure_cpu, Reducer};
 use super::{Arm, Fleet};
 use crate::fleet::MILLISECOND;
-use crate::scale::net::{index, UDP_HEADER};
+use crate::scale::net::{initiator_index, UDP_HEADER_BYTES};
 use shaletack_core::broker::{AttemptId, Effect, IncomingRequest, Input};
 use shaletack_core::gossip::{Aged, PeerTotals, VolumeDemand};
 use shaletack_core::operator_event::OperatorEvent;
@@ -15,35 +14,39 @@
 use shaletack_membership as membership;
 use std::time::Duration;
 
-/// How often a busy initiator's clients ask for each volume that is in use there.
-pub const ASKED_AGAIN: Duration = Duration::from_secs(2);
-/// How long an endpoint serves a request.
-const SERVED_IN: Duration = MILLISECOND;
+/// How often a busy initiator's clients send a request to each volume that they use.
+pub const REQUEST_INTERVAL: Duration = Duration::from_secs(2);
+/// Time that an endpoint takes to serve a request.
+const SERVICE_TIME: Duration = MILLISECOND;
 
-/// Whether a datagram of gossip is one of the sums: the last of the kinds, after a head and who sends
-/// it.
-fn is_sum(bytes: &[u8]) -> bool {
+/// Returns whether a gossip datagram carries sums. These have the last of the datagram kinds (5); the kind
+/// follows the header and the sender's name and incarnation, a varint.
+fn is_aggregation_datagram(bytes: &[u8]) -> bool {
     let name = usize::from(bytes.get(GOSSIP_HEADER_BYTES).copied().unwrap_or_default());
-    let life = bytes.get(GOSSIP_HEADER_BYTES + 1 + name..).unwrap_or_default();
-    life.iter().skip_while(|byte| **byte >= 0x80).nth(1) == Some(&5)
+    let incarnation = bytes.get(GOSSIP_HEADER_BYTES + 1 + name..).unwrap_or_default();
+    incarnation.iter().skip_while(|byte| **byte >= 0x80).nth(1) == Some(&5)
 }
 
 impl Fleet {
+    /// Passes an input to membership and carries out the effects.
     pub(super) fn membership_input(&mut self, i: usize, input: membership::Input) {
         let hollow = &mut self.hollows[i];
-        let now = hollow.local(self.now);
-        let effects =
-            timed(&mut hollow.cpu[Part::Membership as usize], || hollow.membership.step(now, input));
+        let now = hollow.local_time(self.now);
+        let effects = measure_cpu(&mut hollow.cpu_time[Reducer::Membership as usize], || {
+            hollow.membership.step(now, input)
+        });
         for effect in effects {
             match effect {
-                membership::Effect::Send { to, datagram: bytes } => self.send(i, index(to), bytes),
-                membership::Effect::SetTimer(at) => self.wake(i, Part::Membership, at),
+                membership::Effect::Send { to, datagram: bytes } => self.send(i, initiator_index(to), bytes),
+                membership::Effect::SetTimer(at) => self.set_timer(i, Reducer::Membership, at),
                 membership::Effect::MemberDown(peer) => {
-                    let of = index(peer.address);
-                    let there =
-                        self.hollows.get(of).is_some_and(|h| h.alive && h.me.incarnation == peer.incarnation);
-                    let troubled = self.now < self.troubled_until || !self.links.joins(i, of);
-                    self.seen.taken_for_dead += u64::from(there && !troubled);
+                    let of = initiator_index(peer.address);
+                    let there = self
+                        .hollows
+                        .get(of)
+                        .is_some_and(|h| h.alive && h.identity.incarnation == peer.incarnation);
+                    let troubled = self.now < self.faults_until || !self.links.connected(i, of);
+                    self.counters.taken_for_dead += u64::from(there && !troubled);
                     self.gossip_input(
                         i,
                         gossip::Input::MemberDown { address: peer.address, incarnation: peer.incarnation },
@@ -56,87 +59,97 @@
                     );
                 }
                 membership::Effect::DuplicateName { .. } => {}
-                membership::Effect::DatagramFailed(_) => self.seen.bad += 1,
+                membership::Effect::DatagramFailed(_) => self.counters.invalid += 1,
             }
         }
     }
 
-    /// Gives gossip an input and carries out what it asks for.
+    /// Passes an input to gossip and carries out the effects.
     pub(super) fn gossip_input(&mut self, i: usize, input: gossip::Input) {
-        if self.arm == Arm::Before || !self.talks {
+        if self.arm == Arm::Before || !self.gossip_enabled {
             return;
         }
         let hollow = &mut self.hollows[i];
-        let now = hollow.local(self.now);
-        let effects = timed(&mut hollow.cpu[Part::Gossip as usize], || hollow.gossip.step(now, input));
+        let now = hollow.local_time(self.now);
+        let effects =
+            measure_cpu(&mut hollow.cpu_time[Reducer::Gossip as usize], || hollow.gossip.step(now, input));
         for effect in effects {
             match effect {
                 gossip::Effect::Send { to, bytes } => {
                     let hollow = &mut self.hollows[i];
-                    if hollow.mute {
+                    if hollow.unresponsive {
                         continue;
                     }
-                    let traffic = if is_sum(&bytes) { &mut hollow.sums } else { &mut hollow.news };
-                    traffic.add(self.now, bytes.len() + UDP_HEADER, false);
-                    self.send(i, index(to), bytes.into());
+                    let traffic = if is_aggregation_datagram(&bytes) {
+                        &mut hollow.aggregation_traffic
+                    } else {
+                        &mut hollow.observation_traffic
+                    };
+                    traffic.add(self.now, bytes.len() + UDP_HEADER_BYTES, false);
+                    self.send(i, initiator_index(to), bytes.into());
                 }
                 gossip::Effect::Learned(reports) => self.broker_input(i, Input::GossipMerged(reports), true),
                 gossip::Effect::Totals(totals) => self.totals(i, totals),
-                gossip::Effect::WakeAt(at) => self.wake(i, Part::Gossip, at),
+                gossip::Effect::WakeAt(at) => self.set_timer(i, Reducer::Gossip, at),
                 gossip::Effect::ConfigRollout(_) => {}
                 gossip::Effect::DatagramRejected { .. } | gossip::Effect::InvalidItems { .. } => {
-                    self.seen.bad += 1
+                    self.counters.invalid += 1
                 }
             }
         }
     }
 
-    /// The sums over the other initiators came anew.
+    /// Handles new sums over the other initiators.
     fn totals(&mut self, i: usize, totals: Vec<(Key, Total)>) {
-        self.seen.totals += 1;
+        self.counters.totals += 1;
         let mut all = PeerTotals::default();
-        self.hollows[i].others.clear();
+        self.hollows[i].peer_demand.clear();
         for (key, total) in totals {
             if let Key::Demand(volume) = key {
                 let value = VolumeDemand { volume, rate: total.others };
                 all.demand.push(Aged { value, age: total.age });
-                self.hollows[i].others.insert(volume, total);
+                self.hollows[i].peer_demand.insert(volume, total);
             }
         }
         self.broker_input(i, Input::PeerTotals(all), true);
     }
 
-    /// What this process adds to the sums, from now on.
-    pub(super) fn add(&mut self, i: usize) {
+    /// Updates this process's contribution to the sums.
+    pub(super) fn update_contribution(&mut self, i: usize) {
         let hollow = &mut self.hollows[i];
-        let now = self.zero + hollow.local(self.now);
-        let amounts = timed(&mut hollow.cpu[Part::Broker as usize], || hollow.broker.contribution(now));
-        hollow.own = amounts.demand.iter().map(|demand| (demand.volume, demand.rate)).collect();
+        let now = self.origin + hollow.local_time(self.now);
+        let amounts =
+            measure_cpu(&mut hollow.cpu_time[Reducer::Broker as usize], || hollow.broker.contribution(now));
+        hollow.own_demand = amounts.demand.iter().map(|demand| (demand.volume, demand.rate)).collect();
         let keys = amounts.demand.into_iter().map(|demand| (Key::Demand(demand.volume), demand.rate));
         self.gossip_input(i, gossip::Input::LocalAmounts(keys.collect()));
     }
 
-    /// `counted`: it is a call that control causes, not a client's or a box's.
+    /// Passes an input to the broker and carries out the effects. With `counted`, the input is control
+    /// traffic, and its processor time is counted; inputs from clients and endpoints are not counted.
     pub(super) fn broker_input(&mut self, i: usize, input: Input, counted: bool) {
         let hollow = &mut self.hollows[i];
-        let now = self.zero + hollow.local(self.now);
+        let now = self.origin + hollow.local_time(self.now);
         let mut apart = Duration::ZERO;
-        let cpu = if counted { &mut hollow.cpu[Part::Broker as usize] } else { &mut apart };
-        let effects = timed(cpu, || hollow.broker.step(now, input));
-        let boot = hollow.boot;
+        let cpu_time = if counted { &mut hollow.cpu_time[Reducer::Broker as usize] } else { &mut apart };
+        let effects = measure_cpu(cpu_time, || hollow.broker.step(now, input));
+        let generation = hollow.generation;
         for effect in effects {
             match effect {
                 Effect::StartAttempt { attempt: AttemptId { request, number }, .. } => {
-                    self.at(self.now + SERVED_IN, Event::Ended { at: i, boot, request, number });
+                    self.schedule(
+                        self.now + SERVICE_TIME,
+                        Event::AttemptEnded { at: i, generation, request, number },
+                    );
                 }
                 Effect::SetTimer(at) => {
-                    // As coarse as the timers of the program's runtime.
-                    let local = at.saturating_duration_since(self.zero);
-                    let soonest = self.hollows[i].local(self.now) + MILLISECOND;
-                    self.wake(i, Part::Broker, local.max(soonest));
+                    // The timers of the program's runtime have a resolution of one millisecond.
+                    let local = at.saturating_duration_since(self.origin);
+                    let soonest = self.hollows[i].local_time(self.now) + MILLISECOND;
+                    self.set_timer(i, Reducer::Broker, local.max(soonest));
                 }
                 Effect::Log(OperatorEvent::AdviceChanged { id, stopped, .. }) => {
-                    self.advised(i, &id, stopped)
+                    self.advice_changed(i, &id, stopped)
                 }
                 Effect::Broadcast(observations) => {
                     self.gossip_input(i, gossip::Input::LocalObservations(observations))
@@ -146,24 +159,27 @@
         }
     }
 
-    fn advised(&mut self, i: usize, id: &str, stopped: bool) {
+    /// Records that the broker begins or ceases to avoid an endpoint.
+    fn advice_changed(&mut self, i: usize, id: &str, stopped: bool) {
         let number = id.rsplit('-').next().and_then(|digits| usize::from_str_radix(digits, 16).ok());
         let Some(b) = number else { return };
         if !stopped {
-            self.hollows[i].stopped.remove(&b);
-        } else if self.hollows[i].stopped.insert(b) {
-            self.acted.push((self.now, i, b));
+            self.hollows[i].avoided_endpoints.remove(&b);
+        } else if self.hollows[i].avoided_endpoints.insert(b) {
+            self.drain_reactions.push((self.now, i, b));
         }
     }
 
-    pub(super) fn request(&mut self, i: usize, boot: u64, number: u64) {
+    /// Passes a client's request to the broker and schedules the next one.
+    pub(super) fn request(&mut self, i: usize, generation: u64, number: u64) {
         let hollow = &self.hollows[i];
-        let place = number as usize % hollow.used.len();
-        let volume = hollow.used[place];
-        // Slow waves, each volume's of its own phase.
-        let turns = self.now.as_secs_f64() / 20.0 + place as f64 / hollow.used.len() as f64;
+        let place = number as usize % hollow.volumes_used.len();
+        let volume = hollow.volumes_used[place];
+        // The units per request of each volume follow a sine wave with a period of 20 s and a phase of its
+        // own.
+        let turns = self.now.as_secs_f64() / 20.0 + place as f64 / hollow.volumes_used.len() as f64;
         let units = 2.0 * (1.0 + 0.8 * (turns * std::f64::consts::TAU).sin());
-        let ask = IncomingRequest {
+        let incoming = IncomingRequest {
             volume,
             initiators: self.size.initiators as f64,
             key: number,
@@ -172,20 +188,21 @@
             time_remaining: 1200 * MILLISECOND,
             ..IncomingRequest::default()
         };
-        let gap = ASKED_AGAIN / hollow.used.len() as u32;
-        self.broker_input(i, Input::RequestArrived { id: number, request: ask }, false);
-        self.at(self.now + gap, Event::Request { at: i, boot, number: number + 1 });
+        let gap = REQUEST_INTERVAL / hollow.volumes_used.len() as u32;
+        self.broker_input(i, Input::RequestArrived { id: number, request: incoming }, false);
+        self.schedule(self.now + gap, Event::RequestDue { at: i, generation, number: number + 1 });
     }
 
-    fn wake(&mut self, i: usize, part: Part, local: Duration) {
+    /// Schedules a reducer's timer in place of its earlier one.
+    fn set_timer(&mut self, i: usize, reducer: Reducer, local: Duration) {
         let hollow = &self.hollows[i];
-        let (boot, then) = (hollow.boot, hollow.global(local).max(self.now));
-        if hollow.wakes[part as usize].1 == then {
+        let (generation, then) = (hollow.generation, hollow.fleet_time(local).max(self.now));
+        if hollow.timers[reducer as usize].1 == then {
             return;
         }
-        self.numbered += 1;
-        let number = self.numbered;
-        self.hollows[i].wakes[part as usize] = (number, then);
-        self.at(then, Event::Wakes { at: i, boot, part, number });
+        self.last_sequence += 1;
+        let number = self.last_sequence;
+        self.hollows[i].timers[reducer as usize] = (number, then);
+        self.schedule(then, Event::TimerFired { at: i, generation, reducer, number });
     }
 }
--- a/crates/lab/src/scale/net.rs
+++ b/crates/lab/src/scale/net.rs
@@ -1,40 +1,44 @@
-//! The network between hollow initiators: ways, loss, doubling, cuts, and what goes over each one's wire.
+//! Models the network between hollow initiators: delays, packet loss, duplication, partitions, and the
+//! traffic of each initiator.
 
 use crate::fleet::SECOND;
 use bytes::Bytes;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// One way within a zone, between zones of a region, and between regions.
-const WAYS: [Duration; 3] = [Duration::from_micros(500), Duration::from_millis(2), Duration::from_millis(60)];
-/// Headers of a UDP datagram and of a TCP segment over IPv4, without options, in bytes.
-pub const UDP_HEADER: usize = 28;
-const TCP_HEADER: usize = 40;
-/// The most payload of one TCP segment, and how many segments a new connection sends before the first
-/// acknowledgement.
-const SEGMENT: usize = 1460;
-const INITIAL_WINDOW: usize = 10;
-/// Before a lost segment goes again, at least (Linux); a lost SYN waits a second.
-pub const RETRANSMITTED_AFTER: Duration = Duration::from_millis(200);
+/// One-way delays within a zone, between zones of a region, and between regions.
+const ONE_WAY_DELAYS: [Duration; 3] =
+    [Duration::from_micros(500), Duration::from_millis(2), Duration::from_millis(60)];
+/// Bytes of the headers of a UDP datagram over IPv4, without options.
+pub const UDP_HEADER_BYTES: usize = 28;
+/// Bytes of the headers of a TCP segment over IPv4, without options.
+const TCP_HEADER_BYTES: usize = 40;
+/// Maximum payload of a TCP segment.
+const MAX_SEGMENT_BYTES: usize = 1460;
+/// Segments that a new TCP connection sends before the first acknowledgement.
+const INITIAL_WINDOW_SEGMENTS: usize = 10;
+/// Minimum time before a lost TCP segment is retransmitted (on Linux); for a lost SYN it is one second.
+pub const RETRANSMISSION_TIMEOUT: Duration = Duration::from_millis(200);
+/// Port of all initiators.
 const PORT: u16 = 10_950;
 
-/// Where an initiator stands.
+/// Region and zone of an initiator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Placement {
     pub region: usize,
-    /// Counted over all regions.
+    /// Numbered across all regions.
     pub zone: usize,
 }
 
-impl Place {
-    /// Initiators are dealt out over the zones in turn, zones over the regions in turn.
+impl Placement {
+    /// Assigns initiators to zones and zones to regions in round-robin order.
     pub fn of(i: usize, regions: usize, zones: usize) -> Self {
-        Place { region: i % zones % regions, zone: i % zones }
+        Placement { region: i % zones % regions, zone: i % zones }
     }
 
-    /// One way to another place.
-    pub fn way(self, to: Place) -> Duration {
-        let [near, between, far] = WAYS;
+    /// Returns the one-way delay to another initiator.
+    pub fn one_way_delay(self, to: Placement) -> Duration {
+        let [near, between, far] = ONE_WAY_DELAYS;
         match (self.region == to.region, self.zone == to.zone) {
             (false, _) => far,
             (true, false) => between,
@@ -43,107 +47,117 @@
     }
 }
 
-/// The address of an initiator.
-pub fn address(i: usize) -> SocketAddr {
+/// Returns the address of an initiator.
+pub fn initiator_address(i: usize) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::from(0x0a00_0000 + i as u32), PORT))
 }
 
-/// Whose address it is.
-pub fn index(at: SocketAddr) -> usize {
+/// Returns the initiator that has this address.
+pub fn initiator_index(at: SocketAddr) -> usize {
     match at {
         SocketAddr::V4(at) => (u32::from(*at.ip()) & 0xff_ffff) as usize,
         SocketAddr::V6(_) => usize::MAX,
     }
 }
 
-/// How links behave, and which are cut.
+/// Packet loss, duplication and partitions of the network.
 #[derive(Clone, Debug)]
 pub struct Links {
-    /// The part of packets that is lost, and of datagrams that come twice.
+    /// Fraction of packets that are lost.
     pub loss: f64,
-    pub doubling: f64,
-    /// The side of each initiator: only those of one side hear each other.
-    pub sides: Vec<u8>,
+    /// Fraction of datagrams that arrive twice.
+    pub duplication: f64,
+    /// The partition of each initiator; only initiators of the same partition reach each other.
+    pub partitions: Vec<u8>,
 }
 
 impl Links {
+    /// Returns links without duplication or partitions.
     pub fn new(initiators: usize, loss: f64) -> Self {
-        Links { loss, doubling: 0.0, sides: vec![0; initiators] }
+        Links { loss, duplication: 0.0, partitions: vec![0; initiators] }
     }
 
-    pub fn joins(&self, a: usize, b: usize) -> bool {
-        self.sides.get(a).is_some_and(|side| self.sides.get(b) == Some(side))
+    /// Returns whether two initiators are in the same partition.
+    pub fn connected(&self, a: usize, b: usize) -> bool {
+        self.partitions.get(a).is_some_and(|side| self.partitions.get(b) == Some(side))
     }
 }
 
-/// One message each way over a TCP connection of its own: what each side puts on the wire.
+/// Traffic of an exchange: one message in each direction over a new TCP connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Connection {
-    /// What the side that connects puts on the wire, and what the other one does.
+pub struct TcpExchange {
+    /// Bytes on the wire from the side that connects, and from the other side.
     pub bytes: [usize; 2],
 }
 
-impl Connection {
-    /// SYN to FIN, an acknowledgement for every two segments of the other side.
-    pub fn of(asked: usize, answered: usize) -> Self {
-        let segments = [asked, answered].map(|bytes| bytes.div_ceil(SEGMENT));
-        // Who connects: SYN, ACK, FIN, ACK of the other's FIN. The other: SYN-ACK, ACK of the FIN, FIN.
+impl TcpExchange {
+    /// Counts all packets from SYN to FIN, with one acknowledgement for every two segments of the other side.
+    pub fn new(asked: usize, answered: usize) -> Self {
+        let segments = [asked, answered].map(|bytes| bytes.div_ceil(MAX_SEGMENT_BYTES));
+        // The connecting side sends SYN, ACK, FIN and an ACK of the other's FIN; the other side sends
+        // SYN-ACK, an ACK of the FIN, and FIN.
         let bare = [4 + segments[1].div_ceil(2), 3 + segments[0].div_ceil(2)];
         let packets = [segments[0] + bare[0], segments[1] + bare[1]];
-        let bytes = [packets[0] * TCP_HEADER + asked, packets[1] * TCP_HEADER + answered];
-        Connection { bytes }
+        let bytes = [packets[0] * TCP_HEADER_BYTES + asked, packets[1] * TCP_HEADER_BYTES + answered];
+        TcpExchange { bytes }
     }
 
-    /// Round trips that a message waits for acknowledgements, as the window doubles.
-    pub fn waits(message: usize) -> u32 {
-        let (mut window, mut left, mut waits) = (INITIAL_WINDOW, message.div_ceil(SEGMENT), 0);
+    /// Returns the number of round trips that a message waits for acknowledgements while the window doubles.
+    pub fn window_round_trips(message: usize) -> u32 {
+        let (mut window, mut left, mut window_round_trips) =
+            (INITIAL_WINDOW_SEGMENTS, message.div_ceil(MAX_SEGMENT_BYTES), 0);
         while left > window {
-            (left, window, waits) = (left - window, window * 2, waits + 1);
+            (left, window, window_round_trips) = (left - window, window * 2, window_round_trips + 1);
         }
-        waits
+        window_round_trips
     }
 }
 
-/// What goes over one initiator's wire, both directions, in bytes.
+/// Traffic of one initiator in both directions.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    pub all: u64,
-    pub across: u64,
+    /// Bytes in all.
+    pub total_bytes: u64,
+    /// Bytes to and from other regions.
+    pub cross_region_bytes: u64,
+    /// Datagrams sent.
     pub datagrams: u64,
-    /// The most in one second of virtual time.
+    /// The most bytes in one second of virtual time.
     pub worst_second: u64,
     second: u64,
-    in_second: u64,
-    most: Option<u64>,
-    /// Seconds with more than the most that there may be.
-    pub passed: u64,
+    second_bytes: u64,
+    limit_per_second: Option<u64>,
+    /// Number of seconds in which the limit was exceeded.
+    pub limit_exceeded_seconds: u64,
 }
 
 impl Traffic {
-    /// Of which there may be so much in one second.
-    pub fn bounded(most: f64) -> Self {
-        Traffic { most: Some(most as u64), ..Traffic::default() }
+    /// Returns a counter that also counts the seconds with more bytes than the limit.
+    pub fn bounded(limit_per_second: f64) -> Self {
+        Traffic { limit_per_second: Some(limit_per_second as u64), ..Traffic::default() }
     }
 
-    pub fn add(&mut self, now: Duration, bytes: usize, across: bool) {
+    /// Counts the bytes of one packet or exchange.
+    pub fn add(&mut self, now: Duration, bytes: usize, cross_region: bool) {
         let second = (now.as_nanos() / SECOND.as_nanos()) as u64;
         if second != self.second {
-            (self.second, self.in_second) = (second, 0);
+            (self.second, self.second_bytes) = (second, 0);
         }
-        let was = self.in_second;
-        self.in_second += bytes as u64;
-        self.passed += u64::from(self.most.is_some_and(|most| was <= most && self.in_second > most));
-        self.worst_second = self.worst_second.max(self.in_second);
-        self.all += bytes as u64;
-        self.across += if across { bytes as u64 } else { 0 };
+        let was = self.second_bytes;
+        self.second_bytes += bytes as u64;
+        self.limit_exceeded_seconds +=
+            u64::from(self.limit_per_second.is_some_and(|limit| was <= limit && self.second_bytes > limit));
+        self.worst_second = self.worst_second.max(self.second_bytes);
+        self.total_bytes += bytes as u64;
+        self.cross_region_bytes += if cross_region { bytes as u64 } else { 0 };
     }
 }
 
-/// What an initiator's kernel keeps for a process that is stopped.
-pub const HELD_MOST: usize = 212_992;
+/// Size of a socket's receive buffer, which holds the datagrams of a stopped process.
+pub const RECEIVE_BUFFER_BYTES: usize = 212_992;
 
-/// A datagram's place in that.
-pub fn held(bytes: &Bytes) -> usize {
-    // The kernel counts its own bookkeeping with each.
+/// Returns the space that a datagram takes in the receive buffer.
+pub fn receive_buffer_charge(bytes: &Bytes) -> usize {
+    // The kernel adds its own overhead to each datagram.
     bytes.len() + 768
 }
--- a/crates/lab/src/scale/options.rs
+++ b/crates/lab/src/scale/options.rs
@@ -1,9 +1,10 @@
-//! The arguments of `shaletack-lab scale`, checked.
+//! Parses and checks the arguments of `shaletack-lab scale`.
 
 use super::fleet::{Arm, Size};
 use lexopt::Arg::Long;
 use std::path::PathBuf;
 
+/// The help text.
 pub const USAGE: &str =
     "usage: shaletack-lab scale [--initiators N] [--boxes M] [--volumes V] [--regions R] \
 [--zones Z] [--seeds K] [--sizes N,N,...] [--plans idle,busy,spread,sums,faults] \
@@ -19,24 +20,27 @@
   --sizes       the fleets whose slopes are taken (30,100,300,570,1000); none: only --initiators
   --out         where tables and charts go (.)";
 
-/// What is asked for.
+/// The parsed arguments.
 #[derive(Clone, Debug)]
 pub struct Options {
+    /// Size of the fleet.
     pub size: Size,
-    /// Seeds 1 to this are played.
+    /// The experiment runs the seeds from 1 up to this one.
     pub seeds: u64,
-    /// Numbers of initiators for which costs are measured, beside that of `size`.
+    /// Further numbers of initiators, beside that of `size`, for which costs are measured.
     pub sizes: Vec<usize>,
+    /// Names of the plans to run.
     pub plans: Vec<String>,
-    /// Each with its name in tables.
+    /// The arms to run, each with its name in the tables.
     pub arms: Vec<(Arm, &'static str)>,
-    /// The folder of tables and charts.
+    /// Directory for tables and charts.
     pub out: PathBuf,
-    /// Fail where busy bytes or processor time of the largest fleet are more than so many times the
-    /// smallest's.
-    pub bend: Option<f64>,
-    /// Play this seed alone and print its rows.
-    pub worker: Option<u64>,
+    /// If set, the experiment fails when the bytes, the datagrams or the processor time of a busy initiator
+    /// grow from the smallest to the largest fleet by more than this factor (processor time by more than
+    /// twice the factor).
+    pub max_growth: Option<f64>,
+    /// If set, this process is a worker: it runs only this seed and prints its rows.
+    pub worker_seed: Option<u64>,
 }
 
 const ARMS: [(Arm, &str); 2] = [(Arm::After, "after"), (Arm::Before, "before")];
@@ -45,29 +49,29 @@
 impl Options {
     fn new() -> Self {
         Options {
-            size: Size { initiators: 570, boxes: 880, volumes: 1000, regions: 3, zones: 9 },
+            size: Size { initiators: 570, endpoints: 880, volumes: 1000, regions: 3, zones: 9 },
             seeds: 5,
             sizes: vec![30, 100, 300, 570, 1000],
             plans: PLANS.map(str::to_owned).to_vec(),
             arms: ARMS.to_vec(),
             out: ".".into(),
-            bend: None,
-            worker: None,
+            max_growth: None,
+            worker_seed: None,
         }
     }
 
-    /// Reads the arguments; `None`: help was asked for and is printed.
+    /// Parses the arguments. Returns `None` after printing the help text, if that was requested.
     pub fn parse(mut args: lexopt::Parser) -> Result<Option<Self>, String> {
-        let told = |e: lexopt::Error| format!("scale: {e}");
+        let parse_error = |e: lexopt::Error| format!("scale: {e}");
         let mut options = Options::new();
-        while let Some(arg) = args.next().map_err(told)? {
-            let Long(name) = arg else { return Err(told(arg.unexpected())) };
+        while let Some(arg) = args.next().map_err(parse_error)? {
+            let Long(name) = arg else { return Err(parse_error(arg.unexpected())) };
             let name = name.to_owned();
             if name == "help" {
                 println!("{USAGE}");
                 return Ok(None);
             }
-            let value = args.value().map_err(told)?;
+            let value = args.value().map_err(parse_error)?;
             if name == "out" {
                 options.out = value.into();
             } else {
@@ -77,42 +81,47 @@
         options.check().map(|()| Some(options))
     }
 
+    /// Sets one option from its text.
     fn set(&mut self, name: &str, text: &str) -> Result<(), String> {
         let named = |why: String| format!("scale: --{name}: {why}");
         let number = || text.parse::<usize>().map_err(|_| named(format!("'{text}' is not a number")));
         match name {
             "initiators" => self.size.initiators = number()?,
-            "boxes" => self.size.boxes = number()?,
+            "boxes" => self.size.endpoints = number()?,
             "volumes" => self.size.volumes = number()?,
             "regions" => self.size.regions = number()?,
             "zones" => self.size.zones = number()?,
             "seeds" => self.seeds = number()? as u64,
-            "worker" => self.worker = Some(number()? as u64),
+            "worker" => self.worker_seed = Some(number()? as u64),
             "bend" => {
-                let read = text.parse().ok().filter(|bend: &f64| bend.is_finite() && *bend > 0.0);
-                self.bend = Some(read.ok_or(named(format!("'{text}' is no factor")))?);
+                let read =
+                    text.parse().ok().filter(|max_growth: &f64| max_growth.is_finite() && *max_growth > 0.0);
+                self.max_growth = Some(read.ok_or(named(format!("'{text}' is not a positive number")))?);
             }
-            "plans" => self.plans = words(text, PLANS.iter().map(|p| (p.to_string(), *p))).map_err(named)?,
-            "arms" => self.arms = words(text, ARMS.iter().map(|a| (*a, a.1))).map_err(named)?,
+            "plans" => {
+                self.plans = parse_list(text, PLANS.iter().map(|p| (p.to_string(), *p))).map_err(named)?
+            }
+            "arms" => self.arms = parse_list(text, ARMS.iter().map(|a| (*a, a.1))).map_err(named)?,
             "sizes" => {
                 let sizes = text.split(',').filter(|word| *word != "none");
                 let read = |word: &str| word.parse().map_err(|_| named(format!("'{word}' is not a number")));
                 self.sizes = sizes.map(read).collect::<Result<_, _>>()?;
             }
-            _ => return Err(format!("scale: --{name} is not known")),
+            _ => return Err(format!("scale: unknown option --{name}")),
         }
         Ok(())
     }
 
+    /// Checks that all values are within their ranges.
     fn check(&self) -> Result<(), String> {
         let within = |name: &str, value: usize, least: usize, most: usize| {
             let fits = (least..=most).contains(&value);
-            fits.then_some(()).ok_or(format!("scale: --{name} {value}: it goes from {least} to {most}"))
+            fits.then_some(()).ok_or(format!("scale: --{name} {value}: must be from {least} to {most}"))
         };
-        let Size { initiators, boxes, volumes, regions, zones } = self.size;
+        let Size { initiators, endpoints, volumes, regions, zones } = self.size;
         within("initiators", initiators, 2, 5000)?;
         self.sizes.iter().try_for_each(|size| within("sizes", *size, 2, 5000))?;
-        within("boxes", boxes, 1, 4096)?;
+        within("boxes", endpoints, 1, 4096)?;
         within("volumes", volumes, 1, 1_000_000)?;
         within("zones", zones, 1, initiators)?;
         within("regions", regions, 1, zones)?;
@@ -120,11 +129,11 @@
     }
 }
 
-/// Words of a list, each one of those that there are.
-fn words<T: Clone>(
+/// Parses a comma-separated list of names, each of which must be in `all`.
+fn parse_list<T: Clone>(
     text: &str,
     all: impl Iterator<Item = (T, &'static str)> + Clone,
 ) -> Result<Vec<T>, String> {
     let find = |word: &str| all.clone().find(|(_, name)| *name == word).map(|(is, _)| is);
-    text.split(',').map(|word| find(word).ok_or(format!("'{word}' is none of what there is"))).collect()
+    text.split(',').map(|word| find(word).ok_or(format!("'{word}' is not a known name"))).collect()
 }
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What all seeds amount to: tables, a chart, and the last lines.
+//! Summarizes the rows of all seeds: the tables, the chart and the figures that are printed at the end.
 
 use super::options::Options;
 use super::{plans, Row};
@@ -9,11 +9,11 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// In place of a figure that no row has.
+/// Printed in place of a figure for which there are no rows.
 const UNMEASURED: &str = "not measured";
 
-/// How soon what one knew was known by the others, over seeds.
-struct Known {
+/// How soon the other initiators knew what one had learnt, over all seeds, in seconds.
+struct PropagationTimes {
     p50: f64,
     p99: f64,
     worst: f64,
@@ -23,33 +23,35 @@
 
 /// The rows of all seeds.
 pub struct Report<'a> {
+    /// What was run.
     pub options: &'a Options,
     pub rows: &'a [Row],
 }
 
 impl Report<'_> {
-    fn of<'b>(&'b self, arm: &'b str, plan: &'b str, n: usize) -> impl Iterator<Item = &'b Row> + 'b {
+    fn rows_of<'b>(&'b self, arm: &'b str, plan: &'b str, n: usize) -> impl Iterator<Item = &'b Row> + 'b {
         self.rows.iter().filter(move |r| r.arm == arm && r.plan == plan && r.initiators == n)
     }
 
-    /// A mean over seeds.
+    /// Returns the mean of a measure over all seeds.
     fn mean(&self, arm: &str, plan: &str, n: usize, measure: &str) -> Option<f64> {
         let values: Vec<f64> =
-            self.of(arm, plan, n).filter(|r| r.measure == measure).map(|r| r.value).collect();
+            self.rows_of(arm, plan, n).filter(|r| r.measure == measure).map(|r| r.value).collect();
         (!values.is_empty()).then(|| values.iter().sum::<f64>() / values.len() as f64)
     }
 
-    fn known(&self, arm: &str, n: usize) -> Option<Known> {
+    /// Returns the quantiles of the times until a drain was known.
+    fn propagation_times(&self, arm: &str, n: usize) -> Option<PropagationTimes> {
         let mut times: BTreeMap<u64, u64> = BTreeMap::new();
         let mut pairs = 0;
-        for row in self.of(arm, "spread", n) {
+        for row in self.rows_of(arm, "spread", n) {
             if let Some(ms) = row.measure.strip_prefix("known_after_ms:").and_then(|ms| ms.parse().ok()) {
                 *times.entry(ms).or_default() += row.value as u64;
             }
             pairs += if row.measure == "pairs" { row.value as u64 } else { 0 };
         }
         let known: u64 = times.values().sum();
-        // Of all pairs: what never came takes longer than any other.
+        // Quantiles are taken over all pairs; a pair that never knew counts as longer than any other.
         let at = |part: f64| {
             let mut left = (part * pairs as f64).ceil().max(1.0) as u64;
             let found = times.iter().find(|(_, count)| {
@@ -60,29 +62,35 @@
             found.map_or(f64::INFINITY, |(ms, _)| *ms as f64 / 1e3)
         };
         let never = pairs - known.min(pairs);
-        (pairs > 0).then(|| Known { p50: at(0.5), p99: at(0.99), worst: at(1.0), never, pairs })
+        (pairs > 0).then(|| PropagationTimes { p50: at(0.5), p99: at(0.99), worst: at(1.0), never, pairs })
     }
 
-    /// Whether what one initiator spends grows with the fleet by more than a factor. Bytes and datagrams are the same on
-    /// each run of a seed; processor time is measured on whatever else the machine does, so twice the factor is left to it:
-    /// what grows with the fleet's size passes that as well.
-    pub fn bends(&self, most: f64) -> Result<(), String> {
+    /// Fails if the costs of one busy initiator grow by more than `max_factor` from the smallest to the
+    /// largest fleet.
+    ///
+    /// Bytes and datagrams are the same in each run of a seed. Processor time also depends on the machine's
+    /// other load and may therefore grow by twice the factor; a cost that grows with the size of the fleet
+    /// exceeds that as well.
+    pub fn check_growth(&self, max_factor: f64) -> Result<(), String> {
         let sizes = self.sizes();
         let (Some(first), Some(last)) = (sizes.first(), sizes.last()) else { return Ok(()) };
-        for (measure, most) in [("bytes", most), ("datagrams", most), ("core_percent", 2.0 * most)] {
+        for (measure, limit) in
+            [("bytes", max_factor), ("datagrams", max_factor), ("core_percent", 2.0 * max_factor)]
+        {
             let at = |n: usize| self.mean("after", "busy", n, measure).filter(|mean| *mean > 0.0);
-            let (few, many) =
-                at(*first).zip(at(*last)).ok_or(format!("scale: no busy {measure} to compare"))?;
-            if many > most * few {
-                let times = many / few;
+            let (smallest, largest) =
+                at(*first).zip(at(*last)).ok_or(format!("scale: no figures of busy {measure} to compare"))?;
+            if largest > limit * smallest {
+                let times = largest / smallest;
                 return Err(format!(
-                    "scale: {measure} at {last} is {times:.2} times that at {first}, over {most}"
+                    "scale: {measure} at {last} is {times:.2} times that at {first}, more than {limit}"
                 ));
             }
         }
         Ok(())
     }
 
+    /// Returns the fleet sizes that were measured, in ascending order.
     fn sizes(&self) -> Vec<usize> {
         let mut sizes: Vec<usize> = self.rows.iter().map(|r| r.initiators).collect();
         sizes.sort_unstable();
@@ -90,13 +98,14 @@
         sizes
     }
 
-    pub fn write(&self, written: &dyn Fn(&Path, &dyn std::fmt::Display) -> String) -> Result<(), String> {
+    /// Writes the tables and the chart, and prints the figures.
+    pub fn write(&self, write_error: &dyn Fn(&Path, &dyn std::fmt::Display) -> String) -> Result<(), String> {
         let out = &self.options.out;
         let mut spread = String::from("arm,initiators,p50_s,p99_s,worst_s,never,pairs\n");
         let mut cost = format!("arm,plan,initiators,{}\n", MEASURES.join(","));
         for (_, arm) in &self.options.arms {
             for n in self.sizes() {
-                if let Some(k) = self.known(arm, n) {
+                if let Some(k) = self.propagation_times(arm, n) {
                     let _ =
                         writeln!(spread, "{arm},{n},{},{},{},{},{}", k.p50, k.p99, k.worst, k.never, k.pairs);
                 }
@@ -113,28 +122,28 @@
         }
         for (name, text) in [("scale-spread.csv", spread), ("scale-cost.csv", cost)] {
             let to = out.join(name);
-            std::fs::write(&to, text).map_err(|e| written(&to, &e))?;
+            std::fs::write(&to, text).map_err(|e| write_error(&to, &e))?;
         }
         let chart = out.join("scale-known.svg");
-        self.draw(&chart).map_err(|e| written(&chart, &*e))?;
-        self.say();
+        self.draw(&chart).map_err(|e| write_error(&chart, &*e))?;
+        self.print_figures();
         Ok(())
     }
 
-    /// The last lines.
-    fn say(&self) {
+    /// Prints one line for each group of figures.
+    fn print_figures(&self) {
         let n = self.options.size.initiators;
-        self.say_spread(n);
-        self.say_cost(n);
-        println!("sums: {}", self.sums(n).unwrap_or(UNMEASURED.into()));
-        self.say_slope();
-        println!("faults: {}", self.faults(n).unwrap_or(UNMEASURED.into()));
+        self.print_spread(n);
+        self.print_cost(n);
+        println!("sums: {}", self.aggregation_figures(n).unwrap_or(UNMEASURED.into()));
+        self.print_slope();
+        println!("faults: {}", self.fault_figures(n).unwrap_or(UNMEASURED.into()));
     }
 
-    /// How soon a drain was known.
-    fn say_spread(&self, n: usize) {
-        let known = |arm: &str| self.known(arm, n);
-        let (after, before) = (known("after"), known("before"));
+    /// Prints how soon a drain was known.
+    fn print_spread(&self, n: usize) {
+        let propagation_times = |arm: &str| self.propagation_times(arm, n);
+        let (after, before) = (propagation_times("after"), propagation_times("before"));
         let first = after.map_or(UNMEASURED.into(), |k| {
             let (p50, p99, worst) = (seconds(k.p50), seconds(k.p99), seconds(k.worst));
             format!(
@@ -148,8 +157,8 @@
         println!("spread: {first} (before {then})");
     }
 
-    /// What control costs one initiator.
-    fn say_cost(&self, n: usize) {
+    /// Prints what the control traffic costs one initiator.
+    fn print_cost(&self, n: usize) {
         let figure = |plan: &str, measure: &str, digits: usize| {
             let mean = self.mean("after", plan, n, measure);
             mean.map_or(UNMEASURED.to_owned(), |mean| format!("{mean:.digits$}"))
@@ -166,8 +175,9 @@
         );
     }
 
-    /// The same by the size of the fleet.
-    fn say_slope(&self) {
+    /// Prints the cost of a busy initiator and the longest time until a drain was known, by the size of the
+    /// fleet.
+    fn print_slope(&self) {
         let sizes: Vec<usize> = self.sizes().into_iter().filter(|n| self.options.sizes.contains(n)).collect();
         let over = |of: &dyn Fn(usize) -> Option<String>| {
             let all = sizes.iter().map(|n| of(*n).unwrap_or(UNMEASURED.into()));
@@ -181,55 +191,58 @@
             over(&|n| Some(n.to_string())),
             over(&mean("bytes", 0)),
             over(&mean("core_percent", 3)),
-            over(&|n| Some(seconds(self.known("after", n)?.worst)))
+            over(&|n| Some(seconds(self.propagation_times("after", n)?.worst)))
         );
     }
 
-    /// How near sums are to the truth, and who is in them that should not be.
-    fn sums(&self, n: usize) -> Option<String> {
+    /// Returns how accurate the summed demand was, and how often initiators were counted twice or after their
+    /// death.
+    fn aggregation_figures(&self, n: usize) -> Option<String> {
         let count = |prefix: &str, measure: &str| {
             let percent: Option<u64> = measure.strip_prefix(prefix)?.parse().ok();
             percent
         };
-        let mut hits: BTreeMap<u64, u64> = BTreeMap::new();
-        for row in self.of("after", "sums", n) {
+        let mut accuracies: BTreeMap<u64, u64> = BTreeMap::new();
+        for row in self.rows_of("after", "sums", n) {
             if let Some(percent) = count("hit_percent:", &row.measure) {
-                *hits.entry(percent).or_default() += row.value as u64;
+                *accuracies.entry(percent).or_default() += row.value as u64;
             }
         }
-        let mut left = hits.values().sum::<u64>().div_ceil(100).max(1);
-        let worst = hits.iter().find(|(_, count)| {
+        let mut left = accuracies.values().sum::<u64>().div_ceil(100).max(1);
+        let worst = accuracies.iter().find(|(_, count)| {
             let here = **count >= left;
             left = left.saturating_sub(**count);
             here
         });
         let sum = |measure: &str| {
-            self.of("after", "sums", n).filter(|r| r.measure == measure).map(|r| r.value).sum::<f64>()
+            self.rows_of("after", "sums", n).filter(|r| r.measure == measure).map(|r| r.value).sum::<f64>()
         };
         let (percent, _) = worst?;
-        let (twice, dead) = (sum("counted_twice"), sum("of_dead"));
+        let (counted_twice, dead) = (sum("counted_twice"), sum("of_dead"));
         Some(format!(
-            "demand within 4 s {percent}% of the truth at the worst hundredth, counted twice {twice}, \
+            "demand within 4 s {percent}% of the truth at the worst hundredth, counted twice {counted_twice}, \
              of the dead after 10 s {dead}"
         ))
     }
 
-    fn faults(&self, n: usize) -> Option<String> {
+    /// Returns the totals over all fault plans.
+    fn fault_figures(&self, n: usize) -> Option<String> {
         let of = |measure: &str| {
             let end = format!(":{measure}");
-            self.of("after", "faults", n).filter(move |r| r.measure.ends_with(&end)).map(|r| r.value)
+            self.rows_of("after", "faults", n).filter(move |r| r.measure.ends_with(&end)).map(|r| r.value)
         };
         let plans = of("healed_s").count() / self.options.seeds as usize;
         let healed = of("healed_s").fold(0.0, f64::max);
         let healed = if healed.is_finite() { format!("{healed:.2}") } else { "never".into() };
         let (dead, ceilings) = (of("taken_for_dead").sum::<f64>(), of("ceilings_passed").sum::<f64>());
-        let told = format!(
+        let figures = format!(
             "plans {plans}, alive taken for dead {dead}, ceilings passed {ceilings}, healed in {healed} s, \
              mutants not measured"
         );
-        (plans > 0).then_some(told)
+        (plans > 0).then_some(figures)
     }
 
+    /// Draws the fraction of initiators that know of a drain over time, as one line for each arm.
     fn draw(&self, to: &Path) -> Result<(), Box<dyn std::error::Error>> {
         let n = self.options.size.initiators;
         let area = SVGBackend::new(to, (900, 420)).into_drawing_area();
@@ -239,12 +252,12 @@
             .margin(12)
             .x_label_area_size(36)
             .y_label_area_size(48)
-            .build_cartesian_2d(0.0..plans::NEVER.as_secs_f64(), 0.0..100.0)?;
+            .build_cartesian_2d(0.0..plans::REACTION_TIMEOUT.as_secs_f64(), 0.0..100.0)?;
         chart.configure_mesh().x_desc("seconds").y_desc("percent of all pairs").draw()?;
         for ((_, arm), colour) in self.options.arms.iter().zip([RED, BLUE]) {
-            let Some(Known { pairs, .. }) = self.known(arm, n) else { continue };
+            let Some(PropagationTimes { pairs, .. }) = self.propagation_times(arm, n) else { continue };
             let mut points: BTreeMap<u64, f64> = BTreeMap::new();
-            for row in self.of(arm, "spread", n) {
+            for row in self.rows_of(arm, "spread", n) {
                 if let Some(ms) = row.measure.strip_prefix("known_after_ms:").and_then(|ms| ms.parse().ok()) {
                     *points.entry(ms).or_default() += row.value;
                 }
@@ -265,7 +278,7 @@
     }
 }
 
-/// Seconds as text; those that never ended are infinite.
+/// Formats seconds; infinite ones stand for an event that did not occur.
 fn seconds(value: f64) -> String {
     if value.is_finite() {
         format!("{value:.2}")
@@ -274,7 +287,7 @@
     }
 }
 
-/// The columns of the table of costs.
+/// The measures in the table of costs, in the order of its columns.
 const MEASURES: [&str; 16] = [
     "bytes",
     "bytes_greatest",
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -1,4 +1,4 @@
-//! `shaletack-lab scale` from outside: what it refuses, and a small fleet of fixed seeds.
+//! Tests of the command `shaletack-lab scale`: invalid arguments, and a small fleet with a fixed seed.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -7,8 +7,9 @@
     Command::new(env!("CARGO_BIN_EXE_shaletack-lab")).arg("scale").args(args).output().unwrap()
 }
 
-/// One line on standard error that has these words, nothing on standard output, and a non-zero exit.
-fn is_refused(args: &[&str], words: &[&str]) {
+/// Asserts that the command fails with one line on standard error that contains `words`, and prints nothing
+/// on standard output.
+fn assert_rejected(args: &[&str], words: &[&str]) {
     let done = scale(args);
     let said = String::from_utf8(done.stderr).unwrap();
     assert!(!done.status.success(), "{args:?}: {said}");
@@ -18,48 +19,50 @@
 }
 
 #[test]
-fn arguments_that_make_no_fleet_are_one_clear_line() {
-    is_refused(&["--initiators", "0"], &["--initiators 0", "from 2"]);
-    is_refused(&["--initiators", "1"], &["--initiators 1"]);
-    is_refused(&["--initiators", "many"], &["--initiators", "'many'"]);
-    is_refused(&["--initiators", "-3"], &["'-3'"]);
-    is_refused(&["--initiators", "8", "--zones", "9"], &["--zones 9", "8"]);
-    is_refused(&["--zones", "2", "--regions", "3"], &["--regions 3", "2"]);
-    is_refused(&["--boxes", "0"], &["--boxes 0"]);
-    is_refused(&["--volumes", "0"], &["--volumes 0"]);
-    is_refused(&["--seeds", "0"], &["--seeds 0"]);
-    is_refused(&["--sizes", "30,x"], &["'x'"]);
-    is_refused(&["--sizes", "1"], &["--sizes 1"]);
-    is_refused(&["--plans", "guess"], &["'guess'"]);
-    is_refused(&["--arms", "between"], &["'between'"]);
-    is_refused(&["--machines", "3"], &["--machines"]);
-    is_refused(&["--initiators"], &["--initiators"]);
-    is_refused(&["more"], &["more"]);
+fn invalid_arguments_fail_with_one_line() {
+    assert_rejected(&["--initiators", "0"], &["--initiators 0", "from 2"]);
+    assert_rejected(&["--initiators", "1"], &["--initiators 1"]);
+    assert_rejected(&["--initiators", "many"], &["--initiators", "'many'"]);
+    assert_rejected(&["--initiators", "-3"], &["'-3'"]);
+    assert_rejected(&["--initiators", "8", "--zones", "9"], &["--zones 9", "8"]);
+    assert_rejected(&["--zones", "2", "--regions", "3"], &["--regions 3", "2"]);
+    assert_rejected(&["--boxes", "0"], &["--boxes 0"]);
+    assert_rejected(&["--volumes", "0"], &["--volumes 0"]);
+    assert_rejected(&["--seeds", "0"], &["--seeds 0"]);
+    assert_rejected(&["--sizes", "30,x"], &["'x'"]);
+    assert_rejected(&["--sizes", "1"], &["--sizes 1"]);
+    assert_rejected(&["--plans", "guess"], &["'guess'"]);
+    assert_rejected(&["--arms", "between"], &["'between'"]);
+    assert_rejected(&["--machines", "3"], &["--machines"]);
+    assert_rejected(&["--initiators"], &["--initiators"]);
+    assert_rejected(&["more"], &["more"]);
 }
 
 #[test]
-fn a_folder_that_can_not_be_written_is_one_clear_line() {
+fn an_unwritable_output_directory_fails_with_one_line() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("file");
     std::fs::write(&file, "").unwrap();
     for out in [file.as_path(), &file.join("below"), Path::new("/proc/nowhere")] {
         let out = out.to_str().unwrap();
-        is_refused(&["--initiators", "4", "--zones", "2", "--regions", "1", "--out", out], &[out]);
+        assert_rejected(&["--initiators", "4", "--zones", "2", "--regions", "1", "--out", out], &[out]);
     }
 }
 
-fn small(out: &Path, more: &[&str]) -> Output {
+/// Runs the `busy` plan of a fleet with 12 endpoints, 12 volumes and one seed.
+fn run_small(out: &Path, more: &[&str]) -> Output {
     let out = out.to_str().unwrap();
     let args = ["--arms", "after", "--plans", "busy", "--boxes", "12", "--volumes", "12", "--seeds", "1"];
     scale(&[&args[..], &["--out", out], more].concat())
 }
 
-/// What one initiator spends on control with 300 of them, against 30: bytes on the wire and processor time of
-/// the reducers, by its thread's clock, so that a busy machine only makes it last longer.
+/// Compares the control cost of one initiator in a fleet of 300 with that in a fleet of 30: bytes on the wire
+/// and processor time of the reducers. The processor time is that of the thread, so that other load on the
+/// machine only makes the test run longer.
 #[test]
 fn neither_bytes_nor_processor_time_of_an_initiator_grow_with_the_fleet() {
     let dir = tempfile::tempdir().unwrap();
-    let done = small(dir.path(), &["--sizes", "30", "--initiators", "300", "--bend", "2"]);
+    let done = run_small(dir.path(), &["--sizes", "30", "--initiators", "300", "--bend", "2"]);
     let (said, why) = (String::from_utf8(done.stdout).unwrap(), String::from_utf8(done.stderr).unwrap());
     assert!(done.status.success(), "{said}{why}");
     let begins = ["spread: ", "cost: ", "sums: ", "slope: ", "faults: "];
@@ -72,9 +75,9 @@
 }
 
 #[test]
-fn a_slope_that_bends_up_fails_and_is_named() {
+fn growth_above_the_limit_fails_and_names_the_measure() {
     let dir = tempfile::tempdir().unwrap();
-    let small = small(dir.path(), &["--sizes", "9", "--initiators", "18", "--bend", "0.001"]);
-    let said = String::from_utf8(small.stderr).unwrap();
-    assert!(!small.status.success() && said.contains("bytes at 18 is"), "{said}");
+    let output = run_small(dir.path(), &["--sizes", "9", "--initiators", "18", "--bend", "0.001"]);
+    let said = String::from_utf8(output.stderr).unwrap();
+    assert!(!output.status.success() && said.contains("bytes at 18 is"), "{said}");
 }
