--- a/crates/lab/src/slopes.rs
+++ b/crates/lab/src/slopes.rs
@@ -1,8 +1,11 @@
-//! One real process of the program, by its slopes: what it costs for each client, request, box and restart.
+//! Measures one real process of the program: what each client, request, listed endpoint and restart costs, by
+//! the slope of the cost over their number.
 //!
-//! All that stands round it is on loopback and in this process ([`endpoints`], [`discovery`], [`client`]); its cost is what the system says
-//! of it ([`process`]). Each table is `slopes-PART.csv`, and the least-squares lines through its points
-//! `slopes-PART-fit.csv` with the largest deviation of a point from its line, by which a bend shows.
+//! The endpoints, the discovery service and the clients run in this process and are reached on loopback
+//! ([`endpoints`], [`discovery`], [`client`]). The cost is taken from the operating system's figures of the
+//! process ([`process`]). Each part writes its table to `slopes-PART.csv` and the least-squares lines through
+//! its points to `slopes-PART-fit.csv`, with the largest deviation of a point from its line, which shows
+//! where a cost is not linear.
 
 mod client;
 mod discovery;
@@ -13,7 +16,7 @@
 
 use client::{Client, EXPORTS};
 use discovery::Discovery;
-use endpoints::Boxes;
+use endpoints::Endpoints;
 use error::SlopesError;
 use process::{Process, Setup};
 use std::net::SocketAddr;
@@ -25,50 +28,56 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// Which of the program's fronts.
+/// A front of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Front {
-    /// The platform's.
+    /// HTTP, as the platform uses it.
     Http,
-    /// The operator's.
+    /// NBD, as configured by an operator.
     Nbd,
 }
 
-const RUNS: usize = 2;
-const IDLE: [usize; 5] = [100, 1_000, 3_700, 7_400, 11_100];
-const RATES: [usize; 4] = [100, 350, 700, 1_050];
-const LISTS: [usize; 4] = [88, 220, 440, 880];
-const BACK: [usize; 5] = [740, 1_850, 3_700, 7_400, 11_100];
-/// Descriptors granted, with which 7,400 clients are met.
-const GRANTS: [usize; 5] = [4_096, 10_000, 20_000, 29_600, 44_400];
-/// So many descriptors, as the file says it, that no bound of the fronts is met.
-const ROOMY: usize = 65_536;
-/// MiB of the deployment page's example.
-const EXAMPLE_MB: u64 = 2_048;
-/// Clients by which requests come: one for each export.
-const ASKING: usize = EXPORTS;
-/// News of each kind, told one after another.
-const NEWS: usize = 10;
-/// What one costs is over by then,
-const SETTLED: Duration = Duration::from_millis(50);
-/// and the log, which a whole list fills for a second, has room for the next.
-const REST: Duration = Duration::from_millis(1_100);
-/// Over so long they come where there may be no room for all of them.
-const GRANTED_COME: Duration = Duration::from_secs(3);
-/// Clients that connect at a time where a table is filled, and not all at once as after a restart: half of what
-/// waits at a listener.
-const CONNECTING: usize = 64;
-/// No part of the tables takes longer.
-const PART_MOST: Duration = Duration::from_secs(900);
-/// A client that is not there by then has not come.
-const COMES_WITHIN: Duration = Duration::from_secs(10);
-/// A client whose connection was refused or reset comes again after this.
-const COMES_AGAIN: Duration = Duration::from_millis(200);
+/// Number of runs for each point of a table.
+const RUNS_PER_POINT: usize = 2;
+/// Numbers of idle clients.
+const IDLE_CLIENT_COUNTS: [usize; 5] = [100, 1_000, 3_700, 7_400, 11_100];
+/// Request rates, per second.
+const REQUEST_RATES: [usize; 4] = [100, 350, 700, 1_050];
+/// Numbers of endpoints in the list.
+const LIST_SIZES: [usize; 4] = [88, 220, 440, 880];
+/// Numbers of clients that reconnect after a restart.
+const RETURNING_CLIENT_COUNTS: [usize; 5] = [740, 1_850, 3_700, 7_400, 11_100];
+/// Descriptor limits in the configuration with which 7,400 clients connect.
+const DESCRIPTOR_LIMITS: [usize; 5] = [4_096, 10_000, 20_000, 29_600, 44_400];
+/// Descriptor limit in the configuration at which no limit of the fronts is reached.
+const AMPLE_DESCRIPTORS: usize = 65_536;
+/// Memory limit in MiB, as in the example of the deployment, for the runs with limited descriptors.
+const EXAMPLE_MEMORY_MB: u64 = 2_048;
+/// Clients that send requests: one for each export.
+const REQUESTING_CLIENTS: usize = EXPORTS;
+/// Number of list changes of each kind, which follow one after another.
+const LIST_CHANGES: usize = 10;
+/// Time after which the processing of a list change is complete.
+const SETTLE_TIME: Duration = Duration::from_millis(50);
+/// Time after which the log has space again: a full list exhausts its rate limit for one second.
+const LOG_RECOVERY_TIME: Duration = Duration::from_millis(1_100);
+/// Time over which clients connect when there may not be enough descriptors for all of them.
+const LIMITED_CONNECT_SPAN: Duration = Duration::from_secs(3);
+/// Maximum number of clients that connect at the same time before a measurement: half of a listen backlog of
+/// 128. After a restart, there is no such limit.
+const MAX_CONNECTING: usize = 64;
+/// Time limit of one part.
+const PART_TIMEOUT: Duration = Duration::from_secs(900);
+/// A client that has not connected within this time counts as failed.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after which a client connects again whose connection was refused or reset.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
+/// Names of the parts.
 const PARTS: [&str; 8] =
     ["idle-http", "idle-nbd", "rate-http", "rate-http-880", "rate-nbd", "rate-nbd-880", "list", "restart"];
 
-/// Measures the parts, or one of them, and leaves the tables in a folder.
+/// Measures all parts, or only the one that `only` names, and writes the tables to `out`.
 pub fn run(program: &Path, only: Option<&str>, out: &Path) -> Result<(), SlopesError> {
     if !program.is_file() {
         return Err(SlopesError::NoProgram(program.into()));
@@ -76,64 +85,67 @@
     if let Some(part) = only.filter(|part| !PARTS.contains(part)) {
         return Err(SlopesError::UnknownPart { part: part.to_owned(), parts: PARTS.join(", ") });
     }
-    let folder = tempfile::tempdir().map_err(SlopesError::Folder)?;
-    let bench = Bench { program: program.into(), folder: folder.path().into(), out: out.into() };
+    let directory = tempfile::tempdir().map_err(SlopesError::Directory)?;
+    let experiment =
+        Experiment { program: program.into(), directory: directory.path().into(), out: out.into() };
     for part in PARTS.into_iter().filter(|part| only.is_none_or(|only| only == *part)) {
-        // All that one part started ends with its threads.
+        // Each part has its own runtime, so that everything it started ends with the part.
         let threads = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
         let threads = threads.map_err(SlopesError::Threads)?;
-        let measured = threads.block_on(async { timeout(PART_MOST, bench.measure(part)).await });
+        let measured = threads.block_on(async { timeout(PART_TIMEOUT, experiment.measure(part)).await });
         threads.shutdown_timeout(Duration::from_secs(5));
-        measured.map_err(|_| SlopesError::TooLong { part, seconds: PART_MOST.as_secs() })??;
+        measured.map_err(|_| SlopesError::TooLong { part, seconds: PART_TIMEOUT.as_secs() })??;
     }
     Ok(())
 }
 
-struct Bench {
+/// Paths used by all parts.
+struct Experiment {
     program: PathBuf,
-    folder: PathBuf,
+    directory: PathBuf,
     out: PathBuf,
 }
 
-/// The process that is measured, and its discovery.
-struct Measured {
+/// The process that is measured, and its discovery service.
+struct RunningProgram {
     process: Process,
     discovery: Discovery,
     setup: Setup,
 }
 
-/// What came of requests at a steady rate.
+/// Results of requests at a steady rate.
 #[derive(Default)]
-struct Load {
+struct LoadResult {
     served: usize,
-    refused: usize,
-    /// Seconds, of those served.
-    waits: Vec<f64>,
+    rejected: usize,
+    /// Response times of the served requests, in seconds.
+    latencies: Vec<f64>,
 }
 
-impl Load {
-    /// Answers of either kind.
+impl LoadResult {
+    /// Returns the number of answers, served or rejected, or 1 if there were none.
     fn all(&self) -> f64 {
-        (self.served + self.refused).max(1) as f64
+        (self.served + self.rejected).max(1) as f64
     }
 }
 
-/// The value below which this part of the values lies; 0 of none.
+/// Returns the quantile of the values at `part` (0.0 to 1.0), or 0 if there are no values.
 fn quantile(values: &mut [f64], part: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let place = (values.len() as f64 * part).ceil() as usize;
     values.get(place.saturating_sub(1)).copied().unwrap_or(0.0)
 }
 
-impl Bench {
+impl Experiment {
+    /// Measures one part.
     async fn measure(&self, part: &str) -> Result<(), SlopesError> {
         match part {
             "idle-http" => self.idle(part, Front::Http).await,
             "idle-nbd" => self.idle(part, Front::Nbd).await,
-            "rate-http" => self.rate(part, Front::Http, LISTS[0]).await,
-            "rate-http-880" => self.rate(part, Front::Http, LISTS[3]).await,
-            "rate-nbd" => self.rate(part, Front::Nbd, LISTS[0]).await,
-            "rate-nbd-880" => self.rate(part, Front::Nbd, LISTS[3]).await,
+            "rate-http" => self.rate(part, Front::Http, LIST_SIZES[0]).await,
+            "rate-http-880" => self.rate(part, Front::Http, LIST_SIZES[3]).await,
+            "rate-nbd" => self.rate(part, Front::Nbd, LIST_SIZES[0]).await,
+            "rate-nbd-880" => self.rate(part, Front::Nbd, LIST_SIZES[3]).await,
             "list" => {
                 self.list("list-http", Front::Http).await?;
                 self.list("list-nbd", Front::Nbd).await
@@ -145,59 +157,66 @@
         }
     }
 
+    /// Starts a discovery service and a process, and waits until the process is idle.
     async fn start(
         &self,
         front: Front,
-        boxes: &Boxes,
+        endpoints: &Endpoints,
         sockets: usize,
         memory_mb: u64,
-    ) -> Result<Measured, SlopesError> {
-        // A port that is free now; the process is told its number, for its log may not have room to say it.
+    ) -> Result<RunningProgram, SlopesError> {
+        // The port is chosen here, because the rate limit of the process's log may suppress the line with its
+        // address.
         let free = TcpListener::bind("127.0.0.1:0").await.and_then(|listener| listener.local_addr());
-        let listen = free.map_err(SlopesError::StandIn)?;
-        let (boxes, draining) = (boxes.addresses.clone(), None);
-        let discovery = Discovery::start(&boxes).await.map_err(SlopesError::StandIn)?;
-        let setup = Setup { front, listen, boxes, sockets, memory_mb, draining };
-        let mut process = Process::start(&self.program, &self.folder, &setup, &discovery).await?;
-        // The burst of lines that a start brings is over, and so are its own calls.
+        let listen = free.map_err(SlopesError::Stub)?;
+        let (endpoints, draining) = (endpoints.addresses.clone(), None);
+        let discovery = Discovery::start(&endpoints).await.map_err(SlopesError::Stub)?;
+        let setup = Setup { front, listen, endpoints, sockets, memory_mb, draining };
+        let mut process = Process::start(&self.program, &self.directory, &setup, &discovery).await?;
+        // By then, the log lines and the discovery calls of the start are complete.
         sleep(Duration::from_millis(1_500)).await;
-        process.forget();
-        Ok(Measured { process, discovery, setup })
+        process.discard_log();
+        Ok(RunningProgram { process, discovery, setup })
     }
 
+    /// Measures the cost of idle clients, and how many clients can connect with a limited number of
+    /// descriptors.
     async fn idle(&self, part: &str, front: Front) -> Result<(), SlopesError> {
-        let boxes = Boxes::start(front, LISTS[0]).await.map_err(SlopesError::StandIn)?;
+        let endpoints = Endpoints::start(front, LIST_SIZES[0]).await.map_err(SlopesError::Stub)?;
         let mut table = Table::new(
             part,
             "clients run open descriptors resident_bytes accepts_per_s core_us_per_accept \
                 core_us_per_s busy_p50_ms busy_p99_ms",
         );
-        for (count, run) in IDLE.into_iter().flat_map(|count| (0..RUNS).map(move |run| (count, run))) {
-            let Measured { process, .. } = self.start(front, &boxes, ROOMY, 0).await?;
-            let mut busy =
-                Client::connect(front, process.address, 0, LISTS[0]).await.map_err(SlopesError::StandIn)?;
-            drive(vec![&mut busy], 50.0, Duration::from_secs(1)).await?;
-            let (held, before) = (process.resident()?, process.spent()?);
-            let begun = Instant::now();
-            let clients = crowd(front, process.address, count, CONNECTING, Duration::ZERO).await;
-            let took = begun.elapsed().as_secs_f64();
-            let came = process.spent()?;
+        for (count, run) in
+            IDLE_CLIENT_COUNTS.into_iter().flat_map(|count| (0..RUNS_PER_POINT).map(move |run| (count, run)))
+        {
+            let RunningProgram { process, .. } = self.start(front, &endpoints, AMPLE_DESCRIPTORS, 0).await?;
+            let mut active_client =
+                Client::connect(front, process.address, 0, LIST_SIZES[0]).await.map_err(SlopesError::Stub)?;
+            run_load(vec![&mut active_client], 50.0, Duration::from_secs(1)).await?;
+            let (resident_before, before) = (process.resident_bytes()?, process.cpu_seconds()?);
+            let started = Instant::now();
+            let clients =
+                connect_clients(front, process.address, count, MAX_CONNECTING, Duration::ZERO).await;
+            let took = started.elapsed().as_secs_f64();
+            let cpu_after_connect = process.cpu_seconds()?;
             let quiet = Duration::from_secs(4);
             sleep(quiet).await;
-            let rested = process.spent()? - came;
-            let mut load = drive(vec![&mut busy], 100.0, Duration::from_secs(5)).await?;
-            let open = clients.iter().filter(|client| !client.is_over()).count();
+            let idle_cpu = process.cpu_seconds()? - cpu_after_connect;
+            let mut load = run_load(vec![&mut active_client], 100.0, Duration::from_secs(5)).await?;
+            let open = clients.iter().filter(|client| !client.is_closed()).count();
             table.row(&[
                 count as f64,
                 run as f64,
                 open as f64,
-                process.descriptors()? as f64,
-                process.resident()? - held,
+                process.open_descriptors()? as f64,
+                process.resident_bytes()? - resident_before,
                 clients.len() as f64 / took,
-                (came - before) * 1e6 / count as f64,
-                rested * 1e6 / quiet.as_secs_f64(),
-                quantile(&mut load.waits, 0.5) * 1e3,
-                quantile(&mut load.waits, 0.99) * 1e3,
+                (cpu_after_connect - before) * 1e6 / count as f64,
+                idle_cpu * 1e6 / quiet.as_secs_f64(),
+                quantile(&mut load.latencies, 0.5) * 1e3,
+                quantile(&mut load.latencies, 0.99) * 1e3,
             ]);
             drop(clients);
             process.kill().await?;
@@ -206,38 +225,49 @@
         table.write(&self.out)?;
         let mut table =
             Table::new(&format!("{part}-granted"), "sockets memory_mb clients came open_after_5_s");
-        for sockets in GRANTS {
-            let Measured { process, .. } = self.start(front, &boxes, sockets, EXAMPLE_MB).await?;
-            let clients = crowd(front, process.address, 7_400, 7_400, GRANTED_COME).await;
+        for sockets in DESCRIPTOR_LIMITS {
+            let RunningProgram { process, .. } =
+                self.start(front, &endpoints, sockets, EXAMPLE_MEMORY_MB).await?;
+            let clients = connect_clients(front, process.address, 7_400, 7_400, LIMITED_CONNECT_SPAN).await;
             sleep(Duration::from_secs(5)).await;
-            let open = clients.iter().filter(|client| !client.is_over()).count();
-            table.row(&[sockets as f64, EXAMPLE_MB as f64, 7_400.0, clients.len() as f64, open as f64]);
+            let open = clients.iter().filter(|client| !client.is_closed()).count();
+            table.row(&[
+                sockets as f64,
+                EXAMPLE_MEMORY_MB as f64,
+                7_400.0,
+                clients.len() as f64,
+                open as f64,
+            ]);
             drop(clients);
             process.kill().await?;
         }
         table.write(&self.out)
     }
 
+    /// Measures the cost of requests by their rate, with `count` endpoints in the list.
     async fn rate(&self, part: &str, front: Front, count: usize) -> Result<(), SlopesError> {
-        let boxes = Boxes::start(front, count).await.map_err(SlopesError::StandIn)?;
+        let endpoints = Endpoints::start(front, count).await.map_err(SlopesError::Stub)?;
         let mut table = Table::new(
             part,
             "rate run served refused core_us_per_s core_us_per_request p50_ms p99_ms \
                 resident_bytes",
         );
-        for (rate, run) in RATES.into_iter().flat_map(|rate| (0..RUNS).map(move |run| (rate, run))) {
-            let Measured { process, .. } = self.start(front, &boxes, ROOMY, 0).await?;
-            let (mut load, spent) = loaded(&process, front, count, rate, Duration::from_secs(8)).await?;
+        for (rate, run) in
+            REQUEST_RATES.into_iter().flat_map(|rate| (0..RUNS_PER_POINT).map(move |run| (rate, run)))
+        {
+            let RunningProgram { process, .. } = self.start(front, &endpoints, AMPLE_DESCRIPTORS, 0).await?;
+            let (mut load, cpu_seconds) =
+                measure_load(&process, front, count, rate, Duration::from_secs(8)).await?;
             table.row(&[
                 rate as f64,
                 run as f64,
                 load.served as f64,
-                load.refused as f64,
-                spent * 1e6 / 8.0,
-                spent * 1e6 / load.all(),
-                quantile(&mut load.waits, 0.5) * 1e3,
-                quantile(&mut load.waits, 0.99) * 1e3,
-                process.resident()?,
+                load.rejected as f64,
+                cpu_seconds * 1e6 / 8.0,
+                cpu_seconds * 1e6 / load.all(),
+                quantile(&mut load.latencies, 0.5) * 1e3,
+                quantile(&mut load.latencies, 0.99) * 1e3,
+                process.resident_bytes()?,
             ]);
             process.kill().await?;
         }
@@ -245,7 +275,8 @@
         table.write(&self.out)
     }
 
-    /// What the number of boxes costs. Over NBD news of the list is a new file, and nothing else.
+    /// Measures the cost of the endpoint list by its size. With the NBD front, the list changes only by a
+    /// reload of the configuration file.
     async fn list(&self, part: &str, front: Front) -> Result<(), SlopesError> {
         let mut table = Table::new(
             part,
@@ -253,22 +284,32 @@
              whole_list_core_us change_bytes change_ms change_core_us resident_busy_bytes descriptors_busy \
              core_us_per_request p50_ms p99_ms",
         );
-        for (count, run) in LISTS.into_iter().flat_map(|count| (0..RUNS).map(move |run| (count, run))) {
-            let boxes = Boxes::start(front, count).await.map_err(SlopesError::StandIn)?;
-            let Measured { mut process, discovery, setup } = self.start(front, &boxes, ROOMY, 0).await?;
-            let ready = process.resident()?;
-            let mut row = vec![count as f64, run as f64, ready, setup.text(discovery.address)?.len() as f64];
-            row.extend(hang_ups(&mut process, &setup, &discovery).await?);
-            for whole in [true, false] {
+        for (count, run) in
+            LIST_SIZES.into_iter().flat_map(|count| (0..RUNS_PER_POINT).map(move |run| (count, run)))
+        {
+            let endpoints = Endpoints::start(front, count).await.map_err(SlopesError::Stub)?;
+            let RunningProgram { mut process, discovery, setup } =
+                self.start(front, &endpoints, AMPLE_DESCRIPTORS, 0).await?;
+            let ready = process.resident_bytes()?;
+            let mut row =
+                vec![count as f64, run as f64, ready, setup.config_text(discovery.address)?.len() as f64];
+            row.extend(measure_reloads(&mut process, &setup, &discovery).await?);
+            for full in [true, false] {
                 row.extend(match front {
-                    Front::Http => news(&mut process, &discovery, whole).await?,
+                    Front::Http => measure_list_changes(&mut process, &discovery, full).await?,
                     Front::Nbd => [f64::NAN; 3],
                 });
             }
-            // The requests come last, so that no connection to a box ends while news is measured.
-            let (mut load, spent) = loaded(&process, front, count, 350, Duration::from_secs(6)).await?;
-            row.extend([process.resident()?, process.descriptors()? as f64, spent * 1e6 / load.all()]);
-            row.extend([quantile(&mut load.waits, 0.5) * 1e3, quantile(&mut load.waits, 0.99) * 1e3]);
+            // Requests are measured last, so that no connection to an endpoint is closed while list changes
+            // are measured.
+            let (mut load, cpu_seconds) =
+                measure_load(&process, front, count, 350, Duration::from_secs(6)).await?;
+            row.extend([
+                process.resident_bytes()?,
+                process.open_descriptors()? as f64,
+                cpu_seconds * 1e6 / load.all(),
+            ]);
+            row.extend([quantile(&mut load.latencies, 0.5) * 1e3, quantile(&mut load.latencies, 0.99) * 1e3]);
             table.row(&row);
             process.kill().await?;
         }
@@ -281,39 +322,43 @@
         table.write(&self.out)
     }
 
-    /// A process with clients is killed, and its successor on the same address gets all of them back, either
-    /// at one instant or over one second.
+    /// Measures a restart: a process with clients is killed, and all clients reconnect to its successor at
+    /// the same address, either at once or over one second.
     async fn restart(&self, part: &str, front: Front) -> Result<(), SlopesError> {
-        let count = LISTS[LISTS.len() - 1];
-        let boxes = Boxes::start(front, count).await.map_err(SlopesError::StandIn)?;
+        let count = LIST_SIZES[LIST_SIZES.len() - 1];
+        let endpoints = Endpoints::start(front, count).await.map_err(SlopesError::Stub)?;
         let columns = "clients run spread_ms ready_ms discovery_calls discovery_bytes box_connections back \
                        back_p50_s back_p99_s back_all_s core_us_per_client resident_bytes";
         let mut tables =
             [0, 1_000].map(|spread| (spread, Table::new(&format!("{part}-{spread}ms"), columns)));
-        let points = BACK.into_iter().flat_map(|clients| (0..RUNS).map(move |run| (clients, run)));
+        let points = RETURNING_CLIENT_COUNTS
+            .into_iter()
+            .flat_map(|clients| (0..RUNS_PER_POINT).map(move |run| (clients, run)));
         for (clients, run) in points {
             for (spread, table) in &mut tables {
-                let Measured { process, discovery, setup } = self.start(front, &boxes, ROOMY, 0).await?;
-                let there = crowd(front, process.address, clients, CONNECTING, Duration::ZERO).await;
+                let RunningProgram { process, discovery, setup } =
+                    self.start(front, &endpoints, AMPLE_DESCRIPTORS, 0).await?;
+                let connected =
+                    connect_clients(front, process.address, clients, MAX_CONNECTING, Duration::ZERO).await;
                 process.kill().await?;
-                drop(there);
-                let (calls, bytes) = discovery.cost();
-                let used = boxes.connections.load(Relaxed);
-                let process = Process::start(&self.program, &self.folder, &setup, &discovery).await?;
-                let (spent, ready) = (process.spent()?, Instant::now());
-                let (to, pace) = (process.address, Duration::from_millis(*spread) / clients as u32);
-                let mut coming = JoinSet::new();
+                drop(connected);
+                let (calls, bytes) = discovery.traffic();
+                let earlier_connections = endpoints.connections.load(Relaxed);
+                let process = Process::start(&self.program, &self.directory, &setup, &discovery).await?;
+                let (cpu_seconds, ready) = (process.cpu_seconds()?, Instant::now());
+                let (to, interval) = (process.address, Duration::from_millis(*spread) / clients as u32);
+                let mut connecting = JoinSet::new();
                 for number in 0..clients {
-                    coming.spawn(async move {
-                        sleep_until((ready + pace * number as u32).into()).await;
-                        let client = come(front, to, number, count).await?;
+                    connecting.spawn(async move {
+                        sleep_until((ready + interval * number as u32).into()).await;
+                        let client = connect_with_retry(front, to, number, count).await?;
                         Some((ready.elapsed().as_secs_f64(), client))
                     });
                 }
-                let back: Vec<(f64, Client)> = coming.join_all().await.into_iter().flatten().collect();
-                let core = process.spent()? - spent;
-                let mut waits: Vec<f64> = back.iter().map(|(wait, _)| *wait).collect();
-                let asked = discovery.cost();
+                let back: Vec<(f64, Client)> = connecting.join_all().await.into_iter().flatten().collect();
+                let core = process.cpu_seconds()? - cpu_seconds;
+                let mut latencies: Vec<f64> = back.iter().map(|(wait, _)| *wait).collect();
+                let asked = discovery.traffic();
                 table.row(&[
                     clients as f64,
                     run as f64,
@@ -321,13 +366,13 @@
                     process.ready_after.as_secs_f64() * 1e3,
                     (asked.0 - calls) as f64,
                     (asked.1 - bytes) as f64,
-                    (boxes.connections.load(Relaxed) - used) as f64,
+                    (endpoints.connections.load(Relaxed) - earlier_connections) as f64,
                     back.len() as f64,
-                    quantile(&mut waits, 0.5),
-                    quantile(&mut waits, 0.99),
-                    quantile(&mut waits, 1.0),
+                    quantile(&mut latencies, 0.5),
+                    quantile(&mut latencies, 0.99),
+                    quantile(&mut latencies, 1.0),
                     core * 1e6 / clients as f64,
-                    process.resident()?,
+                    process.resident_bytes()?,
                 ]);
                 drop(back);
                 process.kill().await?;
@@ -341,43 +386,52 @@
     }
 }
 
-/// One client, which comes again until it is there; `None`: it was not in time.
-async fn come(front: Front, to: SocketAddr, number: usize, shards: usize) -> Option<Client> {
-    let came = async {
+/// Connects a client, repeatedly if necessary. Returns `None` if it has not connected within
+/// [`CONNECT_TIMEOUT`].
+async fn connect_with_retry(front: Front, to: SocketAddr, number: usize, shards: usize) -> Option<Client> {
+    let connect = async {
         loop {
             match Client::connect(front, to, number, shards).await {
                 Ok(client) => return client,
-                Err(_) => sleep(COMES_AGAIN).await,
+                Err(_) => sleep(CONNECT_RETRY_DELAY).await,
             }
         }
     };
-    timeout(COMES_WITHIN, came).await.ok()
+    timeout(CONNECT_TIMEOUT, connect).await.ok()
 }
 
-/// So many clients, evenly over a span and no more than `at_once` of them on the way at a time; those that came.
-async fn crowd(front: Front, to: SocketAddr, count: usize, at_once: usize, over: Duration) -> Vec<Client> {
-    let (mut coming, mut came) = (JoinSet::new(), Vec::with_capacity(count));
-    let (begun, pace) = (Instant::now(), over / count as u32);
+/// Connects `count` clients, evenly over a span and at most `at_once` at the same time. Returns those that
+/// connected.
+async fn connect_clients(
+    front: Front,
+    to: SocketAddr,
+    count: usize,
+    at_once: usize,
+    over: Duration,
+) -> Vec<Client> {
+    let (mut connecting, mut connected) = (JoinSet::new(), Vec::with_capacity(count));
+    let (started, interval) = (Instant::now(), over / count as u32);
     for number in 0..count {
-        if coming.len() >= at_once {
-            came.extend(coming.join_next().await.and_then(Result::ok).flatten());
+        if connecting.len() >= at_once {
+            connected.extend(connecting.join_next().await.and_then(Result::ok).flatten());
         }
-        coming.spawn(async move {
-            sleep_until((begun + pace * number as u32).into()).await;
-            come(front, to, number, LISTS[0]).await
+        connecting.spawn(async move {
+            sleep_until((started + interval * number as u32).into()).await;
+            connect_with_retry(front, to, number, LIST_SIZES[0]).await
         });
     }
-    came.extend(coming.join_all().await.into_iter().flatten());
-    came
+    connected.extend(connecting.join_all().await.into_iter().flatten());
+    connected
 }
 
-/// Requests at a steady rate for a span, spread evenly over the clients. One that is late because its client
-/// still waited for the one before counts from when it was due.
-async fn drive(clients: Vec<&mut Client>, rate: f64, span: Duration) -> Result<Load, SlopesError> {
+/// Sends requests at a steady rate for a span, distributed evenly over the clients. The response time of a
+/// request that was delayed because its client still waited for the previous answer is counted from when it
+/// was due.
+async fn run_load(clients: Vec<&mut Client>, rate: f64, span: Duration) -> Result<LoadResult, SlopesError> {
     let start = Instant::now();
     let all = clients.len();
     let each = clients.into_iter().enumerate().map(|(place, client)| async move {
-        let mut load = Load::default();
+        let mut load = LoadResult::default();
         for number in (place..).step_by(all) {
             let due = Duration::from_secs_f64(number as f64 / rate);
             if due >= span {
@@ -386,84 +440,90 @@
             let (due, now) = (start + due, Instant::now());
             sleep_until(due.into()).await;
             let from = if now > due { due } else { Instant::now() };
-            match client.ask(number).await.map_err(SlopesError::StandIn)? {
-                true => load.waits.push(from.elapsed().as_secs_f64()),
-                false => load.refused += 1,
+            match client.send_read(number).await.map_err(SlopesError::Stub)? {
+                true => load.latencies.push(from.elapsed().as_secs_f64()),
+                false => load.rejected += 1,
             }
         }
-        load.served = load.waits.len();
-        Ok::<Load, SlopesError>(load)
+        load.served = load.latencies.len();
+        Ok::<LoadResult, SlopesError>(load)
     });
-    let mut sum = Load::default();
+    let mut sum = LoadResult::default();
     for load in futures_util::future::try_join_all(each).await? {
         sum.served += load.served;
-        sum.refused += load.refused;
-        sum.waits.extend(load.waits);
+        sum.rejected += load.rejected;
+        sum.latencies.extend(load.latencies);
     }
     Ok(sum)
 }
 
-/// The same by fresh clients, once two seconds of it have warmed the process up; and its processor time.
-async fn loaded(
+/// Measures requests of new clients at a steady rate, after two seconds of the same load as a warm-up.
+/// Returns the results and the processor time in seconds.
+async fn measure_load(
     process: &Process,
     front: Front,
     shards: usize,
     rate: usize,
     span: Duration,
-) -> Result<(Load, f64), SlopesError> {
+) -> Result<(LoadResult, f64), SlopesError> {
     let mut clients = Vec::new();
-    for number in 0..ASKING {
-        clients.push(
-            Client::connect(front, process.address, number, shards).await.map_err(SlopesError::StandIn)?,
-        );
+    for number in 0..REQUESTING_CLIENTS {
+        clients
+            .push(Client::connect(front, process.address, number, shards).await.map_err(SlopesError::Stub)?);
     }
-    drive(clients.iter_mut().collect(), rate as f64, Duration::from_secs(2)).await?;
-    let before = process.spent()?;
-    let load = drive(clients.iter_mut().collect(), rate as f64, span).await?;
-    Ok((load, process.spent()? - before))
+    run_load(clients.iter_mut().collect(), rate as f64, Duration::from_secs(2)).await?;
+    let before = process.cpu_seconds()?;
+    let load = run_load(clients.iter_mut().collect(), rate as f64, span).await?;
+    Ok((load, process.cpu_seconds()? - before))
 }
 
-/// News of the list, told one after another: the bytes of one, the median of the milliseconds until the log
-/// says that it counts, and the mean of the processor time in microseconds.
-async fn news(process: &mut Process, discovery: &Discovery, whole: bool) -> Result<[f64; 3], SlopesError> {
-    let (mut bytes, mut waits, mut core) = (0, Vec::new(), 0.0);
-    for n in 0..NEWS {
-        let (shard, before) = (n / 2, process.spent()?);
+/// Measures list changes from discovery, one after another. Returns the bytes of one, the median time in
+/// milliseconds until the process logs the change, and the mean processor time in microseconds.
+async fn measure_list_changes(
+    process: &mut Process,
+    discovery: &Discovery,
+    full: bool,
+) -> Result<[f64; 3], SlopesError> {
+    let (mut bytes, mut latencies, mut core) = (0, Vec::new(), 0.0);
+    for n in 0..LIST_CHANGES {
+        let (shard, before) = (n / 2, process.cpu_seconds()?);
         let at = Instant::now();
-        bytes = discovery.tell(shard, n % 2 == 0, whole);
-        let (seen, _) = process.says(&format!("endpoint listed id=\"s-{shard:08x}\"")).await?;
-        waits.push((seen - at).as_secs_f64());
-        sleep(SETTLED).await;
-        core += process.spent()? - before;
-        if whole {
-            sleep(REST).await;
-            process.forget();
+        bytes = discovery.publish(shard, n % 2 == 0, full);
+        let (seen, _) = process.wait_for_line(&format!("endpoint listed id=\"s-{shard:08x}\"")).await?;
+        latencies.push((seen - at).as_secs_f64());
+        sleep(SETTLE_TIME).await;
+        core += process.cpu_seconds()? - before;
+        if full {
+            sleep(LOG_RECOVERY_TIME).await;
+            process.discard_log();
         }
     }
-    Ok([bytes as f64, quantile(&mut waits, 0.5) * 1e3, core * 1e6 / NEWS as f64])
+    Ok([bytes as f64, quantile(&mut latencies, 0.5) * 1e3, core * 1e6 / LIST_CHANGES as f64])
 }
 
-/// SIGHUP with a new file each time: the same of it, without the bytes.
-async fn hang_ups(
+/// Measures reloads of changed configuration files on SIGHUP. Returns the median time in milliseconds until
+/// the process logs the reload, and the mean processor time in microseconds.
+async fn measure_reloads(
     process: &mut Process,
     setup: &Setup,
     discovery: &Discovery,
 ) -> Result<[f64; 2], SlopesError> {
     let until =
         if setup.front == Front::Http { "configuration was reloaded" } else { "endpoint listed id=\"s-" };
-    let (mut waits, mut core) = (Vec::new(), 0.0);
-    for n in 0..NEWS {
-        let text = Setup { draining: (n % 2 == 0).then_some(0), ..setup.clone() }.text(discovery.address)?;
-        let before = process.spent()?;
-        let at = process.hang_up(&text)?;
-        let (seen, _) = process.says(until).await?;
-        waits.push((seen - at).as_secs_f64());
-        sleep(SETTLED).await;
-        core += process.spent()? - before;
+    let (mut latencies, mut core) = (Vec::new(), 0.0);
+    for n in 0..LIST_CHANGES {
+        let text =
+            Setup { draining: (n % 2 == 0).then_some(0), ..setup.clone() }.config_text(discovery.address)?;
+        let before = process.cpu_seconds()?;
+        let at = process.reload(&text)?;
+        let (seen, _) = process.wait_for_line(until).await?;
+        latencies.push((seen - at).as_secs_f64());
+        sleep(SETTLE_TIME).await;
+        core += process.cpu_seconds()? - before;
         if setup.front == Front::Nbd {
-            sleep(REST).await;
-            process.forget();
+            sleep(LOG_RECOVERY_TIME).await;
+            process.discard_log();
         }
     }
-    Ok([quantile(&mut waits, 0.5) * 1e3, core * 1e6 / NEWS as f64])
+    Ok([quantile(&mut latencies, 0.5) * 1e3, core * 1e6 / LIST_CHANGES as f64])
 }
--- a/crates/lab/src/slopes/discovery.rs
+++ b/crates/lab/src/slopes/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery as the platform has it, over HTTP: what a watch of the endpoint list costs, and when a change goes out.
+//! A stub of the platform's discovery service, which counts the traffic of its watches and publishes list
+//! changes on request.
 
 use crate::stand_ins::{http, listen, Stream};
 use std::io;
@@ -9,16 +10,18 @@
 use tokio::io::AsyncWriteExt;
 use tokio::sync::broadcast;
 
-/// While nothing changes an empty line goes to each watch so often.
-const EMPTY_LINE: Duration = Duration::from_secs(2);
+/// Time after which an empty line is sent on a watch without changes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-struct Listed {
+/// The endpoint list.
+struct ListState {
     revision: u64,
     addresses: Vec<SocketAddr>,
     draining: Option<usize>,
 }
 
-impl Listed {
+impl ListState {
+    /// Encodes the entry of a shard's endpoint.
     fn entry(&self, shard: usize) -> String {
         let phase = if self.draining == Some(shard) { "draining" } else { "up" };
         let at = self.addresses[shard];
@@ -27,83 +30,88 @@
             + &format!(r#""phase":"{phase}","size":1.0,"up_since_ms":0}}"#)
     }
 
-    fn object(&self, shards: impl Iterator<Item = usize>, whole: bool) -> String {
+    /// Encodes a message of a watch with the entries of some shards.
+    fn encode_message(&self, shards: impl Iterator<Item = usize>, full: bool) -> String {
         let entries: Vec<String> = shards.map(|shard| self.entry(shard)).collect();
         let (revision, entries) = (self.revision, entries.join(","));
-        format!("{{\"revision\":{revision},\"complete\":{whole},\"members\":[{entries}]}}\n")
+        format!("{{\"revision\":{revision},\"complete\":{full},\"members\":[{entries}]}}\n")
     }
 
-    fn whole(&self) -> String {
-        self.object(0..self.addresses.len(), true)
+    /// Encodes a message with the full list.
+    fn full_list(&self) -> String {
+        self.encode_message(0..self.addresses.len(), true)
     }
 }
 
-struct Kept {
-    list: Mutex<Listed>,
-    news: broadcast::Sender<String>,
+/// State shared by all watches.
+struct State {
+    list: Mutex<ListState>,
+    changes: broadcast::Sender<String>,
     calls: AtomicU64,
     bytes: AtomicU64,
 }
 
-/// Discovery as the platform has it: a watch brings the whole list first, and then what changes.
+/// The discovery service. A watch first sends the full list and then its changes.
 pub struct Discovery {
-    /// Where it answers.
+    /// Address of the service.
     pub address: SocketAddr,
-    kept: Arc<Kept>,
+    state: Arc<State>,
 }
 
 impl Discovery {
-    /// Lists these boxes, all of them up.
+    /// Starts the service with a list of these endpoints, all of them up.
     pub async fn start(addresses: &[SocketAddr]) -> io::Result<Self> {
-        let list = Listed { revision: 2, addresses: addresses.to_vec(), draining: None };
-        let (news, _) = broadcast::channel(64);
-        let kept = Arc::new(Kept { list: Mutex::new(list), news, calls: 0.into(), bytes: 0.into() });
-        let served = kept.clone();
-        let address = listen(move |stream| watched(stream, served.clone())).await?;
-        Ok(Discovery { address, kept })
+        let list = ListState { revision: 2, addresses: addresses.to_vec(), draining: None };
+        let (changes, _) = broadcast::channel(64);
+        let state = Arc::new(State { list: Mutex::new(list), changes, calls: 0.into(), bytes: 0.into() });
+        let served = state.clone();
+        let address = listen(move |stream| serve_watch(stream, served.clone())).await?;
+        Ok(Discovery { address, state })
     }
 
-    /// Calls so far, and the bytes of both ways without the headers of TCP.
-    pub fn cost(&self) -> (u64, u64) {
-        (self.kept.calls.load(Relaxed), self.kept.bytes.load(Relaxed))
+    /// Returns the number of calls so far and their bytes in both directions, without TCP headers.
+    pub fn traffic(&self) -> (u64, u64) {
+        (self.state.calls.load(Relaxed), self.state.bytes.load(Relaxed))
     }
 
-    /// One box drains or is up again, told as one change or with the whole list; how many bytes the news has.
-    pub fn tell(&self, shard: usize, draining: bool, whole: bool) -> usize {
+    /// Publishes that an endpoint drains or is up again, as a single change or as a full list. Returns the
+    /// bytes of the message.
+    pub fn publish(&self, shard: usize, draining: bool, full: bool) -> usize {
         let mut list = self.list();
         list.revision += 1;
         list.draining = draining.then_some(shard);
-        let news = if whole { list.whole() } else { list.object(shard..shard + 1, false) };
-        let bytes = news.len();
-        // With nobody on the watch there is nobody to tell.
-        let _ = self.kept.news.send(news);
+        let changes = if full { list.full_list() } else { list.encode_message(shard..shard + 1, false) };
+        let bytes = changes.len();
+        // An error means that there is no watch to send the change to.
+        let _ = self.state.changes.send(changes);
         bytes
     }
 
-    fn list(&self) -> std::sync::MutexGuard<'_, Listed> {
-        self.kept.list.lock().unwrap_or_else(PoisonError::into_inner)
+    fn list(&self) -> std::sync::MutexGuard<'_, ListState> {
+        self.state.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-async fn watched(mut s: Stream, kept: Arc<Kept>) -> io::Result<()> {
+/// Serves a watch until the connection is closed.
+async fn serve_watch(mut s: Stream, state: Arc<State>) -> io::Result<()> {
     let asked: usize = http::read_head(&mut s).await?.iter().map(String::len).sum();
-    kept.calls.fetch_add(1, Relaxed);
-    kept.bytes.fetch_add(asked as u64 + 2, Relaxed);
-    let mut news = kept.news.subscribe();
-    let first = kept.list.lock().unwrap_or_else(PoisonError::into_inner).whole();
+    state.calls.fetch_add(1, Relaxed);
+    state.bytes.fetch_add(asked as u64 + 2, Relaxed);
+    let mut changes = state.changes.subscribe();
+    let first = state.list.lock().unwrap_or_else(PoisonError::into_inner).full_list();
     let mut next = Some(first);
     let mut out = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned();
     loop {
         let text = match next.take() {
             Some(text) => text,
-            None => match tokio::time::timeout(EMPTY_LINE, news.recv()).await {
+            None => match tokio::time::timeout(KEEPALIVE_INTERVAL, changes.recv()).await {
                 Err(_) => "\n".into(),
                 Ok(Ok(text)) => text,
                 Ok(Err(_)) => return Ok(()),
             },
         };
         out += &format!("{:x}\r\n{text}\r\n", text.len());
-        kept.bytes.fetch_add(out.len() as u64, Relaxed);
+        state.bytes.fetch_add(out.len() as u64, Relaxed);
         s.write_all(out.as_bytes()).await?;
         out.clear();
     }
--- a/crates/lab/src/slopes/endpoints.rs
+++ b/crates/lab/src/slopes/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints that answer at once, one for each shard, over HTTP or NBD.
+//! Stub endpoints that answer immediately, one for each shard, over HTTP or NBD.
 
 use super::Front;
 use crate::stand_ins::{http, invalid, listen, nbd, Stream};
@@ -10,20 +10,20 @@
 use tokio::io::AsyncWriteExt;
 
 /// Bytes of a shard.
-pub const SHARD: u64 = 65_536;
+pub const SHARD_BYTES: u64 = 65_536;
 /// Bytes of each read.
-pub const READ: u32 = 4096;
+pub const READ_BYTES: u32 = 4096;
 
-/// Endpoints that answer at once, one for each shard.
-pub struct Boxes {
-    /// By shard.
+/// Stub endpoints, one for each shard.
+pub struct Endpoints {
+    /// Addresses by shard.
     pub addresses: Vec<SocketAddr>,
-    /// Connections that ever came, of all endpoints.
+    /// Number of connections accepted so far by all endpoints.
     pub connections: Arc<AtomicU64>,
 }
 
-impl Boxes {
-    /// So many, all of one protocol.
+impl Endpoints {
+    /// Starts `count` endpoints of one protocol.
     pub async fn start(front: Front, count: usize) -> io::Result<Self> {
         let connections = Arc::new(AtomicU64::new(0));
         let mut addresses = Vec::new();
@@ -33,31 +33,34 @@
                 counted.fetch_add(1, Relaxed);
                 async move {
                     match front {
-                        Front::Http => http_box(stream).await,
-                        Front::Nbd => nbd_box(stream).await,
+                        Front::Http => serve_http(stream).await,
+                        Front::Nbd => serve_nbd(stream).await,
                     }
                 }
             };
             addresses.push(listen(each).await?);
         }
-        Ok(Boxes { addresses, connections })
+        Ok(Endpoints { addresses, connections })
     }
 }
 
-async fn http_box(mut s: Stream) -> io::Result<()> {
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {READ}\r\n\r\n{}", "x".repeat(READ as usize));
+/// Answers every HTTP request with a body of [`READ_BYTES`].
+async fn serve_http(mut s: Stream) -> io::Result<()> {
+    let response =
+        format!("HTTP/1.1 200 OK\r\nContent-Length: {READ_BYTES}\r\n\r\n{}", "x".repeat(READ_BYTES as usize));
     while !http::read_head(&mut s).await?.is_empty() {
-        s.write_all(answer.as_bytes()).await?;
+        s.write_all(response.as_bytes()).await?;
     }
     Ok(())
 }
 
-async fn nbd_box(mut s: Stream) -> io::Result<()> {
-    nbd::offer_export(&mut s, SHARD).await?;
+/// Serves NBD reads until another command arrives.
+async fn serve_nbd(mut s: Stream) -> io::Result<()> {
+    nbd::offer_export(&mut s, SHARD_BYTES).await?;
     loop {
         let request = Request::read(&mut s).await?;
         if request.command != cmd::READ {
-            return Err(invalid("only reads are asked of these endpoints"));
+            return Err(invalid("a stub endpoint serves only reads"));
         }
         s.write_all(&nbd::read_reply(&request, b'x')).await?;
     }
--- a/crates/lab/src/slopes/error.rs
+++ b/crates/lab/src/slopes/error.rs
@@ -1,48 +1,49 @@
-//! Why the measuring of one real process ends early.
+//! Errors of the measurement of one real process.
 
 use rustix::io::Errno;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A part that can't be measured. What depends on the machine's load, and may pass when run again, is said so.
+/// An error that prevents the measurement of a part. Variants that depend on the machine's load, so that a
+/// retry may succeed, say so.
 #[derive(Debug, thiserror::Error)]
 pub enum SlopesError {
-    #[error("--program: '{}' is no file", .0.display())]
+    #[error("--program: '{}' is not a file", .0.display())]
     NoProgram(PathBuf),
-    #[error("--only: '{part}' is none of {parts}")]
+    #[error("--only: '{part}' is not one of {parts}")]
     UnknownPart { part: String, parts: String },
-    #[error("no folder for the program's files: {0}")]
-    Folder(io::Error),
-    #[error("no threads: {0}")]
+    #[error("cannot create a directory for the program's files: {0}")]
+    Directory(io::Error),
+    #[error("cannot start the runtime's threads: {0}")]
     Threads(io::Error),
-    /// It may pass when the machine has less to do.
+    /// A retry may succeed when the machine is less loaded.
     #[error("{part} took more than {seconds} s")]
     TooLong { part: &'static str, seconds: u64 },
-    /// An endpoint, discovery or a client.
-    #[error("a stand-in: {0}")]
-    StandIn(io::Error),
+    /// A stub endpoint, the discovery service or a client failed.
+    #[error("a stub endpoint, the discovery service or a client failed: {0}")]
+    Stub(io::Error),
     #[error("{}: {source}", path.display())]
     File { path: PathBuf, source: io::Error },
     #[error("deploy/operator.json: {0}")]
     Example(#[from] serde_json::Error),
-    #[error("the program has no standard error")]
+    #[error("the program's standard error is not available")]
     NoLog,
-    #[error("the program ended at once")]
+    #[error("the program exited immediately")]
     EndedAtOnce,
-    /// With the last line of its log.
+    /// Holds the last line of the program's log.
     #[error("the program does not listen at {address}: {last}")]
     NotListening { address: SocketAddr, last: String },
-    /// It may pass when the machine has less to do.
-    #[error("the program did not say '{what}'; the last it said: {last}")]
+    /// A retry may succeed when the machine is less loaded.
+    #[error("the program did not log '{what}'; its last line: {last}")]
     LineMissing { what: String, last: String },
-    #[error("SIGHUP: {0}")]
+    #[error("cannot send SIGHUP: {0}")]
     Signal(Errno),
-    #[error("the program can't be ended: {0}")]
+    #[error("cannot kill the program: {0}")]
     Kill(io::Error),
-    #[error("statm has no second field")]
+    #[error("/proc/PID/statm has no second field")]
     Statm,
-    #[error("schedstat: {0}")]
+    #[error("cannot read schedstat: {0}")]
     Schedstat(io::Error),
     #[error("schedstat is empty")]
     SchedstatEmpty,
@@ -51,7 +52,7 @@
 }
 
 impl SlopesError {
-    /// What to make of an error at that file.
+    /// Returns a function that turns an I/O error at this path into a [`SlopesError`].
     pub fn file(path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> Self {
         let path = path.into();
         |source| SlopesError::File { path, source }
--- a/crates/lab/src/slopes/process.rs
+++ b/crates/lab/src/slopes/process.rs
@@ -1,8 +1,8 @@
-//! One real process of the program: its files, its start and its end, and what the system says of it.
+//! Starts, configures and ends one real process of the program, and reads its resource usage from `/proc`.
 
 use super::client::EXPORTS;
 use super::discovery::Discovery;
-use super::endpoints::SHARD;
+use super::endpoints::SHARD_BYTES;
 use super::error::SlopesError;
 use super::Front;
 use rustix::process::{kill_process, Pid, Signal};
@@ -17,32 +17,35 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// Nothing that is waited for here takes longer.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// A new process is asked so often whether it listens.
-const POLL: Duration = Duration::from_millis(1);
-/// The operator's file of the deployment's example; its scheduler's settings count on both fronts.
-const EXAMPLE: &str = include_str!("../../../../deploy/operator.json");
+/// Time limit for the process to listen or to log a line.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time between two checks whether a new process listens.
+const LISTEN_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// The example configuration of the deployment, whose scheduler settings are used with both fronts.
+const EXAMPLE_CONFIG: &str = include_str!("../../../../deploy/operator.json");
 
-/// What a process is started with.
+/// Configuration of a process.
 #[derive(Clone)]
 pub struct Setup {
     pub front: Front,
+    /// Address at which clients connect.
     pub listen: SocketAddr,
-    pub boxes: Vec<SocketAddr>,
-    /// Descriptors, and on the platform's front MiB, as the file grants them.
+    /// Addresses of the endpoints by shard.
+    pub endpoints: Vec<SocketAddr>,
+    /// Descriptor limit in the configuration file.
     pub sockets: usize,
+    /// Memory limit in MiB in the configuration file; used with the HTTP front only.
     pub memory_mb: u64,
-    /// The box that drains by the file's own list.
+    /// The shard whose endpoint the configuration file lists as draining.
     pub draining: Option<usize>,
 }
 
 impl Setup {
-    /// The file as the program reads it.
-    pub fn text(&self, discovery: SocketAddr) -> Result<String, SlopesError> {
-        let mut file: Value = serde_json::from_str(EXAMPLE)?;
-        let boxes: Vec<Value> = self
-            .boxes
+    /// Returns the text of the configuration file.
+    pub fn config_text(&self, discovery: SocketAddr) -> Result<String, SlopesError> {
+        let mut file: Value = serde_json::from_str(EXAMPLE_CONFIG)?;
+        let endpoints: Vec<Value> = self
+            .endpoints
             .iter()
             .enumerate()
             .map(|(shard, at)| {
@@ -59,56 +62,56 @@
                 "name": "n1", "listen": self.listen.to_string(), "discovery": discovery.to_string(),
                 "seed": "1",
                 "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": self.sockets},
-                "known": {"revision": 1, "complete": true, "members": boxes}, "settings": settings
+                "known": {"revision": 1, "complete": true, "members": endpoints}, "settings": settings
             });
             return Ok(config.to_string());
         }
-        let extents = self.boxes.len() / EXPORTS;
+        let extents = self.endpoints.len() / EXPORTS;
         let exports: Vec<Value> = (0..EXPORTS)
             .map(|e| {
-                let on = |x| json!({"length": SHARD, "shard": e * extents + x, "at": 0});
+                let on = |x| json!({"length": SHARD_BYTES, "shard": e * extents + x, "at": 0});
                 json!({"name": format!("e{e}"), "team": "t", "plan": "p", "volume": format!("{:x}", e + 1),
                 "hosts": 1,
-                "size": SHARD * extents as u64, "extents": (0..extents).map(on).collect::<Vec<_>>()})
+                "size": SHARD_BYTES * extents as u64, "extents": (0..extents).map(on).collect::<Vec<_>>()})
             })
             .collect();
         file["listen"] = json!(self.listen.to_string());
         file["sockets"] = json!(self.sockets);
         file["teams"] = json!([{"name": "t", "contracts": [{"plan": "p", "reserve": 2000, "weight": 3}]}]);
         file["exports"] = json!(exports);
-        file["boxes"] = json!(boxes);
+        file["boxes"] = json!(endpoints);
         Ok(file.to_string())
     }
 }
 
-/// The process; it ends with this value.
+/// A running process, which is killed when this value is dropped.
 pub struct Process {
     child: Child,
     pid: Pid,
     lines: mpsc::UnboundedReceiver<(Instant, String)>,
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub address: SocketAddr,
-    /// From just before exec to the first connection.
+    /// Time from just before the process was spawned to the first connection.
     pub ready_after: Duration,
     file: PathBuf,
 }
 
 impl Process {
-    /// Starts it, and waits until it listens.
+    /// Starts a process and waits until it listens.
     pub async fn start(
         program: &Path,
-        folder: &Path,
+        directory: &Path,
         setup: &Setup,
         discovery: &Discovery,
     ) -> Result<Self, SlopesError> {
-        let file = folder.join("config.json");
-        write(&file, &setup.text(discovery.address)?)?;
+        let file = directory.join("config.json");
+        write(&file, &setup.config_text(discovery.address)?)?;
         let mut command = Command::new(program);
         for variable in ["NAME", "LISTEN", "DISCOVERY", "CONFIG", "MANAGEMENT", "FD"] {
             command.env_remove(format!("ROUTER_{variable}"));
         }
         let option = if setup.front == Front::Http { "--config" } else { "--operator" };
-        command.arg("serve").arg(option).arg(&file).env("TMPDIR", folder).stdin(Stdio::null());
+        command.arg("serve").arg(option).arg(&file).env("TMPDIR", directory).stdin(Stdio::null());
         let started = Instant::now();
         let mut child = command
             .stdout(Stdio::null())
@@ -129,23 +132,27 @@
         });
         let (address, file) = (setup.listen, file);
         let mut process = Process { child, pid, lines, address, ready_after: Duration::ZERO, file };
-        // Its line that it listens may be cut from the log, among those of a long list.
+        // With a long list, the rate limit of the log may suppress the line with the address; hence the
+        // attempts to connect.
         while TcpStream::connect(address).await.is_err() {
-            if started.elapsed() > PATIENCE || process.child.try_wait().is_ok_and(|ended| ended.is_some()) {
-                let last =
-                    process.says("shaletack: ").await.map_or_else(|why| why.to_string(), |(_, line)| line);
+            if started.elapsed() > WAIT_TIMEOUT || process.child.try_wait().is_ok_and(|ended| ended.is_some())
+            {
+                let last = process
+                    .wait_for_line("shaletack: ")
+                    .await
+                    .map_or_else(|why| why.to_string(), |(_, line)| line);
                 return Err(SlopesError::NotListening { address, last });
             }
-            sleep(POLL).await;
+            sleep(LISTEN_POLL_INTERVAL).await;
         }
         process.ready_after = started.elapsed();
         Ok(process)
     }
 
-    /// Its next line with this in it, and when it came.
-    pub async fn says(&mut self, what: &str) -> Result<(Instant, String), SlopesError> {
+    /// Waits for the next log line that contains `what`, and returns the line and when it was read.
+    pub async fn wait_for_line(&mut self, what: &str) -> Result<(Instant, String), SlopesError> {
         let mut last = String::new();
-        let found = tokio::time::timeout(PATIENCE, async {
+        let found = tokio::time::timeout(WAIT_TIMEOUT, async {
             while let Some((at, line)) = self.lines.recv().await {
                 if line.contains(what) {
                     return Some((at, line));
@@ -158,33 +165,33 @@
         found.ok_or_else(|| SlopesError::LineMissing { what: what.to_owned(), last })
     }
 
-    /// Forgets what it has said so far.
-    pub fn forget(&mut self) {
+    /// Discards the log lines that were read so far.
+    pub fn discard_log(&mut self) {
         while self.lines.try_recv().is_ok() {}
     }
 
-    /// Gives it another file and tells it to read that; when it was told.
-    pub fn hang_up(&self, text: &str) -> Result<Instant, SlopesError> {
+    /// Replaces the configuration file, sends SIGHUP and returns when it was sent.
+    pub fn reload(&self, text: &str) -> Result<Instant, SlopesError> {
         write(&self.file, text)?;
         let at = Instant::now();
         kill_process(self.pid, Signal::HUP).map_err(SlopesError::Signal)?;
         Ok(at)
     }
 
-    /// Ends it as a crash would.
+    /// Kills the process without a chance to shut down.
     pub async fn kill(mut self) -> Result<(), SlopesError> {
         self.child.kill().await.map_err(SlopesError::Kill)
     }
 
-    /// Resident bytes.
-    pub fn resident(&self) -> Result<f64, SlopesError> {
+    /// Returns the resident memory in bytes.
+    pub fn resident_bytes(&self) -> Result<f64, SlopesError> {
         let text = self.read("statm")?;
         let pages: f64 = text.split(' ').nth(1).and_then(|n| n.parse().ok()).ok_or(SlopesError::Statm)?;
         Ok(pages * rustix::param::page_size() as f64)
     }
 
-    /// Processor time of all its threads so far, user and system, in seconds.
-    pub fn spent(&self) -> Result<f64, SlopesError> {
+    /// Returns the processor time of all threads so far, user and system, in seconds.
+    pub fn cpu_seconds(&self) -> Result<f64, SlopesError> {
         let mut nanos = 0.0;
         for task in list(&self.path("task"))? {
             let text = std::fs::read_to_string(task.join("schedstat")).map_err(SlopesError::Schedstat)?;
@@ -197,8 +204,8 @@
         Ok(nanos / 1e9)
     }
 
-    /// Descriptors that it holds.
-    pub fn descriptors(&self) -> Result<usize, SlopesError> {
+    /// Returns the number of open descriptors.
+    pub fn open_descriptors(&self) -> Result<usize, SlopesError> {
         list(&self.path("fd")).map(|all| all.len())
     }
 
@@ -212,9 +219,12 @@
     }
 }
 
-fn list(folder: &Path) -> Result<Vec<PathBuf>, SlopesError> {
-    let failed = |source| SlopesError::File { path: folder.into(), source };
-    std::fs::read_dir(folder).map_err(failed)?.map(|entry| entry.map(|e| e.path()).map_err(failed)).collect()
+fn list(directory: &Path) -> Result<Vec<PathBuf>, SlopesError> {
+    let failed = |source| SlopesError::File { path: directory.into(), source };
+    std::fs::read_dir(directory)
+        .map_err(failed)?
+        .map(|entry| entry.map(|e| e.path()).map_err(failed))
+        .collect()
 }
 
 fn write(file: &Path, text: &str) -> Result<(), SlopesError> {
--- a/crates/lab/tests/slopes.rs
+++ b/crates/lab/tests/slopes.rs
@@ -1,18 +1,18 @@
-//! What `shaletack-lab slopes` says of arguments that it can't use.
+//! Tests of the command `shaletack-lab slopes` with invalid arguments.
 
 use std::process::Command;
 
 #[test]
-fn bad_arguments_are_told_and_a_failure() {
+fn invalid_arguments_fail_and_are_named() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("file");
     std::fs::write(&file, "").unwrap();
-    let (file, away) = (file.to_str().unwrap(), folder.path().join("none"));
-    let away = away.to_str().unwrap();
+    let (file, missing) = (file.to_str().unwrap(), folder.path().join("none"));
+    let missing = missing.to_str().unwrap();
     for (args, what) in [
         (vec!["slopes"], "--program is required"),
-        (vec!["slopes", "--program", away], "is no file"),
-        (vec!["slopes", "--program", file, "--only", "sideways"], "'sideways' is none of idle-http"),
+        (vec!["slopes", "--program", missing], "is not a file"),
+        (vec!["slopes", "--program", file, "--only", "sideways"], "'sideways' is not one of idle-http"),
         (vec!["slopes", "--program", file, "--only", "list", "--out", file], file),
         (vec!["slopes", "--program", file, "--only", "rate-http"], "Permission denied"),
     ] {
