--- a/crates/lab/examples/stores.rs
+++ b/crates/lab/examples/stores.rs
@@ -1,27 +1,32 @@
-//! What a durable write costs: a plain log against embedded stores, for `docs/design/WRITEBACK.md`.
+//! Compares the cost of durable writes to a plain log with that of embedded stores. The results are in
+//! `docs/design/WRITEBACK.md`.
 //!
-//! `cargo run --release -p shaletack-lab --example stores -- plain|zeroed|redb|fjall GROUP`: 4,096 writes of 4 KiB, so
-//! many made durable at a time, then all of them removed the same way. Prints microseconds for each group and how
-//! many bytes went to the disk for each byte kept; calls are counted from outside (`strace -fc`).
+//! `cargo run --release -p shaletack-lab --example stores -- plain|zeroed|redb|fjall GROUP`
+//!
+//! Makes 4,096 writes of 4 KiB durable in groups of `GROUP`, and then removes all of them in the same groups.
+//! Prints the microseconds for each group and the bytes sent to the disk for each byte stored. System calls
+//! can be counted with `strace -fc`.
 
 use std::fs::{self, OpenOptions};
 use std::io::{Seek, SeekFrom, Write};
 use std::path::Path;
 use std::time::Instant;
 
+/// Number of writes.
 const WRITES: u64 = 4096;
+/// Bytes of each write.
 const SIZE: usize = 4096;
 
-type Done = Result<(), Box<dyn std::error::Error>>;
+type Outcome = Result<(), Box<dyn std::error::Error>>;
 
-/// Bytes this process has sent to the disk.
-fn written() -> u64 {
+/// Returns the bytes that this process has sent to the disk.
+fn disk_bytes_written() -> u64 {
     let io = fs::read_to_string("/proc/self/io").unwrap_or_default();
     io.lines().find_map(|l| l.strip_prefix("write_bytes: ")?.parse().ok()).unwrap_or(0)
 }
 
-/// A log that grows, or one whose bytes are there before they are used.
-fn plain(at: &Path, group: u64, data: &[u8], zeroed: bool) -> Done {
+/// Writes to a log file that grows, or with `zeroed` to one that is filled with zeros beforehand.
+fn plain(at: &Path, group: u64, data: &[u8], zeroed: bool) -> Outcome {
     let log = at.join("log");
     let mut file = OpenOptions::new().create_new(true).write(true).open(log)?;
     if zeroed {
@@ -30,21 +35,22 @@
         file.sync_all()?;
         file.seek(SeekFrom::Start(0))?;
     }
-    let mut commit = |bytes: &[u8]| -> Done {
+    let mut commit = |bytes: &[u8]| -> Outcome {
         file.write_all(bytes)?;
         Ok(file.sync_data()?)
     };
     for _ in 0..WRITES / group {
         commit(&data.repeat(group as usize))?;
     }
-    // A write that is settled is one record of 32 bytes.
+    // The removal of a write is one record of 32 bytes.
     for _ in 0..WRITES / group {
         commit(&vec![1; 32 * group as usize])?;
     }
     Ok(())
 }
 
-fn redb(at: &Path, group: u64, data: &[u8]) -> Done {
+/// Writes to and removes from a redb database, one transaction for each group.
+fn redb(at: &Path, group: u64, data: &[u8]) -> Outcome {
     const TABLE: redb::TableDefinition<u64, &[u8]> = redb::TableDefinition::new("writes");
     let store = redb::Database::create(at.join("redb"))?;
     for from in (0..WRITES).step_by(group as usize) {
@@ -64,7 +70,8 @@
     Ok(())
 }
 
-fn fjall(at: &Path, group: u64, data: &[u8]) -> Done {
+/// Writes to and removes from a fjall keyspace, one sync for each group.
+fn fjall(at: &Path, group: u64, data: &[u8]) -> Outcome {
     let store = fjall::Database::builder(at.join("fjall")).open()?;
     let writes = store.keyspace("writes", fjall::KeyspaceCreateOptions::default)?;
     for from in (0..WRITES).step_by(group as usize) {
@@ -82,23 +89,23 @@
     Ok(())
 }
 
-fn main() -> Done {
+fn main() -> Outcome {
     let mut args = std::env::args().skip(1);
     let (store, group) = (args.next().unwrap_or_default(), args.next().unwrap_or_default().parse()?);
-    let folder = tempfile::tempdir_in(".")?;
-    // Not all alike, so that nothing is saved by packing it.
+    let directory = tempfile::tempdir_in(".")?;
+    // The bytes differ, so that compression saves nothing.
     let data: Vec<u8> =
         (0..SIZE as u64).map(|i| (i.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 56) as u8).collect();
-    let (before, start) = (written(), Instant::now());
+    let (bytes_before, start) = (disk_bytes_written(), Instant::now());
     match store.as_str() {
-        "plain" => plain(folder.path(), group, &data, false)?,
-        "zeroed" => plain(folder.path(), group, &data, true)?,
-        "redb" => redb(folder.path(), group, &data)?,
-        "fjall" => fjall(folder.path(), group, &data)?,
-        other => return Err(format!("'{other}' is none of plain, zeroed, redb, fjall").into()),
+        "plain" => plain(directory.path(), group, &data, false)?,
+        "zeroed" => plain(directory.path(), group, &data, true)?,
+        "redb" => redb(directory.path(), group, &data)?,
+        "fjall" => fjall(directory.path(), group, &data)?,
+        other => return Err(format!("'{other}' is not one of plain, zeroed, redb, fjall").into()),
     }
     let micros = start.elapsed().as_micros() as f64 / (2 * WRITES / group) as f64;
-    let bytes = (written() - before) as f64 / (WRITES as f64 * SIZE as f64);
+    let bytes = (disk_bytes_written() - bytes_before) as f64 / (WRITES as f64 * SIZE as f64);
     println!(
         "{store}, groups of {group}: {micros:.0} us a group, {bytes:.2} bytes to the disk for each kept"
     );
--- a/crates/lab/src/hollow.rs
+++ b/crates/lab/src/hollow.rs
@@ -1,7 +1,9 @@
-//! Hollow initiators (the program's own membership, gossip and core, without clients) on real loopback sockets
-//! beside real processes of the program. Measured: bytes and processor time of each while nothing happens and
-//! while volumes are used; how soon all know of a drain that one was notified of; and how soon a stop, deaths and
-//! a restart of processes are noticed.
+//! Runs hollow initiators (the program's own membership, gossip and core, without clients) on real loopback
+//! sockets beside real processes of the program.
+//!
+//! The experiment measures the bytes and the processor time of each initiator while the fleet is idle and
+//! while volumes are used; how soon all initiators know of a drain that one was notified of; and how soon
+//! they notice that processes are stopped, killed and restarted.
 
 mod config;
 mod error;
@@ -22,29 +24,33 @@
 use std::path::{Path, PathBuf};
 use tokio::task::LocalSet;
 
-/// Clients, each at a real process of its own, the last ones.
+/// Number of clients. Each uses one of the last real processes.
 const CLIENTS: usize = 3;
-/// Real processes: one that is notified of drains, one that is stopped, others that are killed, and those with
-/// clients.
+/// Allowed numbers of real processes: one is notified of drains, one is stopped, others are killed, and the
+/// last ones have clients.
 const PROCESSES: RangeInclusive<usize> = 9..=20;
+/// Allowed numbers of hollow initiators.
 const INITIATORS: RangeInclusive<usize> = 1..=1000;
+/// Allowed numbers of volumes in use at each hollow initiator.
 const VOLUMES: RangeInclusive<usize> = 0..=1000;
+/// Allowed lengths of a measuring window in seconds.
 const SECONDS: RangeInclusive<usize> = 1..=600;
 
-/// What is asked for.
+/// The arguments of the experiment.
 pub struct Options {
-    /// Hollow initiators, and real processes.
+    /// Number of hollow initiators.
     pub initiators: usize,
+    /// Number of real processes.
     pub processes: usize,
-    /// The program's binary.
+    /// Path of the program's binary.
     pub program: PathBuf,
-    /// How long the window lasts in which nothing happens, and that in which volumes are used.
+    /// Length of each measuring window: the idle one, and the one in which volumes are used.
     pub seconds: u64,
-    /// Volumes that are used at each hollow initiator; 0: there is no such window.
+    /// Volumes in use at each hollow initiator during the second window; with 0, that window is omitted.
     pub volumes: u64,
 }
 
-/// Plays all phases, writes the table into `out` and prints the figures.
+/// Checks the options, runs all phases, writes the table into `out` and prints the figures.
 pub fn run(options: &Options, out: &Path) -> Result<(), HollowError> {
     let check = |option, value: usize, range: &RangeInclusive<usize>| {
         let (least, most) = (*range.start(), *range.end());
@@ -65,12 +71,13 @@
     LocalSet::new().block_on(&runtime, play(options, &table))
 }
 
+/// Runs all phases in order.
 async fn play(options: &Options, table: &Path) -> Result<(), HollowError> {
     let mut experiment = Experiment::start(options).await?;
-    experiment.meet().await?;
+    experiment.wait_for_convergence().await?;
     let windows = experiment.measure_windows(options.volumes, options.seconds).await?;
     experiment.start_clients();
-    let delays = experiment.drain().await?;
+    let delays = experiment.measure_drains().await?;
     experiment.stop_process().await?;
     experiment.kill_processes().await;
     experiment.restart_process().await?;
--- a/crates/lab/src/hollow/etcd.rs
+++ b/crates/lab/src/hollow/etcd.rs
@@ -1,7 +1,7 @@
-//! Etcd's JSON gateway, from which one initiator has its endpoint list.
+//! A stub of etcd's JSON gateway, from which one initiator receives its endpoint list.
 
-use super::config::{entry, name, BOXES};
-use crate::stand_ins::{http, Stream};
+use super::config::{endpoint_entry, endpoint_id, ENDPOINTS};
+use crate::stubs::{http, Stream};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use std::cell::{Cell, RefCell};
@@ -15,28 +15,30 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// A watch on which nothing changes says so this often.
-const PROGRESS: Duration = Duration::from_secs(2);
+/// Interval of the progress messages on a watch without changes.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Etcd's JSON gateway as far as an initiator uses it: a range of all boxes, and a watch from there on.
+/// The part of etcd's JSON gateway that an initiator uses: a range request for all endpoints, and a watch
+/// that continues from its revision.
 pub struct Etcd {
-    pub at: SocketAddr,
-    boxes: Vec<SocketAddr>,
-    kept: RefCell<BTreeMap<usize, String>>,
-    /// Each change by its revision.
+    pub address: SocketAddr,
+    endpoints: Vec<SocketAddr>,
+    entries: RefCell<BTreeMap<usize, String>>,
+    /// All changes with their revisions.
     events: RefCell<Vec<(u64, String)>>,
     revision: Cell<u64>,
     changed: Notify,
 }
 
 impl Etcd {
-    pub async fn start(boxes: Vec<SocketAddr>) -> io::Result<Rc<Self>> {
+    /// Starts the gateway with all endpoints up.
+    pub async fn start(endpoints: Vec<SocketAddr>) -> io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let kept = (0..BOXES).map(|n| (n, entry(n, &boxes, "up"))).collect();
+        let entries = (0..ENDPOINTS).map(|n| (n, endpoint_entry(n, &endpoints, "up"))).collect();
         let etcd = Rc::new(Etcd {
-            at: listener.local_addr()?,
-            boxes,
-            kept: RefCell::new(kept),
+            address: listener.local_addr()?,
+            endpoints,
+            entries: RefCell::new(entries),
             events: RefCell::default(),
             revision: Cell::new(1),
             changed: Notify::new(),
@@ -51,34 +53,37 @@
         Ok(etcd)
     }
 
+    /// Encodes a key and a value as etcd does.
     fn kv(number: usize, entry: &str) -> String {
-        let (key, value) = (STANDARD.encode(format!("/boxes/{}", name(number))), STANDARD.encode(entry));
+        let (key, value) =
+            (STANDARD.encode(format!("/boxes/{}", endpoint_id(number))), STANDARD.encode(entry));
         format!(r#"{{"key":"{key}","value":"{value}"}}"#)
     }
 
-    /// From now on the list says that a box drains.
+    /// Changes the list entry of an endpoint to draining.
     pub fn drain(&self, number: usize) {
-        let entry = entry(number, &self.boxes, "draining");
+        let entry = endpoint_entry(number, &self.endpoints, "draining");
         self.revision.set(self.revision.get() + 1);
         self.events.borrow_mut().push((self.revision.get(), Self::kv(number, &entry)));
-        self.kept.borrow_mut().insert(number, entry);
+        self.entries.borrow_mut().insert(number, entry);
         self.changed.notify_waiters();
     }
 
+    /// Answers range requests, and serves a watch once one is requested.
     async fn serve(&self, mut s: Stream) -> io::Result<()> {
         loop {
             let head = http::read_head(&mut s).await?;
             let Some(first) = head.first() else { return Ok(()) };
             let watch = first.to_ascii_lowercase().starts_with("post /v3/watch");
-            let mut asked = vec![0; http::content_length(&head).unwrap_or(0)];
-            s.read_exact(&mut asked).await?;
+            let mut request = vec![0; http::content_length(&head).unwrap_or(0)];
+            s.read_exact(&mut request).await?;
             if watch {
-                let asked = String::from_utf8_lossy(&asked).into_owned();
-                let from = asked.split(r#""start_revision":""#).nth(1).and_then(|t| t.split('"').next());
+                let request = String::from_utf8_lossy(&request).into_owned();
+                let from = request.split(r#""start_revision":""#).nth(1).and_then(|t| t.split('"').next());
                 let from = from.and_then(|t| t.parse().ok()).ok_or(io::Error::other("no start_revision"))?;
                 return self.watch(s, from).await;
             }
-            let all: Vec<String> = self.kept.borrow().iter().map(|(n, e)| Self::kv(*n, e)).collect();
+            let all: Vec<String> = self.entries.borrow().iter().map(|(n, e)| Self::kv(*n, e)).collect();
             let body =
                 format!(r#"{{"header":{{"revision":"{}"}},"kvs":[{}]}}"#, self.revision.get(), all.join(","));
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
@@ -86,25 +91,27 @@
         }
     }
 
+    /// Sends all changes from a revision on until the connection is closed.
     async fn watch(&self, mut s: Stream, mut from: u64) -> io::Result<()> {
         s.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-        let mut more = r#","created":true"#.to_owned();
+        let mut extra = r#","created":true"#.to_owned();
         loop {
-            let line = format!(r#"{{"result":{{"header":{{"revision":"{}"}}{more}}}}}"#, self.revision.get());
+            let line =
+                format!(r#"{{"result":{{"header":{{"revision":"{}"}}{extra}}}}}"#, self.revision.get());
             s.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await?;
             let changed = self.changed.notified();
-            let news = || -> Vec<String> {
+            let pending = || -> Vec<String> {
                 let since =
                     |(revision, kv): &(u64, String)| (*revision >= from).then(|| format!(r#"{{"kv":{kv}}}"#));
                 self.events.borrow().iter().filter_map(since).collect()
             };
-            let mut events = news();
+            let mut events = pending();
             if events.is_empty() {
-                let _ = tokio::time::timeout(PROGRESS, changed).await;
-                events = news();
+                let _ = tokio::time::timeout(PROGRESS_INTERVAL, changed).await;
+                events = pending();
             }
             from = self.revision.get() + 1;
-            more = match events.is_empty() {
+            extra = match events.is_empty() {
                 true => String::new(),
                 false => format!(r#","events":[{}]"#, events.join(",")),
             };
--- a/crates/lab/src/hollow/initiator.rs
+++ b/crates/lab/src/hollow/initiator.rs
@@ -1,4 +1,4 @@
-//! One hollow initiator: the program's own membership, spread and core on real sockets, with no clients.
+//! One hollow initiator: the program's own membership, gossip and broker on real sockets, without clients.
 
 use rand::rngs::StdRng;
 use rand::seq::IteratorRandom;
@@ -27,128 +27,167 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// As in the program: an exchange takes so long at most, one begins each second where members are not known
-/// to speak the spread, so many are served at once; what is added to the sums is looked at so often.
-const EXCHANGE: Duration = Duration::from_millis(300);
-const ASKED_EVERY: Duration = Duration::from_secs(1);
-const SERVED_MOST: usize = 8;
-const ADDED_EVERY: Duration = Duration::from_millis(500);
-/// Zones, and how many make a region; initiators stand in them in turn.
+/// Time limit of an exchange, as in the program.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time between two exchanges with members that are not known to support gossip datagrams, as in the program.
+const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of exchanges answered at the same time, as in the program.
+const MAX_EXCHANGES_SERVED: usize = 8;
+/// How often an initiator updates its contribution to the sums, as in the program.
+const CONTRIBUTION_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of zones; initiators are assigned to them in round-robin order.
 pub const ZONES: usize = 9;
-pub const REGION: usize = 3;
-/// Volumes in use in all, where any are; units a second travel in thousandths.
+/// Number of zones in a region.
+pub const ZONES_PER_REGION: usize = 3;
+/// Number of volumes in use by all initiators together, if any are used.
 pub const VOLUMES: u64 = 1000;
-/// Headers of IPv4 and UDP, of IPv4 and TCP, and what a TCP segment carries over Ethernet, in bytes.
-const UDP_HEAD: usize = 28;
-const TCP_HEAD: usize = 40;
-const SEGMENT: usize = 1460;
-/// Packets beside the first with data that each end of a connection sends: SYN, acknowledgements and FIN.
-const ASKER_PACKETS: usize = 4;
-const ASKED_PACKETS: usize = 3;
+/// Bytes of the IPv4 and UDP headers.
+const UDP_HEADER_BYTES: usize = 28;
+/// Bytes of the IPv4 and TCP headers.
+const TCP_HEADER_BYTES: usize = 40;
+/// Maximum payload of a TCP segment over Ethernet.
+const MAX_SEGMENT_BYTES: usize = 1460;
+/// Packets without data that the connecting side of an exchange sends: SYN, acknowledgements and FIN.
+const CLIENT_PACKETS: usize = 4;
+/// Packets without data that the accepting side of an exchange sends.
+const SERVER_PACKETS: usize = 3;
+/// Index of received bytes in the counts of an initiator.
+const RECEIVED: usize = 0;
+/// Index of sent bytes in the counts of an initiator.
+const SENT: usize = 1;
+/// Index of the membership's timer.
+const MEMBERSHIP_TIMER: usize = 0;
+/// Index of the broker's timer.
+const BROKER_TIMER: usize = 1;
+/// Index of the gossip's timer.
+const GOSSIP_TIMER: usize = 2;
 
-/// What happened at one initiator, real or hollow.
+/// Something that happened at an initiator, real or hollow.
 #[derive(Debug)]
-pub enum What {
-    /// Peers' word keeps it from a box now.
-    Stopped(String),
-    /// Its own list says that a box drains.
-    Listed(String),
-    /// It takes a peer for alive, or no longer.
-    Up(String),
-    Down(String),
-    /// A line of its log warns.
-    Warned,
+pub enum NoticeKind {
+    /// On the advice of peers, the initiator sends no more requests to the endpoint with this id.
+    Avoided(String),
+    /// The initiator's own endpoint list shows the endpoint with this id as draining.
+    ListedDraining(String),
+    /// The initiator considers the peer with this name alive.
+    MemberUp(String),
+    /// The initiator considers the peer with this name dead.
+    MemberDown(String),
+    /// The initiator logged a warning or an error, or a hollow one met one.
+    Warning,
 }
 
-/// What, at which initiator, when.
-pub type News = (usize, What, Instant);
+/// A notice that something happened at an initiator.
+#[derive(Debug)]
+pub struct Notice {
+    pub initiator: usize,
+    pub kind: NoticeKind,
+    pub at: Instant,
+}
 
-/// Bytes on the wire of every initiator, real ones first: of a real one those that hollow ones counted.
-pub struct Ledger {
-    pub real: BTreeMap<String, usize>,
-    pub places: BTreeMap<SocketAddr, usize>,
-    counts: Vec<[AtomicU64; 2]>,
-    /// So many volumes are used at each hollow one now.
+/// State shared by the threads: the bytes on the wire of every initiator, and the load.
+///
+/// Hollow initiators count the bytes at both ends. Of a real initiator, only its bytes to and from hollow
+/// ones are counted.
+pub struct SharedState {
+    /// Numbers of the real initiators by name.
+    pub real_by_name: BTreeMap<String, usize>,
+    /// Numbers of the real initiators by address.
+    pub real_by_address: BTreeMap<SocketAddr, usize>,
+    /// Received and sent bytes of each initiator, real ones first.
+    bytes: Vec<[AtomicU64; 2]>,
+    /// Number of volumes in use at each hollow initiator at present.
     pub volumes: AtomicU64,
 }
 
-impl Ledger {
+impl SharedState {
+    /// Creates the state for `all` initiators; `real` has the names and addresses of the real ones.
     pub fn new(real: Vec<(String, SocketAddr)>, all: usize) -> Self {
         let numbered = || real.iter().cloned().enumerate();
-        Ledger {
-            real: numbered().map(|(i, (name, _))| (name, i)).collect(),
-            places: numbered().map(|(i, (_, at))| (at, i)).collect(),
-            counts: (0..all).map(|_| Default::default()).collect(),
+        SharedState {
+            real_by_name: numbered().map(|(i, (name, _))| (name, i)).collect(),
+            real_by_address: numbered().map(|(i, (_, at))| (at, i)).collect(),
+            bytes: (0..all).map(|_| Default::default()).collect(),
             volumes: AtomicU64::new(0),
         }
     }
 
-    /// Received and sent so far.
-    pub fn now(&self) -> Vec<[u64; 2]> {
-        self.counts.iter().map(|c| [0, 1].map(|way| c[way].load(Ordering::Relaxed))).collect()
+    /// Returns the received and sent bytes of each initiator so far.
+    pub fn snapshot(&self) -> Vec<[u64; 2]> {
+        self.bytes
+            .iter()
+            .map(|c| [RECEIVED, SENT].map(|direction| c[direction].load(Ordering::Relaxed)))
+            .collect()
     }
 
-    fn add(&self, who: usize, way: usize, bytes: usize) {
-        self.counts[who][way].fetch_add(bytes as u64, Ordering::Relaxed);
+    fn add(&self, initiator: usize, direction: usize, bytes: usize) {
+        self.bytes[initiator][direction].fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// The hollow one `who` sent (1) or received (0) so many bytes; at the other end it is the other way.
-    fn moved(&self, who: usize, way: usize, other: Option<&usize>, bytes: usize) {
-        self.add(who, way, bytes);
-        other.inspect(|real| self.add(**real, 1 - way, bytes));
+    /// Counts bytes that a hollow initiator sent or received, and the same bytes in the opposite direction at
+    /// the other end, if that is a real initiator.
+    fn record_transfer(&self, initiator: usize, direction: usize, other: Option<&usize>, bytes: usize) {
+        self.add(initiator, direction, bytes);
+        other.inspect(|real| self.add(**real, 1 - direction, bytes));
     }
 }
 
-fn over_tcp(payload: usize, packets: usize) -> usize {
-    payload + TCP_HEAD * (packets + payload.div_ceil(SEGMENT))
+/// Returns the bytes on the wire for a payload and the packets without data of one side of a TCP connection.
+fn tcp_bytes(payload: usize, packets: usize) -> usize {
+    payload + TCP_HEADER_BYTES * (packets + payload.div_ceil(MAX_SEGMENT_BYTES))
 }
 
-/// What a hollow initiator is made of.
-pub struct Parts {
+/// What a hollow initiator is created from.
+pub struct HollowParts {
     pub index: usize,
     pub operator: Rc<Operator>,
     pub tcp: std::net::TcpListener,
     pub udp: std::net::UdpSocket,
-    pub news: UnboundedSender<News>,
-    pub ledger: Arc<Ledger>,
+    pub notices: UnboundedSender<Notice>,
+    pub shared: Arc<SharedState>,
 }
 
+/// A running hollow initiator.
 struct Hollow {
     index: usize,
-    me: Observer,
+    identity: Observer,
     start: Instant,
     udp: UdpSocket,
     membership: RefCell<Membership>,
-    spread: RefCell<Gossip>,
+    gossip: RefCell<Gossip>,
     broker: RefCell<broker::Broker>,
-    /// When membership, core and spread want to be woken.
-    wakes: [Cell<Option<Instant>>; 3],
-    /// What the core sees, for the spread.
-    said: RefCell<Vec<gossip::Input>>,
-    news: UnboundedSender<News>,
-    ledger: Arc<Ledger>,
+    /// When the timers of membership, broker and gossip fire.
+    timers: [Cell<Option<Instant>>; 3],
+    /// The broker's observations that are still to be passed to gossip.
+    pending_observations: RefCell<Vec<gossip::Input>>,
+    notices: UnboundedSender<Notice>,
+    shared: Arc<SharedState>,
 }
 
-/// Lives until its task is dropped.
-pub async fn live(parts: Parts) -> io::Result<()> {
-    let Parts { index, operator, tcp, udp, news, ledger } = parts;
+/// Runs a hollow initiator until its task is dropped.
+pub async fn run_hollow(parts: HollowParts) -> io::Result<()> {
+    let HollowParts { index, operator, tcp, udp, notices, shared } = parts;
     let (tcp, udp) = (TcpListener::from_std(tcp)?, UdpSocket::from_std(udp)?);
-    let Some(set) = &operator.peers else { return Err(io::Error::other("an operator's file without peers")) };
-    let (me, at, start) = (new_observer(set), tcp.local_addr()?, Instant::now());
+    let Some(peers) = &operator.peers else {
+        return Err(io::Error::other("a configuration file without peers"));
+    };
+    let (identity, at, start) = (new_observer(peers), tcp.local_addr()?, Instant::now());
     let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let me = Observer { name: format!("h{index}"), ..me };
+    let identity = Observer { name: format!("h{index}"), ..identity };
     let peer = membership::Member {
-        name: me.name.clone(),
-        incarnation: me.incarnation,
+        name: identity.name.clone(),
+        incarnation: identity.incarnation,
         epoch: unix.as_millis() as u64,
         address: at,
     };
-    let place =
-        Locality { region: format!("g{}", index % ZONES / REGION), zone: format!("z{}", index % ZONES) };
-    let spread = Gossip::new(me.clone(), at, place, me.incarnation, Duration::ZERO);
-    let core = broker::Broker::new(
+    let locality = Locality {
+        region: format!("g{}", index % ZONES / ZONES_PER_REGION),
+        zone: format!("z{}", index % ZONES),
+    };
+    let gossip = Gossip::new(identity.clone(), at, locality, identity.incarnation, Duration::ZERO);
+    let broker = broker::Broker::new(
         operator.settings.clone(),
-        me.incarnation,
+        identity.incarnation,
         broker::Clock::new(start, unix),
         start,
     );
@@ -156,54 +195,61 @@
         index,
         start,
         udp,
-        membership: RefCell::new(Membership::new(peer, set.join.clone(), me.incarnation)),
-        spread: RefCell::new(spread),
-        broker: RefCell::new(core.with_peers(me.clone())),
-        said: RefCell::default(),
-        me,
-        wakes: Default::default(),
-        news,
-        ledger,
+        membership: RefCell::new(Membership::new(peer, peers.join.clone(), identity.incarnation)),
+        gossip: RefCell::new(gossip),
+        broker: RefCell::new(broker.with_peers(identity.clone())),
+        pending_observations: RefCell::default(),
+        identity,
+        timers: Default::default(),
+        notices,
+        shared,
     });
-    hollow.core(broker::Input::EndpointList(operator.endpoints.clone()));
-    for to in set.join.clone() {
-        spawn_local(hollow.clone().ask(to));
+    hollow.broker_input(broker::Input::EndpointList(operator.endpoints.clone()));
+    for to in peers.join.clone() {
+        spawn_local(hollow.clone().start_exchange(to));
     }
-    hollow.members(membership::Input::TimerExpired).await;
-    spawn_local(hollow.clone().keep_asking());
+    hollow.membership_input(membership::Input::TimerExpired).await;
+    spawn_local(hollow.clone().exchange_periodically());
     hollow.run(tcp).await
 }
 
 impl Hollow {
+    /// Handles datagrams, exchanges and timers.
     async fn run(self: Rc<Self>, tcp: TcpListener) -> io::Result<()> {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-        let served = Arc::new(tokio::sync::Semaphore::new(SERVED_MOST));
-        let mut adds = tokio::time::interval(ADDED_EVERY);
-        self.spread(gossip::Input::TimerFired).await;
+        let exchange_permits = Arc::new(tokio::sync::Semaphore::new(MAX_EXCHANGES_SERVED));
+        let mut contribution_timer = tokio::time::interval(CONTRIBUTION_INTERVAL);
+        self.gossip_input(gossip::Input::TimerFired).await;
         loop {
-            let first = self.wakes.iter().filter_map(Cell::get).min();
+            let first = self.timers.iter().filter_map(Cell::get).min();
             tokio::select! {
-                came = self.udp.recv_from(&mut bytes) => if let Ok((length, from)) = came {
-                    self.ledger.moved(self.index, 0, self.ledger.places.get(&from), length + UDP_HEAD);
+                received = self.udp.recv_from(&mut bytes) => if let Ok((length, from)) = received {
+                    let sender = self.shared.real_by_address.get(&from);
+                    self.shared.record_transfer(self.index, RECEIVED, sender, length + UDP_HEADER_BYTES);
                     let datagram = bytes[..length].to_vec();
                     match datagram.first() {
-                        Some(&GOSSIP_MAGIC) => self.spread(gossip::Input::Datagram { from, bytes: datagram }).await,
-                        _ => self.members(membership::Input::DatagramReceived(datagram.into())).await,
+                        Some(&GOSSIP_MAGIC) => {
+                            self.gossip_input(gossip::Input::Datagram { from, bytes: datagram }).await
+                        }
+                        _ => {
+                            let input = membership::Input::DatagramReceived(datagram.into());
+                            self.membership_input(input).await
+                        }
                     }
                 },
-                came = tcp.accept(), if served.available_permits() > 0 => {
-                    let (stream, _) = came?;
-                    let place = served.clone().acquire_owned().await;
+                accepted = tcp.accept(), if exchange_permits.available_permits() > 0 => {
+                    let (stream, _) = accepted?;
+                    let permit = exchange_permits.clone().acquire_owned().await;
                     let hollow = self.clone();
                     spawn_local(async move {
-                        let _ = timeout(EXCHANGE, hollow.answer(stream)).await;
-                        drop(place);
+                        let _ = timeout(EXCHANGE_TIMEOUT, hollow.answer_exchange(stream)).await;
+                        drop(permit);
                     });
                 }
-                _ = adds.tick() => {
-                    let volumes = self.ledger.volumes.load(Ordering::Relaxed);
-                    let amounts = (0..volumes).map(|n| self.uses(n)).collect();
-                    self.spread(gossip::Input::LocalAmounts(amounts)).await;
+                _ = contribution_timer.tick() => {
+                    let volumes = self.shared.volumes.load(Ordering::Relaxed);
+                    let amounts = (0..volumes).map(|n| self.demand(n)).collect();
+                    self.gossip_input(gossip::Input::LocalAmounts(amounts)).await;
                 }
                 () = sleep_until(first.unwrap_or_else(Instant::now).into()), if first.is_some() => {
                     let now = Instant::now();
@@ -211,80 +257,90 @@
                         let due = wake.get().is_some_and(|at| at <= now);
                         due.then(|| wake.set(None)).is_some()
                     };
-                    if due(&self.wakes[0]) {
-                        self.members(membership::Input::TimerExpired).await;
+                    if due(&self.timers[MEMBERSHIP_TIMER]) {
+                        self.membership_input(membership::Input::TimerExpired).await;
                     }
-                    if due(&self.wakes[1]) {
-                        self.core(broker::Input::TimerFired);
+                    if due(&self.timers[BROKER_TIMER]) {
+                        self.broker_input(broker::Input::TimerFired);
                     }
-                    if due(&self.wakes[2]) {
-                        self.spread(gossip::Input::TimerFired).await;
+                    if due(&self.timers[GOSSIP_TIMER]) {
+                        self.gossip_input(gossip::Input::TimerFired).await;
                     }
                 }
             }
-            for said in self.said.take() {
-                self.spread(said).await;
+            for input in self.pending_observations.take() {
+                self.gossip_input(input).await;
             }
         }
     }
 
-    /// The volume that it uses in that place, each shared by a tenth of the others, at a rate that moves.
-    fn uses(&self, n: u64) -> (Key, u64) {
+    /// Returns the initiator's `n`th volume and its demand. The demand is in thousandths of a unit per second
+    /// and changes over time; each volume is also used by a tenth of the other initiators.
+    fn demand(&self, n: u64) -> (Key, u64) {
         let volume = (self.index as u64 + 10 * n) % VOLUMES;
-        let moved = self.start.elapsed().as_millis() as u64 * (n + 1) / 100;
-        (Key::Demand(volume), 2000 + moved % 1000)
+        let offset = self.start.elapsed().as_millis() as u64 * (n + 1) / 100;
+        (Key::Demand(volume), 2000 + offset % 1000)
     }
 
-    fn tell(&self, what: What) {
-        // Where nobody listens any more the run is over.
-        let _ = self.news.send((self.index, what, Instant::now()));
+    /// Sends a notice to the phases.
+    fn notify(&self, kind: NoticeKind) {
+        // An error means that the run is over.
+        let _ = self.notices.send(Notice { initiator: self.index, kind, at: Instant::now() });
     }
 
-    async fn members(&self, input: membership::Input) {
+    /// Passes an input to membership and carries out the effects.
+    async fn membership_input(&self, input: membership::Input) {
         let effects = self.membership.borrow_mut().step(self.start.elapsed(), input);
         for effect in effects {
             match effect {
                 membership::Effect::Send { to, datagram: bytes } => {
                     self.send(to, &bytes).await;
                 }
-                membership::Effect::SetTimer(at) => self.wakes[0].set(Some(self.start + at)),
+                membership::Effect::SetTimer(at) => self.timers[MEMBERSHIP_TIMER].set(Some(self.start + at)),
                 membership::Effect::MemberUp(peer) => {
-                    self.spread(gossip::Input::MemberUp {
+                    self.gossip_input(gossip::Input::MemberUp {
                         address: peer.address,
                         incarnation: peer.incarnation,
                     })
                     .await;
-                    self.tell(What::Up(peer.name));
+                    self.notify(NoticeKind::MemberUp(peer.name));
                 }
                 membership::Effect::MemberDown(peer) => {
-                    self.spread(gossip::Input::MemberDown {
+                    self.gossip_input(gossip::Input::MemberDown {
                         address: peer.address,
                         incarnation: peer.incarnation,
                     })
                     .await;
-                    self.tell(What::Down(peer.name));
+                    self.notify(NoticeKind::MemberDown(peer.name));
                 }
                 membership::Effect::DuplicateName { .. } | membership::Effect::DatagramFailed(_) => {
-                    self.tell(What::Warned)
+                    self.notify(NoticeKind::Warning)
                 }
             }
         }
     }
 
+    /// Sends a datagram.
     async fn send(&self, to: SocketAddr, bytes: &[u8]) {
-        // What is lost on the way is for the protocols to notice.
+        // The protocols tolerate lost datagrams.
         let _ = self.udp.send_to(bytes, to).await;
-        self.ledger.moved(self.index, 1, self.ledger.places.get(&to), bytes.len() + UDP_HEAD);
+        self.shared.record_transfer(
+            self.index,
+            SENT,
+            self.shared.real_by_address.get(&to),
+            bytes.len() + UDP_HEADER_BYTES,
+        );
     }
 
-    async fn spread(&self, input: gossip::Input) {
-        let effects = self.spread.borrow_mut().step(self.start.elapsed(), input);
+    /// Passes an input to gossip and carries out the effects.
+    async fn gossip_input(&self, input: gossip::Input) {
+        let effects = self.gossip.borrow_mut().step(self.start.elapsed(), input);
         for effect in effects {
             match effect {
                 gossip::Effect::Send { to, bytes } => self.send(to, &bytes).await,
-                gossip::Effect::Learned(told) => self.core(broker::Input::GossipMerged(told)),
+                gossip::Effect::Learned(reports) => self.broker_input(broker::Input::GossipMerged(reports)),
                 gossip::Effect::Totals(totals) => {
-                    // Nothing is cold here: all that is summed is demand.
+                    // No endpoint is in slow start here, so that the only sums are those of the demand.
                     let demand =
                         totals.into_iter().filter_map(|(key, Total { others, age, .. })| match key {
                             Key::Demand(volume) => {
@@ -292,112 +348,118 @@
                             }
                             _ => None,
                         });
-                    self.core(broker::Input::PeerTotals(PeerTotals {
+                    self.broker_input(broker::Input::PeerTotals(PeerTotals {
                         demand: demand.collect(),
                         ..PeerTotals::default()
                     }));
                 }
-                gossip::Effect::WakeAt(at) => self.wakes[2].set(Some(self.start + at)),
+                gossip::Effect::WakeAt(at) => self.timers[GOSSIP_TIMER].set(Some(self.start + at)),
                 gossip::Effect::ConfigRollout(_) => {}
                 gossip::Effect::DatagramRejected { .. } | gossip::Effect::InvalidItems { .. } => {
-                    self.tell(What::Warned)
+                    self.notify(NoticeKind::Warning)
                 }
             }
         }
     }
 
-    fn core(&self, input: broker::Input) {
+    /// Passes an input to the broker and carries out the effects.
+    fn broker_input(&self, input: broker::Input) {
         for effect in self.broker.borrow_mut().step(Instant::now(), input) {
             match effect {
-                broker::Effect::SetTimer(at) => self.wakes[1].set(Some(at)),
+                broker::Effect::SetTimer(at) => self.timers[BROKER_TIMER].set(Some(at)),
                 broker::Effect::Log(OperatorEvent::AdviceChanged { id, stopped: true, .. }) => {
-                    self.tell(What::Stopped(id))
+                    self.notify(NoticeKind::Avoided(id))
                 }
-                broker::Effect::Broadcast(told) => {
-                    self.said.borrow_mut().push(gossip::Input::LocalObservations(told))
+                broker::Effect::Broadcast(reports) => {
+                    self.pending_observations.borrow_mut().push(gossip::Input::LocalObservations(reports))
                 }
-                // It has no clients, so nothing is sent or answered.
+                // Without clients there are no attempts and no answers.
                 _ => {}
             }
         }
     }
 
-    /// A frame that ends where its head says.
-    async fn read(stream: &mut TcpStream) -> io::Result<(Message, usize)> {
-        let bad = |why: frame::FrameError| io::Error::other(why.to_string());
+    /// Reads a frame of the length that its header states; returns the message and the bytes of the frame.
+    async fn read_frame(stream: &mut TcpStream) -> io::Result<(Message, usize)> {
+        let invalid = |why: frame::FrameError| io::Error::other(why.to_string());
         let mut first = [0; HEADER_BYTES];
         stream.read_exact(&mut first).await?;
-        let head = frame::decode_header(&first).map_err(bad)?;
+        let head = frame::decode_header(&first).map_err(invalid)?;
         let mut bytes = vec![0; head.message_bytes];
         stream.read_exact(&mut bytes).await?;
-        Ok((frame::decode_message(head, &bytes).map_err(bad)?, HEADER_BYTES + bytes.len()))
+        Ok((frame::decode_message(head, &bytes).map_err(invalid)?, HEADER_BYTES + bytes.len()))
     }
 
-    fn frame(&self, trip: Duration) -> Vec<u8> {
-        frame::encode(&self.me, trip, self.broker.borrow().peer_reports(Instant::now()))
+    /// Encodes a frame with all reports of the broker.
+    fn encode_frame(&self, round_trip: Duration) -> Vec<u8> {
+        frame::encode(&self.identity, round_trip, self.broker.borrow().peer_reports(Instant::now()))
     }
 
-    async fn ask(self: Rc<Self>, to: SocketAddr) {
-        let asked = async {
+    /// Exchanges frames with a peer, as the side that connects.
+    async fn start_exchange(self: Rc<Self>, to: SocketAddr) {
+        let exchange = async {
             let start = Instant::now();
             let mut stream = TcpStream::connect(to).await?;
-            let trip = start.elapsed();
+            let round_trip = start.elapsed();
             let _ = stream.set_nodelay(true);
-            let (frame, sent) = (self.frame(trip), Instant::now());
-            let other = self.ledger.places.get(&to);
-            self.ledger.moved(self.index, 1, other, over_tcp(frame.len(), ASKER_PACKETS));
+            let (frame, sent) = (self.encode_frame(round_trip), Instant::now());
+            let other = self.shared.real_by_address.get(&to);
+            self.shared.record_transfer(self.index, SENT, other, tcp_bytes(frame.len(), CLIENT_PACKETS));
             stream.write_all(&frame).await?;
-            let (message, length) = Self::read(&mut stream).await?;
-            self.ledger.moved(self.index, 0, other, over_tcp(length, ASKED_PACKETS));
+            let (message, length) = Self::read_frame(&mut stream).await?;
+            self.shared.record_transfer(self.index, RECEIVED, other, tcp_bytes(length, SERVER_PACKETS));
             if message.round_trip == GOSSIP_CAPABLE {
-                self.spread(gossip::Input::SupportConfirmed(to)).await;
+                self.gossip_input(gossip::Input::SupportConfirmed(to)).await;
             }
-            self.exchanged(message, sent.elapsed()).await;
+            self.handle_exchange(message, sent.elapsed()).await;
             io::Result::Ok(())
         };
-        if !matches!(timeout(EXCHANGE, asked).await, Ok(Ok(()))) {
-            self.tell(What::Warned);
+        if !matches!(timeout(EXCHANGE_TIMEOUT, exchange).await, Ok(Ok(()))) {
+            self.notify(NoticeKind::Warning);
         }
     }
 
-    async fn answer(&self, mut stream: TcpStream) -> io::Result<()> {
+    /// Exchanges frames with a peer that has connected.
+    async fn answer_exchange(&self, mut stream: TcpStream) -> io::Result<()> {
         let _ = stream.set_nodelay(true);
-        let (message, length) = Self::read(&mut stream).await?;
-        let other = self.ledger.real.get(&message.from.name);
-        self.ledger.moved(self.index, 0, other, over_tcp(length, ASKER_PACKETS));
-        let frame = self.frame(GOSSIP_CAPABLE);
+        let (message, length) = Self::read_frame(&mut stream).await?;
+        let other = self.shared.real_by_name.get(&message.from.name);
+        self.shared.record_transfer(self.index, RECEIVED, other, tcp_bytes(length, CLIENT_PACKETS));
+        let frame = self.encode_frame(GOSSIP_CAPABLE);
         stream.write_all(&frame).await?;
-        self.ledger.moved(self.index, 1, other, over_tcp(frame.len(), ASKED_PACKETS));
-        let trip = message.round_trip;
-        self.exchanged(message, trip).await;
+        self.shared.record_transfer(self.index, SENT, other, tcp_bytes(frame.len(), SERVER_PACKETS));
+        let round_trip = message.round_trip;
+        self.handle_exchange(message, round_trip).await;
         Ok(())
     }
 
-    /// What one that speaks the spread is asked for is in the sums.
-    async fn exchanged(&self, message: Message, trip: Duration) {
-        let Message { from, reports: mut facts, .. } = message;
+    /// Handles the peer's frame of an exchange. The contributions of a peer that supports gossip datagrams
+    /// are ignored, because the sums already include them.
+    async fn handle_exchange(&self, message: Message, round_trip: Duration) {
+        let Message { from, mut reports, .. } = message;
         if message.round_trip == GOSSIP_CAPABLE
-            || self.spread.borrow().membership_records().any(|record| record.process == from)
+            || self.gossip.borrow().membership_records().any(|record| record.process == from)
         {
-            facts.retain(|told| !told.claim.is_contribution());
+            reports.retain(|report| !report.claim.is_contribution());
         }
-        let trip = trip.min(EXCHANGE);
-        self.core(broker::Input::PeerReports {
+        let round_trip = round_trip.min(EXCHANGE_TIMEOUT);
+        self.broker_input(broker::Input::PeerReports {
             from: from.clone(),
-            round_trip: trip,
-            reports: facts.clone(),
+            round_trip,
+            reports: reports.clone(),
         });
-        self.spread(gossip::Input::Exchanged { from, round_trip: trip, reports: facts }).await;
+        self.gossip_input(gossip::Input::Exchanged { from, round_trip, reports }).await;
     }
 
-    /// Members that are not known to speak the spread are asked over TCP.
-    async fn keep_asking(self: Rc<Self>) {
-        let mut rng = StdRng::seed_from_u64(self.me.incarnation);
+    /// Starts an exchange in each interval with a random member that is not known to support gossip
+    /// datagrams.
+    async fn exchange_periodically(self: Rc<Self>) {
+        let mut rng = StdRng::seed_from_u64(self.identity.incarnation);
         loop {
-            sleep(ASKED_EVERY).await;
-            let unmet = self.spread.borrow().unconfirmed_members().choose(&mut rng);
-            if let Some(to) = unmet {
-                self.clone().ask(to).await;
+            sleep(EXCHANGE_INTERVAL).await;
+            let peer = self.gossip.borrow().unconfirmed_members().choose(&mut rng);
+            if let Some(to) = peer {
+                self.clone().start_exchange(to).await;
             }
         }
     }
--- a/crates/lab/src/hollow/nbd.rs
+++ b/crates/lab/src/hollow/nbd.rs
@@ -1,7 +1,7 @@
-//! Endpoints and clients over NBD, whose reads go on through all faults.
+//! NBD endpoints and clients. The clients keep reading during all faults.
 
-use super::config::{EXPORTED, EXTENT};
-use crate::stand_ins::{nbd, Stream};
+use super::config::{EXPORTED_SHARDS, EXTENT_BYTES};
+use crate::stubs::{nbd, Stream};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use shaletack::nbd::codec::{cmd, simple_reply, Request};
@@ -14,14 +14,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// Bytes that an endpoint says it has.
+/// Size of an endpoint's export in bytes.
 const ENDPOINT_BYTES: u64 = 1 << 20;
-/// Bytes of a read.
-const READ: u32 = 4096;
-/// Reads of a client, each after the answer to the one before and this wait.
-const BETWEEN_READS: Duration = Duration::from_millis(50);
+/// Bytes of each read.
+const READ_BYTES: u32 = 4096;
+/// Pause between the answer to a client's read and its next read.
+const READ_PAUSE: Duration = Duration::from_millis(50);
 
-/// An endpoint that serves reads of zeros; where it listens.
+/// Starts an endpoint whose reads return zeros, and returns its address.
 pub async fn start_endpoint() -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let at = listener.local_addr()?;
@@ -33,6 +33,7 @@
     Ok(at)
 }
 
+/// Answers reads with zeros and acknowledges all other commands.
 async fn serve_endpoint(mut s: Stream) -> io::Result<()> {
     nbd::offer_export(&mut s, ENDPOINT_BYTES).await?;
     loop {
@@ -45,20 +46,21 @@
     }
 }
 
-/// Reads all over the export until its task is dropped, or its initiator ends; `read` counts those served and
-/// failed.
-pub async fn client(to: SocketAddr, seed: u64, read: Rc<[Cell<u64>; 2]>) -> io::Result<()> {
+/// Reads at random offsets of the export until the task is dropped or the initiator closes the connection.
+/// `counts` holds the numbers of served and of failed reads.
+pub async fn run_client(to: SocketAddr, seed: u64, counts: Rc<[Cell<u64>; 2]>) -> io::Result<()> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut s = BufReader::new(TcpStream::connect(to).await?);
     nbd::choose_export(&mut s, "serra").await?;
     for cookie in 1.. {
-        let offset = rng.random_range(0..EXPORTED as u64 * EXTENT / u64::from(READ)) * u64::from(READ);
-        let ask = Request { flags: 0, command: cmd::READ, cookie, offset, length: READ };
+        let offset = rng.random_range(0..EXPORTED_SHARDS as u64 * EXTENT_BYTES / u64::from(READ_BYTES))
+            * u64::from(READ_BYTES);
+        let ask = Request { flags: 0, command: cmd::READ, cookie, offset, length: READ_BYTES };
         s.write_all(&ask.encode()).await?;
         let served = nbd::is_served(&mut s).await?;
-        let count = &read[usize::from(!served)];
+        let count = &counts[usize::from(!served)];
         count.set(count.get() + 1);
-        tokio::time::sleep(BETWEEN_READS).await;
+        tokio::time::sleep(READ_PAUSE).await;
     }
     Ok(())
 }
--- a/crates/lab/src/hollow/report.rs
+++ b/crates/lab/src/hollow/report.rs
@@ -1,4 +1,4 @@
-//! The table of a run, a line for each initiator, and the figures that it amounts to.
+//! Writes the table of a run, with a row for each initiator, and prints its summary.
 
 use super::error::HollowError;
 use super::observed::quantile;
@@ -8,13 +8,16 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// What a run measured.
+/// Results of a run.
 pub struct Report {
-    /// Real processes, and all initiators.
+    /// Number of real processes.
     pub real: usize,
+    /// Number of all initiators, real and hollow.
     pub all: usize,
+    /// Results of the measuring windows.
     pub windows: Windows,
-    /// By drain and initiator: seconds from the first process's notice until it knew.
+    /// For each drain, the seconds from the notification of the first process until an initiator knew, by
+    /// initiator.
     pub delays: Vec<BTreeMap<usize, f64>>,
 }
 
@@ -26,6 +29,7 @@
         std::fs::write(path, table + "\n").map_err(HollowError::file(path))
     }
 
+    /// Returns the header line of the table.
     fn head(&self) -> String {
         let mut head = String::from("initiator");
         for (name, _) in self.windows.named() {
@@ -40,6 +44,7 @@
         head
     }
 
+    /// Returns the row of an initiator.
     fn line(&self, i: usize) -> String {
         let mut line = if i < self.real { format!("\nr{i}") } else { format!("\nh{i}") };
         for (_, window) in self.windows.named() {
@@ -56,7 +61,7 @@
         line
     }
 
-    /// Prints the figures of the windows, and last those of the run.
+    /// Prints the figures of the windows, and then those of the run.
     pub fn print(&self) {
         let mut known: Vec<f64> = self.delays.iter().flat_map(|delays| delays.values().copied()).collect();
         known.sort_by(f64::total_cmp);
@@ -76,16 +81,17 @@
         );
     }
 
-    /// What a real initiator spent in that window, on average.
+    /// Prints the traffic of a window; returns the mean cost of a real initiator in it as text.
     fn print_window(&self, name: &str, window: &Window) -> String {
         let both = |i: usize| window.bytes[i][0] + window.bytes[i][1];
-        let (hollow, carried) = (mean((self.real..self.all).map(both)), window.carried);
+        let (hollow, loopback) = (mean((self.real..self.all).map(both)), window.loopback_bytes_per_second);
         println!(
-            "{name}: a hollow one sent and received {hollow:.0} bytes/s; the loopback carried {carried:.0}"
+            "{name}: a hollow one sent and received {hollow:.0} bytes/s; the loopback carried {loopback:.0}"
         );
-        // Bytes between two real ones are not counted: each has as many peers among them as their part of all is.
+        // Bytes between two real initiators are not counted. The factor adds them, assuming that an initiator
+        // exchanges the same number of bytes with each peer.
         let uncounted = (self.all - 1) as f64 / (self.all - self.real) as f64;
-        // Of those that follow no list.
+        // The first process is left out, because it also follows the endpoint list.
         let bytes = mean((1..self.real).map(both)) * uncounted;
         let core = mean(window.real[1..].iter().map(|load| load.core_percent));
         let memory = mean(window.real[1..].iter().map(|load| load.memory_megabytes));
@@ -93,6 +99,7 @@
     }
 }
 
+/// Returns the mean, or 0 if there are no values.
 fn mean(of: impl Iterator<Item = f64>) -> f64 {
     let all: Vec<f64> = of.collect();
     all.iter().sum::<f64>() / all.len().max(1) as f64
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -12,7 +12,7 @@
 mod restart;
 mod scale;
 mod slopes;
-mod stand_ins;
+mod stubs;
 
 use cap::Cap;
 use lexopt::Arg::{Long, Short, Value};
--- a/crates/lab/src/scale/faults.rs
+++ b/crates/lab/src/scale/faults.rs
@@ -241,7 +241,7 @@
     recorder.record(format!("{name}:initiators"), initiators as f64);
     recorder.record(format!("{name}:taken_for_dead"), (fleet.counters.taken_for_dead - dead) as f64);
     recorder.record(format!("{name}:bytes_worst_second"), most(&|h| h.traffic.worst_second as f64));
-    recorder.record(format!("{name}:not_taken"), fleet.counters.invalid as f64);
+    recorder.record(format!("{name}:not_taken"), fleet.counters.invalid_data as f64);
     recorder.record(
         format!("{name}:ceilings_passed"),
         sum(&|h| h.observation_traffic.limit_exceeded_seconds + h.aggregation_traffic.limit_exceeded_seconds)
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -68,7 +68,7 @@
     /// Updates of the sums that brokers received.
     pub totals: u64,
     /// Datagrams and frames that were rejected.
-    pub invalid: u64,
+    pub invalid_data: u64,
 }
 
 /// The initiators and the events that are scheduled for them.
--- a/crates/lab/src/scale/fleet/exchange.rs
+++ b/crates/lab/src/scale/fleet/exchange.rs
@@ -166,7 +166,7 @@
                 self.broker_input(i, Input::PeerReports { from, round_trip: round_trip, reports }, true);
             }
             Ok(_) => {}
-            Err(_) => self.counters.invalid += 1,
+            Err(_) => self.counters.invalid_data += 1,
         }
     }
 }
--- a/crates/lab/src/scale/fleet/reducers.rs
+++ b/crates/lab/src/scale/fleet/reducers.rs
@@ -59,7 +59,7 @@
                     );
                 }
                 membership::Effect::DuplicateName { .. } => {}
-                membership::Effect::DatagramFailed(_) => self.counters.invalid += 1,
+                membership::Effect::DatagramFailed(_) => self.counters.invalid_data += 1,
             }
         }
     }
@@ -93,7 +93,7 @@
                 gossip::Effect::WakeAt(at) => self.set_timer(i, Reducer::Gossip, at),
                 gossip::Effect::ConfigRollout(_) => {}
                 gossip::Effect::DatagramRejected { .. } | gossip::Effect::InvalidItems { .. } => {
-                    self.counters.invalid += 1
+                    self.counters.invalid_data += 1
                 }
             }
         }
--- a/crates/lab/src/slopes/client.rs
+++ b/crates/lab/src/slopes/client.rs
@@ -2,7 +2,7 @@
 
 use super::endpoints::{READ_BYTES, SHARD_BYTES};
 use super::Front;
-use crate::stand_ins::{http, invalid, nbd, Stream};
+use crate::stubs::{http, invalid_data, nbd, Stream};
 use shaletack::nbd::codec::{cmd, Request};
 use std::io;
 use std::net::SocketAddr;
@@ -84,7 +84,7 @@
         let status = first
             .get(9..12)
             .and_then(|s| s.parse().ok())
-            .ok_or_else(|| invalid("the response has no status"))?;
+            .ok_or_else(|| invalid_data("the response has no status"))?;
         let length = http::content_length(&lines);
         self.stream.read_exact(&mut vec![0; length.unwrap_or(0)]).await?;
         Ok(status)
--- a/crates/lab/src/slopes/discovery.rs
+++ b/crates/lab/src/slopes/discovery.rs
@@ -1,7 +1,7 @@
 //! A stub of the platform's discovery service, which counts the traffic of its watches and publishes list
 //! changes on request.
 
-use crate::stand_ins::{http, listen, Stream};
+use crate::stubs::{http, listen, Stream};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
--- a/crates/lab/src/slopes/endpoints.rs
+++ b/crates/lab/src/slopes/endpoints.rs
@@ -1,7 +1,7 @@
 //! Stub endpoints that answer immediately, one for each shard, over HTTP or NBD.
 
 use super::Front;
-use crate::stand_ins::{http, invalid, listen, nbd, Stream};
+use crate::stubs::{http, invalid_data, listen, nbd, Stream};
 use shaletack::nbd::codec::{cmd, Request};
 use std::io;
 use std::net::SocketAddr;
@@ -60,7 +60,7 @@
     loop {
         let request = Request::read(&mut s).await?;
         if request.command != cmd::READ {
-            return Err(invalid("a stub endpoint serves only reads"));
+            return Err(invalid_data("a stub endpoint serves only reads"));
         }
         s.write_all(&nbd::read_reply(&request, b'x')).await?;
     }
--- a/crates/lab/src/stand_ins.rs
+++ b/crates/lab/src/stubs.rs
@@ -1,5 +1,5 @@
-//! What stands round the program in experiments on real sockets: parts of endpoints, clients and discovery that
-//! more than one experiment needs.
+//! Stubs of endpoints, clients and discovery for experiments on real sockets: the parts that more than one
+//! experiment uses.
 
 pub mod http;
 pub mod nbd;
@@ -10,15 +10,15 @@
 use tokio::io::BufReader;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A connection with what is read ahead of it.
+/// A connection with a read buffer.
 pub type Stream = BufReader<TcpStream>;
 
-/// The other side does not keep to the protocol.
-pub fn invalid(what: &str) -> io::Error {
+/// Returns an error for a violation of the protocol by the other side.
+pub fn invalid_data(what: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what.to_owned())
 }
 
-/// Listens on a free port of loopback and hands each connection to a task of its own; where that is.
+/// Listens on a free loopback port, handles each connection in a task of its own and returns the address.
 pub async fn listen<F>(each: impl Fn(Stream) -> F + Send + 'static) -> io::Result<SocketAddr>
 where
     F: Future<Output = io::Result<()>> + Send + 'static,
@@ -28,7 +28,7 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
-            // The process ends connections as it likes.
+            // Errors are ignored, because the process under test may close connections at any time.
             tokio::spawn(each(BufReader::new(stream)));
         }
     });
--- a/crates/lab/src/stand_ins/http.rs
+++ b/crates/lab/src/stubs/http.rs
@@ -1,10 +1,11 @@
-//! Heads of HTTP messages.
+//! Reads the headers of HTTP/1.1 messages.
 
 use super::Stream;
 use std::io;
 use tokio::io::AsyncBufReadExt;
 
-/// The lines of a message's head, each with its end; empty where the connection ended.
+/// Reads the start line and the header lines of a message, with their line endings. Returns no lines if the
+/// connection was closed.
 pub async fn read_head(stream: &mut Stream) -> io::Result<Vec<String>> {
     let mut lines = Vec::new();
     loop {
@@ -17,7 +18,7 @@
     }
 }
 
-/// Bytes of the body that the head announces, if it says so.
+/// Returns the value of the `Content-Length` header, if there is one.
 pub fn content_length(head: &[String]) -> Option<usize> {
     head.iter()
         .find_map(|line| line.to_ascii_lowercase().strip_prefix("content-length:")?.trim().parse().ok())
--- a/crates/lab/src/stand_ins/nbd.rs
+++ b/crates/lab/src/stubs/nbd.rs
@@ -1,7 +1,7 @@
-//! NBD in the fixed newstyle form as stand-ins speak it: an endpoint's side, which answers reads with equal bytes,
-//! and a client's.
+//! NBD with the fixed newstyle handshake, as far as the stubs need it: the endpoint's side, which answers
+//! reads with a repeated byte, and the client's side.
 
-use super::{invalid, Stream};
+use super::{invalid_data, Stream};
 use shaletack::nbd::codec::{
     chunk, chunk_head, info_request, opt, option, option_reply, rep, transmission_flag, Request,
     FIXED_NEWSTYLE, INIT_MAGIC, NO_ZEROES, OPT_MAGIC, STRUCTURED_REPLY_MAGIC,
@@ -9,10 +9,10 @@
 use std::io;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Either side's flags of the handshake.
+/// Handshake flags of both sides.
 const HANDSHAKE_FLAGS: u16 = FIXED_NEWSTYLE | NO_ZEROES;
 
-/// An endpoint's handshake, up to the client's choice of the export, which has so many bytes.
+/// Performs an endpoint's handshake until the client has chosen the export, whose size is `bytes`.
 pub async fn offer_export(s: &mut Stream, bytes: u64) -> io::Result<()> {
     s.write_all(&[INIT_MAGIC.to_be_bytes(), OPT_MAGIC.to_be_bytes()].concat()).await?;
     s.write_all(&HANDSHAKE_FLAGS.to_be_bytes()).await?;
@@ -37,7 +37,7 @@
     }
 }
 
-/// The answer to a read: one chunk, in which each byte is `fill`.
+/// Encodes the answer to a read: one chunk, in which each byte is `fill`.
 pub fn read_reply(request: &Request, fill: u8) -> Vec<u8> {
     let length = request.length as usize;
     let mut reply = chunk_head(chunk::DONE, chunk::OFFSET_DATA, request.cookie, 8 + length);
@@ -46,10 +46,10 @@
     reply
 }
 
-/// A client's handshake: structured replies and one export, both options in one write.
+/// Performs a client's handshake: requests structured replies and an export, with both options in one write.
 pub async fn choose_export(s: &mut Stream, export: &str) -> io::Result<()> {
     if (s.read_u64().await?, s.read_u64().await?) != (INIT_MAGIC, OPT_MAGIC) {
-        return Err(invalid("no NBD server"));
+        return Err(invalid_data("the other side is not an NBD server"));
     }
     s.read_u16().await?;
     let flags = u32::from(HANDSHAKE_FLAGS).to_be_bytes();
@@ -64,18 +64,18 @@
         match kind {
             rep::ACK => acknowledged += 1,
             rep::INFO => {}
-            _ => return Err(invalid("an option was refused")),
+            _ => return Err(invalid_data("the server refused an option")),
         }
     }
     Ok(())
 }
 
-/// Reads the chunks of the next reply; whether the request was served.
+/// Reads the chunks of the next reply and returns whether the request was served.
 pub async fn is_served(s: &mut Stream) -> io::Result<bool> {
     let mut served = true;
     loop {
         if s.read_u32().await? != STRUCTURED_REPLY_MAGIC {
-            return Err(invalid("no chunk"));
+            return Err(invalid_data("not a structured reply chunk"));
         }
         let (flags, kind) = (s.read_u16().await?, s.read_u16().await?);
         s.read_u64().await?;
