--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -105,7 +105,7 @@
 
 struct Initiator {
     broker: Broker,
-    me: Observer,
+    identity: Observer,
     /// `None` after it was killed.
     incarnation: Option<u64>,
     timer_id: u64,
@@ -195,26 +195,26 @@
             isolated: None,
             draining: BTreeSet::new(),
         };
-        for i in 0..config.initiators {
-            let initiator = fleet.new_initiator(i, Duration::ZERO);
+        for index in 0..config.initiators {
+            let initiator = fleet.new_initiator(index, Duration::ZERO);
             fleet.initiators.push(initiator);
-            fleet.start_initiator(i, EndpointListKind::Full);
+            fleet.start_initiator(index, EndpointListKind::Full);
         }
         fleet
     }
 
-    fn new_initiator(&mut self, i: usize, list_updates_from: Duration) -> Initiator {
-        let me = Observer { name: format!("n{i}"), incarnation: self.rng.random() };
+    fn new_initiator(&mut self, initiator: usize, list_updates_from: Duration) -> Initiator {
+        let identity = Observer { name: format!("n{initiator}"), incarnation: self.rng.random() };
         let now = self.origin + self.now;
-        let set = Settings { rank: i as u32, ..settings(&self.config) };
-        let broker = Broker::new(set, self.rng.random(), Clock::new(self.origin, UNIX_START), now);
-        let broker = if self.config.peers { broker.with_peers(me.clone()) } else { broker };
+        let settings = Settings { rank: initiator as u32, ..settings(&self.config) };
+        let broker = Broker::new(settings, self.rng.random(), Clock::new(self.origin, UNIX_START), now);
+        let broker = if self.config.peers { broker.with_peers(identity.clone()) } else { broker };
         Initiator {
             broker,
-            incarnation: Some(me.incarnation),
-            me,
+            incarnation: Some(identity.incarnation),
+            identity,
             timer_id: 0,
-            next_peer: i + 1,
+            next_peer: initiator + 1,
             client_rng: StdRng::seed_from_u64(self.rng.random()),
             open: BTreeMap::new(),
             list_updates_from,
@@ -223,91 +223,101 @@
     }
 
     /// Gives an initiator its first list and schedules its events.
-    fn start_initiator(&mut self, i: usize, kind: EndpointListKind) {
+    fn start_initiator(&mut self, initiator: usize, kind: EndpointListKind) {
         // A cached list shows the fleet as it was at the start of the run.
         let fresh = kind == EndpointListKind::Full;
-        let entries = (0..self.endpoints.len()).map(|b| self.endpoint_record(b, fresh)).collect();
+        let entries =
+            (0..self.endpoints.len()).map(|endpoint| self.endpoint_record(endpoint, fresh)).collect();
         let revision = if fresh { self.revision } else { 1 };
-        self.step(i, Input::EndpointList(EndpointList { revision, kind, entries }));
-        let incarnation = self.initiators[i].me.incarnation;
+        self.step(initiator, Input::EndpointList(EndpointList { revision, kind, entries }));
+        let incarnation = self.initiators[initiator].identity.incarnation;
         if self.config.peers {
             if !fresh {
-                (0..self.config.initiators).for_each(|peer| self.exchange(i, peer));
+                (0..self.config.initiators).for_each(|peer| self.exchange(initiator, peer));
             }
-            let first = Duration::from_millis(150 + 200 * i as u64);
-            self.schedule(first, Event::ExchangeDue(i, incarnation));
+            let first = Duration::from_millis(150 + 200 * initiator as u64);
+            self.schedule(first, Event::ExchangeDue(initiator, incarnation));
         }
-        let first = self.next_request_in(i);
-        self.schedule(first, Event::RequestDue(i));
+        let first = self.next_request_in(initiator);
+        self.schedule(first, Event::RequestDue(initiator));
         self.schedule(
-            self.initiators[i].list_updates_from.saturating_sub(self.now) + 2 * SECOND,
-            Event::ListRefreshes(i),
+            self.initiators[initiator].list_updates_from.saturating_sub(self.now) + 2 * SECOND,
+            Event::ListRefreshes(initiator),
         );
     }
 
     /// Kills an initiator; its clients send no more requests.
-    pub fn kill(&mut self, i: usize) {
-        self.initiators[i].incarnation = None;
-        self.events.retain(|_, e| !matches!(e, Event::RequestDue(n) | Event::ListRefreshes(n) if *n == i));
+    pub fn kill(&mut self, initiator: usize) {
+        self.initiators[initiator].incarnation = None;
+        self.events
+            .retain(|_, e| !matches!(e, Event::RequestDue(n) | Event::ListRefreshes(n) if *n == initiator));
     }
 
     /// Restarts an initiator with the list that it was first started with. Updates of the list reach it only
     /// after `list_silent_for`.
-    pub fn restart_with_stale_list(&mut self, i: usize, list_silent_for: Duration) {
+    pub fn restart_with_stale_list(&mut self, initiator: usize, list_silent_for: Duration) {
         let list_updates_from = self.now + list_silent_for;
-        self.initiators[i] = self.new_initiator(i, list_updates_from);
-        self.start_initiator(i, EndpointListKind::Cached);
+        self.initiators[initiator] = self.new_initiator(initiator, list_updates_from);
+        self.start_initiator(initiator, EndpointListKind::Cached);
     }
 
     /// Returns the counts of an initiator's requests since its last start.
-    pub fn request_counts(&self, i: usize) -> &RequestCounts {
-        &self.initiators[i].request_counts
+    pub fn request_counts(&self, initiator: usize) -> &RequestCounts {
+        &self.initiators[initiator].request_counts
     }
 
     /// Changes how an endpoint treats requests. With `listed`, the endpoint list shows it as draining: the
     /// list announces drains, removals and starts, but no faults.
-    pub fn set_mode(&mut self, b: usize, mode: Mode, listed: bool) {
-        self.endpoints[b].mode = mode;
+    pub fn set_mode(&mut self, endpoint: usize, mode: Mode, listed: bool) {
+        self.endpoints[endpoint].mode = mode;
         if listed {
-            self.draining.insert(b);
-            self.publish_list_change(b);
+            self.draining.insert(endpoint);
+            self.publish_list_change(endpoint);
         }
     }
 
     /// Restarts an endpoint and announces the start in the endpoint list.
-    pub fn restart(&mut self, b: usize) {
-        self.endpoints[b].restart(self.now);
-        self.publish_list_change(b);
+    pub fn restart(&mut self, endpoint: usize) {
+        self.endpoints[endpoint].restart(self.now);
+        self.publish_list_change(endpoint);
     }
 
     /// Sends an endpoint's new entry to all initiators that receive list updates.
-    fn publish_list_change(&mut self, b: usize) {
+    fn publish_list_change(&mut self, endpoint: usize) {
         self.revision += 1;
-        for i in 0..self.initiators.len() {
-            if self.initiators[i].incarnation.is_some() && self.initiators[i].list_updates_from <= self.now {
-                let entries = vec![self.endpoint_record(b, true)];
+        for initiator in 0..self.initiators.len() {
+            if self.initiators[initiator].incarnation.is_some()
+                && self.initiators[initiator].list_updates_from <= self.now
+            {
+                let entries = vec![self.endpoint_record(endpoint, true)];
                 let kind = EndpointListKind::Delta;
-                self.step(i, Input::EndpointList(EndpointList { revision: self.revision, kind, entries }));
+                self.step(
+                    initiator,
+                    Input::EndpointList(EndpointList { revision: self.revision, kind, entries }),
+                );
             }
         }
     }
 
     /// Returns an endpoint's entry in the current list, or with `fresh` unset in the first one.
-    fn endpoint_record(&self, b: usize, fresh: bool) -> EndpointRecord {
-        let ready = !(fresh && self.draining.contains(&b));
+    fn endpoint_record(&self, endpoint: usize, fresh: bool) -> EndpointRecord {
+        let ready = !(fresh && self.draining.contains(&endpoint));
         EndpointRecord {
-            id: format!("s-{b:08x}"),
-            address: Some(SocketAddr::from(([127, 0, 0, 1], b as u16))),
+            id: format!("s-{endpoint:08x}"),
+            address: Some(SocketAddr::from(([127, 0, 0, 1], endpoint as u16))),
             zone: String::new(),
-            shard: self.endpoints[b].shard,
+            shard: self.endpoints[endpoint].shard,
             readiness: if ready { Readiness::Ready } else { Readiness::Draining },
-            up_since: self.endpoints[b].started_at.filter(|_| fresh).map(|started| UNIX_START + started),
+            up_since: self.endpoints[endpoint]
+                .started_at
+                .filter(|_| fresh)
+                .map(|started| UNIX_START + started),
         }
     }
 
     /// Returns the time to an initiator's next request, drawn from an exponential distribution.
-    fn next_request_in(&mut self, i: usize) -> Duration {
-        let uniform: f64 = self.initiators[i].client_rng.random();
+    fn next_request_in(&mut self, initiator: usize) -> Duration {
+        let uniform: f64 = self.initiators[initiator].client_rng.random();
         Duration::from_secs_f64(-(1.0 - uniform).ln() / self.config.rate)
     }
 
@@ -328,14 +338,16 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::RequestDue(i) => {
-                let next = self.next_request_in(i);
-                self.schedule(next, Event::RequestDue(i));
-                self.start_request(i);
+            Event::RequestDue(initiator) => {
+                let next = self.next_request_in(initiator);
+                self.schedule(next, Event::RequestDue(initiator));
+                self.start_request(initiator);
             }
-            Event::TimerFires(i, timer_id) => {
-                if self.initiators[i].timer_id == timer_id && self.initiators[i].incarnation.is_some() {
-                    self.step(i, Input::TimerFired);
+            Event::TimerFires(initiator, timer_id) => {
+                if self.initiators[initiator].timer_id == timer_id
+                    && self.initiators[initiator].incarnation.is_some()
+                {
+                    self.step(initiator, Input::TimerFired);
                 }
             }
             Event::AttemptArrives { from, incarnation, request, number, at } => {
@@ -367,36 +379,40 @@
                     );
                 }
             }
-            Event::ExchangeDue(i, incarnation) => {
-                if self.initiators[i].incarnation == Some(incarnation) {
-                    let peer = self.initiators[i].next_peer % self.initiators.len();
-                    self.initiators[i].next_peer = peer + 1;
-                    self.exchange(i, peer);
-                    self.schedule(SECOND, Event::ExchangeDue(i, incarnation));
+            Event::ExchangeDue(initiator, incarnation) => {
+                if self.initiators[initiator].incarnation == Some(incarnation) {
+                    let peer = self.initiators[initiator].next_peer % self.initiators.len();
+                    self.initiators[initiator].next_peer = peer + 1;
+                    self.exchange(initiator, peer);
+                    self.schedule(SECOND, Event::ExchangeDue(initiator, incarnation));
                 }
             }
-            Event::ListRefreshes(i) => {
+            Event::ListRefreshes(initiator) => {
                 // A full list is sent each time; after a start with a stale list, it is the first update.
                 let kind = EndpointListKind::Full;
-                let entries = (0..self.endpoints.len()).map(|b| self.endpoint_record(b, true)).collect();
-                self.step(i, Input::EndpointList(EndpointList { revision: self.revision, kind, entries }));
-                self.schedule(2 * SECOND, Event::ListRefreshes(i));
+                let entries =
+                    (0..self.endpoints.len()).map(|endpoint| self.endpoint_record(endpoint, true)).collect();
+                self.step(
+                    initiator,
+                    Input::EndpointList(EndpointList { revision: self.revision, kind, entries }),
+                );
+                self.schedule(2 * SECOND, Event::ListRefreshes(initiator));
             }
         }
     }
 
     /// Exchanges reports between two initiators, one encoded frame in each direction.
-    fn exchange(&mut self, i: usize, peer: usize) {
-        let isolated = [i, peer].iter().any(|n| self.isolated == Some(*n));
-        if i == peer || isolated || self.initiators[peer].incarnation.is_none() {
+    fn exchange(&mut self, initiator: usize, peer: usize) {
+        let isolated = [initiator, peer].iter().any(|n| self.isolated == Some(*n));
+        if initiator == peer || isolated || self.initiators[peer].incarnation.is_none() {
             return;
         }
         let now = self.origin + self.now;
-        let frames = [i, peer].map(|n| {
-            let (me, broker) = (&self.initiators[n].me, &self.initiators[n].broker);
-            frame::encode(me, 2 * ONE_WAY_DELAY, broker.peer_reports(now))
+        let frames = [initiator, peer].map(|n| {
+            let (identity, broker) = (&self.initiators[n].identity, &self.initiators[n].broker);
+            frame::encode(identity, 2 * ONE_WAY_DELAY, broker.peer_reports(now))
         });
-        for (to, bytes) in [(peer, &frames[0]), (i, &frames[1])] {
+        for (to, bytes) in [(peer, &frames[0]), (initiator, &frames[1])] {
             let message =
                 frame::decode(bytes).unwrap_or_else(|why| panic!("an encoded frame does not decode: {why}"));
             self.step(
@@ -411,10 +427,10 @@
     }
 
     /// Draws a request of an initiator's clients and passes it to the broker.
-    fn start_request(&mut self, i: usize) {
+    fn start_request(&mut self, initiator: usize) {
         self.last_sequence += 1;
         let request = self.last_sequence;
-        let client_rng = &mut self.initiators[i].client_rng;
+        let client_rng = &mut self.initiators[initiator].client_rng;
         let is_write = client_rng.random_bool(self.config.write_fraction);
         let units = f64::from(client_rng.random_range(1..=3u32));
         let (shard, volume) =
@@ -429,32 +445,32 @@
             time_remaining: 1200 * MILLISECOND,
             ..IncomingRequest::default()
         };
-        self.initiators[i].request_counts.arrived += 1;
-        self.initiators[i].open.insert(request, OpenRequest { arrived_at: self.now, units });
-        self.step(i, Input::RequestArrived { id: request, request: incoming });
+        self.initiators[initiator].request_counts.arrived += 1;
+        self.initiators[initiator].open.insert(request, OpenRequest { arrived_at: self.now, units });
+        self.step(initiator, Input::RequestArrived { id: request, request: incoming });
     }
 
     /// Passes an input to an initiator's broker and carries out the effects.
-    fn step(&mut self, i: usize, input: Input) {
-        let effects = self.initiators[i].broker.step(self.origin + self.now, input);
-        let incarnation = self.initiators[i].me.incarnation;
+    fn step(&mut self, initiator: usize, input: Input) {
+        let effects = self.initiators[initiator].broker.step(self.origin + self.now, input);
+        let incarnation = self.initiators[initiator].identity.incarnation;
         for effect in effects {
             match effect {
                 Effect::StartAttempt { attempt: AttemptId { request, number }, to, .. } => {
                     let at = usize::from(to.port());
                     let misdirected = self.endpoints[at].mode != Mode::Serving;
-                    self.initiators[i].request_counts.misdirected += u64::from(misdirected);
+                    self.initiators[initiator].request_counts.misdirected += u64::from(misdirected);
                     self.schedule(
                         ONE_WAY_DELAY,
-                        Event::AttemptArrives { from: i, incarnation, request, number, at },
+                        Event::AttemptArrives { from: initiator, incarnation, request, number, at },
                     );
                 }
                 Effect::Respond { request, answer } => {
-                    let (now, initiator) = (self.now, &mut self.initiators[i]);
-                    let Some(OpenRequest { arrived_at, .. }) = initiator.open.remove(&request) else {
+                    let (now, state) = (self.now, &mut self.initiators[initiator]);
+                    let Some(OpenRequest { arrived_at, .. }) = state.open.remove(&request) else {
                         continue;
                     };
-                    let request_counts = &mut initiator.request_counts;
+                    let request_counts = &mut state.request_counts;
                     match answer {
                         Answer::Served(_) => request_counts.served += 1,
                         Answer::Rejected(_) => request_counts.rejected += 1,
@@ -465,10 +481,10 @@
                 Effect::SetTimer(at) => {
                     self.last_sequence += 1;
                     let timer_id = self.last_sequence;
-                    self.initiators[i].timer_id = timer_id;
+                    self.initiators[initiator].timer_id = timer_id;
                     // The timers of the program's runtime have a resolution of one millisecond.
                     let after = (at - self.origin).saturating_sub(self.now).max(MILLISECOND);
-                    self.schedule(after, Event::TimerFires(i, timer_id));
+                    self.schedule(after, Event::TimerFires(initiator, timer_id));
                 }
                 // An aborted attempt is still served by its endpoint, as by a real one; that work is wasted.
                 Effect::AbortAttempt(..) | Effect::Log(_) | Effect::Broadcast(_) => {}
--- a/crates/lab/src/scale/faults.rs
+++ b/crates/lab/src/scale/faults.rs
@@ -222,7 +222,7 @@
         fleet.run_until(fleet.now + 2 * SECOND);
     }
     fleet.reset_costs();
-    let dead = fleet.counters.taken_for_dead;
+    let dead = fleet.counters.false_deaths;
     let mut rng = StdRng::seed_from_u64(seed ^ 0xfa17);
     let notified_initiator = rng.random_range(0..initiators);
     let (draining, notified) = (BTreeSet::new(), BTreeSet::new());
@@ -239,9 +239,9 @@
     let sum = |of: &dyn Fn(&super::fleet::Hollow) -> u64| fleet.hollows.iter().map(of).sum::<u64>();
     let most = |of: &dyn Fn(&super::fleet::Hollow) -> f64| fleet.hollows.iter().map(of).fold(0.0, f64::max);
     recorder.record(format!("{name}:initiators"), initiators as f64);
-    recorder.record(format!("{name}:taken_for_dead"), (fleet.counters.taken_for_dead - dead) as f64);
+    recorder.record(format!("{name}:taken_for_dead"), (fleet.counters.false_deaths - dead) as f64);
     recorder.record(format!("{name}:bytes_worst_second"), most(&|h| h.traffic.worst_second as f64));
-    recorder.record(format!("{name}:not_taken"), fleet.counters.invalid_data as f64);
+    recorder.record(format!("{name}:not_taken"), fleet.counters.rejected_messages as f64);
     recorder.record(
         format!("{name}:ceilings_passed"),
         sum(&|h| h.observation_traffic.limit_exceeded_seconds + h.aggregation_traffic.limit_exceeded_seconds)
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -64,11 +64,11 @@
     /// Exchanges that failed.
     pub failed: u64,
     /// Times that a live, reachable member was considered dead.
-    pub taken_for_dead: u64,
+    pub false_deaths: u64,
     /// Updates of the sums that brokers received.
     pub totals: u64,
     /// Datagrams and frames that were rejected.
-    pub invalid_data: u64,
+    pub rejected_messages: u64,
 }
 
 /// The initiators and the events that are scheduled for them.
@@ -115,25 +115,27 @@
             gossip_enabled: false,
             busy: false,
         };
-        for i in 0..size.initiators {
-            let hollow = fleet.new_hollow(i, i, 0);
+        for initiator in 0..size.initiators {
+            let hollow = fleet.new_hollow(initiator, initiator, 0);
             fleet.hollows.push(hollow);
         }
-        (0..size.initiators).for_each(|i| fleet.start_hollow(i, EndpointListKind::Full));
+        (0..size.initiators).for_each(|initiator| fleet.start_hollow(initiator, EndpointListKind::Full));
         fleet
     }
 
     /// Gives an initiator its first list and starts its membership.
-    fn start_hollow(&mut self, i: usize, kind: EndpointListKind) {
-        let entries = (0..self.size.endpoints).map(|b| self.member(b, Readiness::Ready)).collect();
-        self.broker_input(i, Input::EndpointList(EndpointList { revision: 1, kind, entries }), false);
-        self.membership_input(i, membership::Input::TimerExpired);
+    fn start_hollow(&mut self, initiator: usize, kind: EndpointListKind) {
+        let entries = (0..self.size.endpoints)
+            .map(|endpoint| self.endpoint_record(endpoint, Readiness::Ready))
+            .collect();
+        self.broker_input(initiator, Input::EndpointList(EndpointList { revision: 1, kind, entries }), false);
+        self.membership_input(initiator, membership::Input::TimerExpired);
         if self.gossip_enabled {
             // All configured peers are asked at once, before anything else.
-            for to in JOIN_TARGETS.into_iter().filter(|to| *to != i) {
-                self.start_exchange(i, to);
+            for to in JOIN_TARGETS.into_iter().filter(|to| *to != initiator) {
+                self.start_exchange(initiator, to);
             }
-            self.schedule_gossip(i);
+            self.schedule_gossip(initiator);
         }
     }
 
@@ -142,28 +144,29 @@
         self.enable_gossip();
         // Exchanges take different times, so that after some hours each initiator is at a different position
         // in the order of addresses.
-        for i in 0..self.hollows.len() {
+        for initiator in 0..self.hollows.len() {
             let last = self.rng.random_range(0..self.hollows.len());
-            self.hollows[i].last_exchanged = Some(initiator_address(last));
+            self.hollows[initiator].last_exchanged = Some(initiator_address(last));
         }
-        (0..self.hollows.len()).for_each(|i| self.schedule_gossip(i));
+        (0..self.hollows.len()).for_each(|initiator| self.schedule_gossip(initiator));
     }
 
     /// Starts to exchange reports, as in a fleet that has just started: each initiator begins with the first
     /// member in the order of addresses.
     pub fn start_gossip_at_once(&mut self) {
         self.enable_gossip();
-        (0..self.hollows.len()).for_each(|i| self.schedule_gossip(i));
+        (0..self.hollows.len()).for_each(|initiator| self.schedule_gossip(initiator));
     }
 
     /// Enables gossip and tells it of the members that are known.
     fn enable_gossip(&mut self) {
         self.gossip_enabled = true;
-        for i in 0..self.hollows.len() {
-            let members: Vec<membership::Member> = self.hollows[i].membership.others().cloned().collect();
+        for initiator in 0..self.hollows.len() {
+            let members: Vec<membership::Member> =
+                self.hollows[initiator].membership.others().cloned().collect();
             for peer in members {
                 self.gossip_input(
-                    i,
+                    initiator,
                     gossip::Input::MemberUp { address: peer.address, incarnation: peer.incarnation },
                 );
             }
@@ -171,41 +174,41 @@
     }
 
     /// Schedules an initiator's first exchange and contribution.
-    fn schedule_gossip(&mut self, i: usize) {
-        let generation = self.hollows[i].generation;
+    fn schedule_gossip(&mut self, initiator: usize) {
+        let generation = self.hollows[initiator].generation;
         let first = Duration::from_nanos(self.rng.random_range(0..EXCHANGE_INTERVAL.as_nanos() as u64));
-        self.schedule(self.now + first, Event::ExchangeDue { at: i, generation });
+        self.schedule(self.now + first, Event::ExchangeDue { at: initiator, generation });
         if self.arm == Arm::After {
-            self.gossip_input(i, gossip::Input::ConfigVersion(Some(1)));
-            self.schedule(self.now + first / 2, Event::ContributionDue { at: i, generation });
+            self.gossip_input(initiator, gossip::Input::ConfigVersion(Some(1)));
+            self.schedule(self.now + first / 2, Event::ContributionDue { at: initiator, generation });
         }
         if self.busy {
-            self.schedule_requests(i);
+            self.schedule_requests(initiator);
         }
     }
 
     /// Starts the clients of all initiators, which use volumes at varying rates.
     pub fn start_load(&mut self) {
         self.busy = true;
-        (0..self.hollows.len()).for_each(|i| self.schedule_requests(i));
+        (0..self.hollows.len()).for_each(|initiator| self.schedule_requests(initiator));
     }
 
     /// Schedules the first request of an initiator's clients.
-    fn schedule_requests(&mut self, i: usize) {
+    fn schedule_requests(&mut self, initiator: usize) {
         let first = self.rng.random_range(0..REQUEST_INTERVAL.as_nanos() as u64);
-        let generation = self.hollows[i].generation;
+        let generation = self.hollows[initiator].generation;
         self.schedule(
             self.now + Duration::from_nanos(first),
-            Event::RequestDue { at: i, generation, number: 1 },
+            Event::RequestDue { at: initiator, generation, number: 1 },
         );
     }
 
-    fn member(&self, b: usize, readiness: Readiness) -> EndpointRecord {
+    fn endpoint_record(&self, endpoint: usize, readiness: Readiness) -> EndpointRecord {
         EndpointRecord {
-            id: format!("s-{b:08x}"),
-            address: Some(SocketAddr::from(([127, 0, 0, 1], 10_000 + b as u16))),
-            zone: format!("z{}", b % self.size.zones),
-            shard: (b / 2) as u16,
+            id: format!("s-{endpoint:08x}"),
+            address: Some(SocketAddr::from(([127, 0, 0, 1], 10_000 + endpoint as u16))),
+            zone: format!("z{}", endpoint % self.size.zones),
+            shard: (endpoint / 2) as u16,
             readiness,
             up_since: None,
         }
@@ -214,37 +217,38 @@
     /// Sends a change of the endpoint list to one initiator; the others receive none.
     pub fn deliver_list_change(
         &mut self,
-        i: usize,
+        initiator: usize,
         endpoints: impl IntoIterator<Item = usize>,
         readiness: Readiness,
     ) {
         self.revision += 1;
-        let entries = endpoints.into_iter().map(|b| self.member(b, readiness)).collect();
+        let entries =
+            endpoints.into_iter().map(|endpoint| self.endpoint_record(endpoint, readiness)).collect();
         let kind = EndpointListKind::Delta;
         self.broker_input(
-            i,
+            initiator,
             Input::EndpointList(EndpointList { revision: self.revision, kind, entries }),
             false,
         );
     }
 
     /// Kills an initiator's process.
-    pub fn kill(&mut self, i: usize) {
-        let hollow = &mut self.hollows[i];
+    pub fn kill(&mut self, initiator: usize) {
+        let hollow = &mut self.hollows[initiator];
         (hollow.alive, hollow.generation) = (false, hollow.generation + 1);
     }
 
     /// Starts a new process at the address of an initiator.
-    pub fn restart(&mut self, i: usize) {
-        self.restart_as(i, i);
+    pub fn restart(&mut self, initiator: usize) {
+        self.restart_as(initiator, initiator);
     }
 
     /// Starts a new process at the address of an initiator, under the name of another one.
-    pub fn restart_as(&mut self, i: usize, named: usize) {
-        let generation = self.hollows[i].generation + 1;
-        let traffic = self.hollows[i].traffic;
-        self.hollows[i] = Hollow { traffic, ..self.new_hollow(i, named, generation) };
-        self.start_hollow(i, EndpointListKind::Cached);
+    pub fn restart_as(&mut self, initiator: usize, name_of: usize) {
+        let generation = self.hollows[initiator].generation + 1;
+        let traffic = self.hollows[initiator].traffic;
+        self.hollows[initiator] = Hollow { traffic, ..self.new_hollow(initiator, name_of, generation) };
+        self.start_hollow(initiator, EndpointListKind::Cached);
     }
 
     /// Sends `count` datagrams with random contents to initiators drawn at random, like datagrams that no
@@ -265,13 +269,13 @@
     }
 
     /// Stops an initiator's process.
-    pub fn pause(&mut self, i: usize) {
-        self.hollows[i].paused = true;
+    pub fn pause(&mut self, initiator: usize) {
+        self.hollows[initiator].paused = true;
     }
 
     /// Resumes an initiator's process; all events that were deferred arrive at once.
-    pub fn resume(&mut self, i: usize) {
-        let hollow = &mut self.hollows[i];
+    pub fn resume(&mut self, initiator: usize) {
+        let hollow = &mut self.hollows[initiator];
         hollow.paused = false;
         hollow.deferred_bytes = 0;
         for event in std::mem::take(&mut hollow.deferred_events) {
@@ -290,12 +294,12 @@
     /// confirmation that it supports gossip datagrams.
     pub fn unconfirmed_pair_fraction(&self) -> f64 {
         let alive = self.hollows.iter().filter(|h| h.alive).count();
-        let unmet = self
+        let unconfirmed = self
             .hollows
             .iter()
             .filter(|h| h.alive && self.arm == Arm::After)
             .map(|h| h.gossip.unconfirmed_members().count());
-        unmet.sum::<usize>() as f64 / (alive * (alive - 1)).max(1) as f64
+        unconfirmed.sum::<usize>() as f64 / (alive * (alive - 1)).max(1) as f64
     }
 
     /// Resets the counts of bytes and processor time.
--- a/crates/lab/src/scale/fleet/delivery.rs
+++ b/crates/lab/src/scale/fleet/delivery.rs
@@ -30,11 +30,11 @@
                     self.start_due_exchange(at, generation);
                 }
             }
-            Event::ExchangeRequest { to, from, generation, began, sent, frame } => {
+            Event::ExchangeRequest { to, from, generation, started, sent, frame } => {
                 // A stopped process would answer only after the peer's timeout.
                 let hollow = &self.hollows[to];
                 if hollow.alive && !hollow.paused && !hollow.unresponsive && self.links.connected(from, to) {
-                    self.answer_exchange(to, from, generation, began, sent, &frame);
+                    self.answer_exchange(to, from, generation, started, sent, &frame);
                 }
             }
             Event::ExchangeReply { to, generation, round_trip, frame } => {
@@ -143,11 +143,11 @@
     /// event if the process is stopped and its receive buffer has space for the event.
     pub(super) fn accepts_event(
         &mut self,
-        i: usize,
+        initiator: usize,
         generation: Option<u64>,
         event: impl FnOnce() -> (Event, usize),
     ) -> bool {
-        let hollow = &mut self.hollows[i];
+        let hollow = &mut self.hollows[initiator];
         if !hollow.alive || generation.is_some_and(|generation| generation != hollow.generation) {
             return false;
         }
--- a/crates/lab/src/scale/fleet/event.rs
+++ b/crates/lab/src/scale/fleet/event.rs
@@ -19,7 +19,7 @@
         to: usize,
         from: usize,
         generation: u64,
-        began: Duration,
+        started: Duration,
         sent: Duration,
         frame: Vec<u8>,
     },
--- a/crates/lab/src/scale/fleet/hollow.rs
+++ b/crates/lab/src/scale/fleet/hollow.rs
@@ -85,28 +85,33 @@
 
 impl Fleet {
     /// Creates a process that knows the first endpoint list and two peer addresses.
-    pub(super) fn new_hollow(&mut self, i: usize, named: usize, generation: u64) -> Hollow {
+    pub(super) fn new_hollow(&mut self, initiator: usize, named: usize, generation: u64) -> Hollow {
         let incarnation = self.rng.random();
-        let identity = Observer { name: format!("init-{named:04}"), incarnation: incarnation };
+        let identity = Observer { name: format!("init-{named:04}"), incarnation };
         let epoch = (UNIX_START + self.now).as_millis() as u64;
         let peer = membership::Member {
             name: identity.name.clone(),
-            incarnation: incarnation,
+            incarnation,
             epoch,
-            address: initiator_address(i),
+            address: initiator_address(initiator),
         };
-        let settings = Settings { rank: i as u32, ..fleet_settings(&self.size) };
+        let settings = Settings { rank: initiator as u32, ..fleet_settings(&self.size) };
         let clock = Clock::new(self.origin, UNIX_START + self.now);
         let broker =
             Broker::new(settings, self.rng.random(), clock, self.origin).with_peers(identity.clone());
         let volumes_used = VOLUMES_PER_INITIATOR.min(self.size.volumes);
         let from = self.rng.random_range(0..self.size.volumes as u64);
-        let placement = Placement::of(i, self.size.regions, self.size.zones);
+        let placement = Placement::of(initiator, self.size.regions, self.size.zones);
         let numbered = |kind: &str, number: usize| format!("{kind}{number}");
         let locality =
             Locality { region: numbered("r", placement.region), zone: numbered("z", placement.zone) };
-        let gossip =
-            Gossip::new(identity.clone(), initiator_address(i), locality, self.rng.random(), Duration::ZERO);
+        let gossip = Gossip::new(
+            identity.clone(),
+            initiator_address(initiator),
+            locality,
+            self.rng.random(),
+            Duration::ZERO,
+        );
         Hollow {
             placement,
             alive: true,
--- a/crates/lab/src/scale/fleet/reducers.rs
+++ b/crates/lab/src/scale/fleet/reducers.rs
@@ -29,54 +29,56 @@
 
 impl Fleet {
     /// Passes an input to membership and carries out the effects.
-    pub(super) fn membership_input(&mut self, i: usize, input: membership::Input) {
-        let hollow = &mut self.hollows[i];
+    pub(super) fn membership_input(&mut self, initiator: usize, input: membership::Input) {
+        let hollow = &mut self.hollows[initiator];
         let now = hollow.local_time(self.now);
         let effects = measure_cpu(&mut hollow.cpu_time[Reducer::Membership as usize], || {
             hollow.membership.step(now, input)
         });
         for effect in effects {
             match effect {
-                membership::Effect::Send { to, datagram: bytes } => self.send(i, initiator_index(to), bytes),
-                membership::Effect::SetTimer(at) => self.set_timer(i, Reducer::Membership, at),
+                membership::Effect::Send { to, datagram: bytes } => {
+                    self.send(initiator, initiator_index(to), bytes)
+                }
+                membership::Effect::SetTimer(at) => self.set_timer(initiator, Reducer::Membership, at),
                 membership::Effect::MemberDown(peer) => {
                     let of = initiator_index(peer.address);
-                    let there = self
+                    let alive = self
                         .hollows
                         .get(of)
                         .is_some_and(|h| h.alive && h.identity.incarnation == peer.incarnation);
-                    let troubled = self.now < self.faults_until || !self.links.connected(i, of);
-                    self.counters.taken_for_dead += u64::from(there && !troubled);
+                    let excused = self.now < self.faults_until || !self.links.connected(initiator, of);
+                    self.counters.false_deaths += u64::from(alive && !excused);
                     self.gossip_input(
-                        i,
+                        initiator,
                         gossip::Input::MemberDown { address: peer.address, incarnation: peer.incarnation },
                     );
                 }
                 membership::Effect::MemberUp(peer) => {
                     self.gossip_input(
-                        i,
+                        initiator,
                         gossip::Input::MemberUp { address: peer.address, incarnation: peer.incarnation },
                     );
                 }
                 membership::Effect::DuplicateName { .. } => {}
-                membership::Effect::DatagramFailed(_) => self.counters.invalid_data += 1,
+                membership::Effect::DatagramFailed(_) => self.counters.rejected_messages += 1,
             }
         }
     }
 
     /// Passes an input to gossip and carries out the effects.
-    pub(super) fn gossip_input(&mut self, i: usize, input: gossip::Input) {
+    pub(super) fn gossip_input(&mut self, initiator: usize, input: gossip::Input) {
         if self.arm == Arm::Before || !self.gossip_enabled {
             return;
         }
-        let hollow = &mut self.hollows[i];
+        let hollow = &mut self.hollows[initiator];
         let now = hollow.local_time(self.now);
         let effects =
             measure_cpu(&mut hollow.cpu_time[Reducer::Gossip as usize], || hollow.gossip.step(now, input));
         for effect in effects {
             match effect {
                 gossip::Effect::Send { to, bytes } => {
-                    let hollow = &mut self.hollows[i];
+                    let hollow = &mut self.hollows[initiator];
                     if hollow.unresponsive {
                         continue;
                     }
@@ -86,49 +88,51 @@
                         &mut hollow.observation_traffic
                     };
                     traffic.add(self.now, bytes.len() + UDP_HEADER_BYTES, false);
-                    self.send(i, initiator_index(to), bytes.into());
+                    self.send(initiator, initiator_index(to), bytes.into());
+                }
+                gossip::Effect::Learned(reports) => {
+                    self.broker_input(initiator, Input::GossipMerged(reports), true)
                 }
-                gossip::Effect::Learned(reports) => self.broker_input(i, Input::GossipMerged(reports), true),
-                gossip::Effect::Totals(totals) => self.totals(i, totals),
-                gossip::Effect::WakeAt(at) => self.set_timer(i, Reducer::Gossip, at),
+                gossip::Effect::Totals(totals) => self.totals(initiator, totals),
+                gossip::Effect::WakeAt(at) => self.set_timer(initiator, Reducer::Gossip, at),
                 gossip::Effect::ConfigRollout(_) => {}
                 gossip::Effect::DatagramRejected { .. } | gossip::Effect::InvalidItems { .. } => {
-                    self.counters.invalid_data += 1
+                    self.counters.rejected_messages += 1
                 }
             }
         }
     }
 
     /// Handles new sums over the other initiators.
-    fn totals(&mut self, i: usize, totals: Vec<(Key, Total)>) {
+    fn totals(&mut self, initiator: usize, totals: Vec<(Key, Total)>) {
         self.counters.totals += 1;
         let mut all = PeerTotals::default();
-        self.hollows[i].peer_demand.clear();
+        self.hollows[initiator].peer_demand.clear();
         for (key, total) in totals {
             if let Key::Demand(volume) = key {
                 let value = VolumeDemand { volume, rate: total.others };
                 all.demand.push(Aged { value, age: total.age });
-                self.hollows[i].peer_demand.insert(volume, total);
+                self.hollows[initiator].peer_demand.insert(volume, total);
             }
         }
-        self.broker_input(i, Input::PeerTotals(all), true);
+        self.broker_input(initiator, Input::PeerTotals(all), true);
     }
 
     /// Updates this process's contribution to the sums.
-    pub(super) fn update_contribution(&mut self, i: usize) {
-        let hollow = &mut self.hollows[i];
+    pub(super) fn update_contribution(&mut self, initiator: usize) {
+        let hollow = &mut self.hollows[initiator];
         let now = self.origin + hollow.local_time(self.now);
         let amounts =
             measure_cpu(&mut hollow.cpu_time[Reducer::Broker as usize], || hollow.broker.contribution(now));
         hollow.own_demand = amounts.demand.iter().map(|demand| (demand.volume, demand.rate)).collect();
         let keys = amounts.demand.into_iter().map(|demand| (Key::Demand(demand.volume), demand.rate));
-        self.gossip_input(i, gossip::Input::LocalAmounts(keys.collect()));
+        self.gossip_input(initiator, gossip::Input::LocalAmounts(keys.collect()));
     }
 
     /// Passes an input to the broker and carries out the effects. With `counted`, the input is control
     /// traffic, and its processor time is counted; inputs from clients and endpoints are not counted.
-    pub(super) fn broker_input(&mut self, i: usize, input: Input, counted: bool) {
-        let hollow = &mut self.hollows[i];
+    pub(super) fn broker_input(&mut self, initiator: usize, input: Input, counted: bool) {
+        let hollow = &mut self.hollows[initiator];
         let now = self.origin + hollow.local_time(self.now);
         let mut apart = Duration::ZERO;
         let cpu_time = if counted { &mut hollow.cpu_time[Reducer::Broker as usize] } else { &mut apart };
@@ -139,20 +143,20 @@
                 Effect::StartAttempt { attempt: AttemptId { request, number }, .. } => {
                     self.schedule(
                         self.now + SERVICE_TIME,
-                        Event::AttemptEnded { at: i, generation, request, number },
+                        Event::AttemptEnded { at: initiator, generation, request, number },
                     );
                 }
                 Effect::SetTimer(at) => {
                     // The timers of the program's runtime have a resolution of one millisecond.
                     let local = at.saturating_duration_since(self.origin);
-                    let soonest = self.hollows[i].local_time(self.now) + MILLISECOND;
-                    self.set_timer(i, Reducer::Broker, local.max(soonest));
+                    let soonest = self.hollows[initiator].local_time(self.now) + MILLISECOND;
+                    self.set_timer(initiator, Reducer::Broker, local.max(soonest));
                 }
                 Effect::Log(OperatorEvent::AdviceChanged { id, stopped, .. }) => {
-                    self.advice_changed(i, &id, stopped)
+                    self.advice_changed(initiator, &id, stopped)
                 }
                 Effect::Broadcast(observations) => {
-                    self.gossip_input(i, gossip::Input::LocalObservations(observations))
+                    self.gossip_input(initiator, gossip::Input::LocalObservations(observations))
                 }
                 Effect::Log(_) | Effect::Respond { .. } | Effect::AbortAttempt(..) => {}
             }
@@ -160,19 +164,19 @@
     }
 
     /// Records that the broker begins or ceases to avoid an endpoint.
-    fn advice_changed(&mut self, i: usize, id: &str, stopped: bool) {
+    fn advice_changed(&mut self, initiator: usize, id: &str, stopped: bool) {
         let number = id.rsplit('-').next().and_then(|digits| usize::from_str_radix(digits, 16).ok());
-        let Some(b) = number else { return };
+        let Some(endpoint) = number else { return };
         if !stopped {
-            self.hollows[i].avoided_endpoints.remove(&b);
-        } else if self.hollows[i].avoided_endpoints.insert(b) {
-            self.drain_reactions.push((self.now, i, b));
+            self.hollows[initiator].avoided_endpoints.remove(&endpoint);
+        } else if self.hollows[initiator].avoided_endpoints.insert(endpoint) {
+            self.drain_reactions.push((self.now, initiator, endpoint));
         }
     }
 
     /// Passes a client's request to the broker and schedules the next one.
-    pub(super) fn request(&mut self, i: usize, generation: u64, number: u64) {
-        let hollow = &self.hollows[i];
+    pub(super) fn request(&mut self, initiator: usize, generation: u64, number: u64) {
+        let hollow = &self.hollows[initiator];
         let place = number as usize % hollow.volumes_used.len();
         let volume = hollow.volumes_used[place];
         // The units per request of each volume follow a sine wave with a period of 20 s and a phase of its
@@ -189,20 +193,20 @@
             ..IncomingRequest::default()
         };
         let gap = REQUEST_INTERVAL / hollow.volumes_used.len() as u32;
-        self.broker_input(i, Input::RequestArrived { id: number, request: incoming }, false);
-        self.schedule(self.now + gap, Event::RequestDue { at: i, generation, number: number + 1 });
+        self.broker_input(initiator, Input::RequestArrived { id: number, request: incoming }, false);
+        self.schedule(self.now + gap, Event::RequestDue { at: initiator, generation, number: number + 1 });
     }
 
     /// Schedules a reducer's timer in place of its earlier one.
-    fn set_timer(&mut self, i: usize, reducer: Reducer, local: Duration) {
-        let hollow = &self.hollows[i];
+    fn set_timer(&mut self, initiator: usize, reducer: Reducer, local: Duration) {
+        let hollow = &self.hollows[initiator];
         let (generation, then) = (hollow.generation, hollow.fleet_time(local).max(self.now));
         if hollow.timers[reducer as usize].1 == then {
             return;
         }
         self.last_sequence += 1;
         let number = self.last_sequence;
-        self.hollows[i].timers[reducer as usize] = (number, then);
-        self.schedule(then, Event::TimerFired { at: i, generation, reducer, number });
+        self.hollows[initiator].timers[reducer as usize] = (number, then);
+        self.schedule(then, Event::TimerFired { at: initiator, generation, reducer, number });
     }
 }
--- a/crates/lab/src/scale/net.rs
+++ b/crates/lab/src/scale/net.rs
@@ -14,7 +14,7 @@
 /// Bytes of the headers of a TCP segment over IPv4, without options.
 const TCP_HEADER_BYTES: usize = 40;
 /// Maximum payload of a TCP segment.
-const MAX_SEGMENT_BYTES: usize = 1460;
+pub const MAX_SEGMENT_BYTES: usize = 1460;
 /// Segments that a new TCP connection sends before the first acknowledgement.
 const INITIAL_WINDOW_SEGMENTS: usize = 10;
 /// Minimum time before a lost TCP segment is retransmitted (on Linux); for a lost SYN it is one second.
--- a/crates/lab/src/scale/plans.rs
+++ b/crates/lab/src/scale/plans.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Returns a fleet whose initiators know each other and have just begun to exchange reports.
+/// Returns a fleet whose initiators know each other and have just started to exchange reports.
 pub fn converged_fleet(size: Size, arm: Arm, seed: u64) -> Result<Fleet, String> {
     let mut fleet = Fleet::new(size, arm, PACKET_LOSS, seed);
     while fleet.known_pair_fraction() < CONVERGED_FRACTION {
@@ -97,7 +97,7 @@
     }
     recorder.record("bytes_sent_news", sum(&|h| h.observation_traffic.total_bytes as f64) / count / secs);
     recorder.record("bytes_sent_sums", sum(&|h| h.aggregation_traffic.total_bytes as f64) / count / secs);
-    let begun = fleet.counters.exchanges - counters.exchanges;
+    let started = fleet.counters.exchanges - counters.exchanges;
     recorder.record(
         "ceilings_passed",
         sum(&|h| {
@@ -106,10 +106,10 @@
         }),
     );
     recorder.record("totals", (fleet.counters.totals - counters.totals) as f64 / count / secs);
-    recorder.record("exchanges", begun as f64 / count / secs);
+    recorder.record("exchanges", started as f64 / count / secs);
     recorder
-        .record("exchanges_failed", (fleet.counters.failed - counters.failed) as f64 / begun.max(1) as f64);
-    recorder.record("taken_for_dead", (fleet.counters.taken_for_dead - counters.taken_for_dead) as f64);
+        .record("exchanges_failed", (fleet.counters.failed - counters.failed) as f64 / started.max(1) as f64);
+    recorder.record("taken_for_dead", (fleet.counters.false_deaths - counters.false_deaths) as f64);
 }
 
 /// Measures what the control traffic costs while the fleet is idle or, with `busy`, while clients use
@@ -152,18 +152,18 @@
         fleet.deliver_list_change(notified_initiator, [*b], Readiness::Draining);
     }
     fleet.run_until(fleet.now + REACTION_TIMEOUT);
-    let mut acted: BTreeSet<(usize, usize)> = BTreeSet::new();
+    let mut counted: BTreeSet<(usize, usize)> = BTreeSet::new();
     let mut times: BTreeMap<u64, u64> = BTreeMap::new();
     for (when, i, b) in &fleet.drain_reactions {
         let Some(from) = notified_at.get(b).filter(|_| *i != notified_initiator) else { continue };
-        let took = when.saturating_sub(*from);
-        if took <= REACTION_TIMEOUT && acted.insert((*b, *i)) {
-            *times.entry(took.as_millis() as u64).or_default() += 1;
+        let delay = when.saturating_sub(*from);
+        if delay <= REACTION_TIMEOUT && counted.insert((*b, *i)) {
+            *times.entry(delay.as_millis() as u64).or_default() += 1;
         }
     }
     times.into_iter().for_each(|(ms, count)| recorder.record(format!("known_after_ms:{ms}"), count as f64));
     recorder.record("pairs", (endpoints.len() * (size.initiators - 1)) as f64);
-    recorder.record("taken_for_dead", fleet.counters.taken_for_dead as f64);
+    recorder.record("taken_for_dead", fleet.counters.false_deaths as f64);
     Ok(())
 }
 
@@ -172,8 +172,8 @@
 fn accuracy_percent(estimate: Option<u64>, truths: &[u64]) -> f64 {
     let (Some(least), Some(most)) = (truths.iter().min(), truths.iter().max()) else { return 100.0 };
     let Some(estimate) = estimate else { return if *least == 0 { 100.0 } else { 0.0 } };
-    let off = least.saturating_sub(estimate).max(estimate.saturating_sub(*most));
-    (100.0 * (1.0 - off as f64 / (*most).max(1) as f64)).max(0.0)
+    let deviation = least.saturating_sub(estimate).max(estimate.saturating_sub(*most));
+    (100.0 * (1.0 - deviation as f64 / (*most).max(1) as f64)).max(0.0)
 }
 
 /// The demand at one moment by volume: of all initiators together, and of each of them.
@@ -202,7 +202,7 @@
         if step < 8 || step % 2 == 1 {
             continue;
         }
-        let used = volume_users(&fleet);
+        let users = volume_users(&fleet);
         for (i, hollow) in fleet.hollows.iter().enumerate() {
             for volume in hollow.own_demand.keys() {
                 let truth = |(all, own_demand): &DemandSample| {
@@ -214,7 +214,7 @@
                 *accuracies.entry(accuracy_percent(total.map(|t| t.others), &truths) as u64).or_default() +=
                     1;
                 samples += 1;
-                counted_twice += u64::from(total.is_some_and(|t| u64::from(t.contributors) > used[volume]));
+                counted_twice += u64::from(total.is_some_and(|t| u64::from(t.contributors) > users[volume]));
             }
         }
     }
@@ -228,10 +228,10 @@
     fleet.run_until(fleet.now + 10 * SECOND);
     let mut of_dead = 0;
     for _ in 0..6 {
-        let used = volume_users(&fleet);
+        let users = volume_users(&fleet);
         for hollow in fleet.hollows.iter().filter(|h| h.alive) {
             let more = |(volume, total): (&u64, &Total)| {
-                u64::from(total.contributors) > used.get(volume).copied().unwrap_or_default()
+                u64::from(total.contributors) > users.get(volume).copied().unwrap_or_default()
             };
             of_dead += hollow.peer_demand.iter().filter(|total| more(*total)).count();
         }
@@ -243,8 +243,8 @@
 
 /// Returns how many live initiators use each volume.
 fn volume_users(fleet: &Fleet) -> BTreeMap<u64, u64> {
-    let mut used = BTreeMap::new();
+    let mut users = BTreeMap::new();
     let alive = fleet.hollows.iter().filter(|h| h.alive);
-    alive.flat_map(|h| h.own_demand.keys()).for_each(|volume| *used.entry(*volume).or_default() += 1);
-    used
+    alive.flat_map(|h| h.own_demand.keys()).for_each(|volume| *users.entry(*volume).or_default() += 1);
+    users
 }
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -218,9 +218,9 @@
             self.rows_of("after", "sums", n).filter(|r| r.measure == measure).map(|r| r.value).sum::<f64>()
         };
         let (percent, _) = worst?;
-        let (counted_twice, dead) = (sum("counted_twice"), sum("of_dead"));
+        let (twice, dead) = (sum("counted_twice"), sum("of_dead"));
         Some(format!(
-            "demand within 4 s {percent}% of the truth at the worst hundredth, counted twice {counted_twice}, \
+            "demand within 4 s {percent}% of the truth at the worst hundredth, counted twice {twice}, \
              of the dead after 10 s {dead}"
         ))
     }
--- a/crates/lab/src/slopes.rs
+++ b/crates/lab/src/slopes.rs
@@ -90,10 +90,10 @@
         Experiment { program: program.into(), directory: directory.path().into(), out: out.into() };
     for part in PARTS.into_iter().filter(|part| only.is_none_or(|only| only == *part)) {
         // Each part has its own runtime, so that everything it started ends with the part.
-        let threads = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-        let threads = threads.map_err(SlopesError::Threads)?;
-        let measured = threads.block_on(async { timeout(PART_TIMEOUT, experiment.measure(part)).await });
-        threads.shutdown_timeout(Duration::from_secs(5));
+        let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+        let runtime = runtime.map_err(SlopesError::Threads)?;
+        let measured = runtime.block_on(async { timeout(PART_TIMEOUT, experiment.measure(part)).await });
+        runtime.shutdown_timeout(Duration::from_secs(5));
         measured.map_err(|_| SlopesError::TooLong { part, seconds: PART_TIMEOUT.as_secs() })??;
     }
     Ok(())
@@ -124,16 +124,16 @@
 
 impl LoadResult {
     /// Returns the number of answers, served or rejected, or 1 if there were none.
-    fn all(&self) -> f64 {
+    fn answers(&self) -> f64 {
         (self.served + self.rejected).max(1) as f64
     }
 }
 
-/// Returns the quantile of the values at `part` (0.0 to 1.0), or 0 if there are no values.
-fn quantile(values: &mut [f64], part: f64) -> f64 {
+/// Returns the quantile of the values at `fraction` (0.0 to 1.0), or 0 if there are no values.
+fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_by(f64::total_cmp);
-    let place = (values.len() as f64 * part).ceil() as usize;
-    values.get(place.saturating_sub(1)).copied().unwrap_or(0.0)
+    let rank = (values.len() as f64 * fraction).ceil() as usize;
+    values.get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
 }
 
 impl Experiment {
@@ -199,10 +199,10 @@
             let started = Instant::now();
             let clients =
                 connect_clients(front, process.address, count, MAX_CONNECTING, Duration::ZERO).await;
-            let took = started.elapsed().as_secs_f64();
+            let duration = started.elapsed().as_secs_f64();
             let cpu_after_connect = process.cpu_seconds()?;
-            let quiet = Duration::from_secs(4);
-            sleep(quiet).await;
+            let idle_span = Duration::from_secs(4);
+            sleep(idle_span).await;
             let idle_cpu = process.cpu_seconds()? - cpu_after_connect;
             let mut load = run_load(vec![&mut active_client], 100.0, Duration::from_secs(5)).await?;
             let open = clients.iter().filter(|client| !client.is_closed()).count();
@@ -212,9 +212,9 @@
                 open as f64,
                 process.open_descriptors()? as f64,
                 process.resident_bytes()? - resident_before,
-                clients.len() as f64 / took,
+                clients.len() as f64 / duration,
                 (cpu_after_connect - before) * 1e6 / count as f64,
-                idle_cpu * 1e6 / quiet.as_secs_f64(),
+                idle_cpu * 1e6 / idle_span.as_secs_f64(),
                 quantile(&mut load.latencies, 0.5) * 1e3,
                 quantile(&mut load.latencies, 0.99) * 1e3,
             ]);
@@ -264,7 +264,7 @@
                 load.served as f64,
                 load.rejected as f64,
                 cpu_seconds * 1e6 / 8.0,
-                cpu_seconds * 1e6 / load.all(),
+                cpu_seconds * 1e6 / load.answers(),
                 quantile(&mut load.latencies, 0.5) * 1e3,
                 quantile(&mut load.latencies, 0.99) * 1e3,
                 process.resident_bytes()?,
@@ -307,7 +307,7 @@
             row.extend([
                 process.resident_bytes()?,
                 process.open_descriptors()? as f64,
-                cpu_seconds * 1e6 / load.all(),
+                cpu_seconds * 1e6 / load.answers(),
             ]);
             row.extend([quantile(&mut load.latencies, 0.5) * 1e3, quantile(&mut load.latencies, 0.99) * 1e3]);
             table.row(&row);
@@ -356,22 +356,22 @@
                     });
                 }
                 let back: Vec<(f64, Client)> = connecting.join_all().await.into_iter().flatten().collect();
-                let core = process.cpu_seconds()? - cpu_seconds;
+                let cpu = process.cpu_seconds()? - cpu_seconds;
                 let mut latencies: Vec<f64> = back.iter().map(|(wait, _)| *wait).collect();
-                let asked = discovery.traffic();
+                let (calls_after, bytes_after) = discovery.traffic();
                 table.row(&[
                     clients as f64,
                     run as f64,
                     *spread as f64,
                     process.ready_after.as_secs_f64() * 1e3,
-                    (asked.0 - calls) as f64,
-                    (asked.1 - bytes) as f64,
+                    (calls_after - calls) as f64,
+                    (bytes_after - bytes) as f64,
                     (endpoints.connections.load(Relaxed) - earlier_connections) as f64,
                     back.len() as f64,
                     quantile(&mut latencies, 0.5),
                     quantile(&mut latencies, 0.99),
                     quantile(&mut latencies, 1.0),
-                    core * 1e6 / clients as f64,
+                    cpu * 1e6 / clients as f64,
                     process.resident_bytes()?,
                 ]);
                 drop(back);
@@ -430,9 +430,9 @@
 async fn run_load(clients: Vec<&mut Client>, rate: f64, span: Duration) -> Result<LoadResult, SlopesError> {
     let start = Instant::now();
     let all = clients.len();
-    let each = clients.into_iter().enumerate().map(|(place, client)| async move {
+    let each = clients.into_iter().enumerate().map(|(position, client)| async move {
         let mut load = LoadResult::default();
-        for number in (place..).step_by(all) {
+        for number in (position..).step_by(all) {
             let due = Duration::from_secs_f64(number as f64 / rate);
             if due >= span {
                 break;
@@ -484,7 +484,7 @@
     discovery: &Discovery,
     full: bool,
 ) -> Result<[f64; 3], SlopesError> {
-    let (mut bytes, mut latencies, mut core) = (0, Vec::new(), 0.0);
+    let (mut bytes, mut latencies, mut cpu) = (0, Vec::new(), 0.0);
     for n in 0..LIST_CHANGES {
         let (shard, before) = (n / 2, process.cpu_seconds()?);
         let at = Instant::now();
@@ -492,13 +492,13 @@
         let (seen, _) = process.wait_for_line(&format!("endpoint listed id=\"s-{shard:08x}\"")).await?;
         latencies.push((seen - at).as_secs_f64());
         sleep(SETTLE_TIME).await;
-        core += process.cpu_seconds()? - before;
+        cpu += process.cpu_seconds()? - before;
         if full {
             sleep(LOG_RECOVERY_TIME).await;
             process.discard_log();
         }
     }
-    Ok([bytes as f64, quantile(&mut latencies, 0.5) * 1e3, core * 1e6 / LIST_CHANGES as f64])
+    Ok([bytes as f64, quantile(&mut latencies, 0.5) * 1e3, cpu * 1e6 / LIST_CHANGES as f64])
 }
 
 /// Measures reloads of changed configuration files on SIGHUP. Returns the median time in milliseconds until
@@ -510,7 +510,7 @@
 ) -> Result<[f64; 2], SlopesError> {
     let until =
         if setup.front == Front::Http { "configuration was reloaded" } else { "endpoint listed id=\"s-" };
-    let (mut latencies, mut core) = (Vec::new(), 0.0);
+    let (mut latencies, mut cpu) = (Vec::new(), 0.0);
     for n in 0..LIST_CHANGES {
         let text =
             Setup { draining: (n % 2 == 0).then_some(0), ..setup.clone() }.config_text(discovery.address)?;
@@ -519,11 +519,11 @@
         let (seen, _) = process.wait_for_line(until).await?;
         latencies.push((seen - at).as_secs_f64());
         sleep(SETTLE_TIME).await;
-        core += process.cpu_seconds()? - before;
+        cpu += process.cpu_seconds()? - before;
         if setup.front == Front::Nbd {
             sleep(LOG_RECOVERY_TIME).await;
             process.discard_log();
         }
     }
-    Ok([quantile(&mut latencies, 0.5) * 1e3, core * 1e6 / LIST_CHANGES as f64])
+    Ok([quantile(&mut latencies, 0.5) * 1e3, cpu * 1e6 / LIST_CHANGES as f64])
 }
--- a/crates/lab/src/slopes/process.rs
+++ b/crates/lab/src/slopes/process.rs
@@ -119,13 +119,13 @@
             .kill_on_drop(true)
             .spawn()
             .map_err(SlopesError::file(program))?;
-        let said = child.stderr.take().ok_or(SlopesError::NoLog)?;
+        let stderr = child.stderr.take().ok_or(SlopesError::NoLog)?;
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32)).ok_or(SlopesError::EndedAtOnce)?;
-        let (say, lines) = mpsc::unbounded_channel();
+        let (sender, lines) = mpsc::unbounded_channel();
         tokio::spawn(async move {
-            let mut said = BufReader::new(said).lines();
-            while let Ok(Some(line)) = said.next_line().await {
-                if say.send((Instant::now(), line)).is_err() {
+            let mut log_lines = BufReader::new(stderr).lines();
+            while let Ok(Some(line)) = log_lines.next_line().await {
+                if sender.send((Instant::now(), line)).is_err() {
                     return;
                 }
             }
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -18,8 +18,8 @@
         (&["--out", "/proc"], "/proc/hollow-100-9.csv"),
     ] {
         let out = Command::new(program).args(["hollow", "--program", program]).args(args).output().unwrap();
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success() && said.contains(why), "{args:?}: {said}");
-        assert_eq!(said.lines().count(), 1, "{said}");
+        let stderr = String::from_utf8(out.stderr).unwrap();
+        assert!(!out.status.success() && stderr.contains(why), "{args:?}: {stderr}");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
     }
 }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -11,11 +11,11 @@
 /// on standard output.
 fn assert_rejected(args: &[&str], words: &[&str]) {
     let done = scale(args);
-    let said = String::from_utf8(done.stderr).unwrap();
-    assert!(!done.status.success(), "{args:?}: {said}");
+    let stderr = String::from_utf8(done.stderr).unwrap();
+    assert!(!done.status.success(), "{args:?}: {stderr}");
     assert!(done.stdout.is_empty(), "{args:?}");
-    assert_eq!(said.lines().count(), 1, "{args:?}: {said}");
-    words.iter().for_each(|word| assert!(said.contains(word), "{args:?}: {said}"));
+    assert_eq!(stderr.lines().count(), 1, "{args:?}: {stderr}");
+    words.iter().for_each(|word| assert!(stderr.contains(word), "{args:?}: {stderr}"));
 }
 
 #[test]
@@ -63,12 +63,12 @@
 fn neither_bytes_nor_processor_time_of_an_initiator_grow_with_the_fleet() {
     let dir = tempfile::tempdir().unwrap();
     let done = run_small(dir.path(), &["--sizes", "30", "--initiators", "300", "--bend", "2"]);
-    let (said, why) = (String::from_utf8(done.stdout).unwrap(), String::from_utf8(done.stderr).unwrap());
-    assert!(done.status.success(), "{said}{why}");
+    let (stdout, stderr) = (String::from_utf8(done.stdout).unwrap(), String::from_utf8(done.stderr).unwrap());
+    assert!(done.status.success(), "{stdout}{stderr}");
     let begins = ["spread: ", "cost: ", "sums: ", "slope: ", "faults: "];
-    let lines: Vec<&str> = said.lines().collect();
-    assert_eq!(lines.len(), 5, "{said}");
-    lines.iter().zip(begins).for_each(|(line, begin)| assert!(line.starts_with(begin), "{said}"));
+    let lines: Vec<&str> = stdout.lines().collect();
+    assert_eq!(lines.len(), 5, "{stdout}");
+    lines.iter().zip(begins).for_each(|(line, begin)| assert!(line.starts_with(begin), "{stdout}"));
     let table = std::fs::read_to_string(dir.path().join("scale-cost.csv")).unwrap();
     let rows: Vec<&str> = table.lines().filter(|line| line.starts_with("after,busy,")).collect();
     assert_eq!(rows.len(), 2, "{table}");
@@ -78,6 +78,6 @@
 fn growth_above_the_limit_fails_and_names_the_measure() {
     let dir = tempfile::tempdir().unwrap();
     let output = run_small(dir.path(), &["--sizes", "9", "--initiators", "18", "--bend", "0.001"]);
-    let said = String::from_utf8(output.stderr).unwrap();
-    assert!(!output.status.success() && said.contains("bytes at 18 is"), "{said}");
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert!(!output.status.success() && stderr.contains("bytes at 18 is"), "{stderr}");
 }
--- a/crates/lab/tests/slopes.rs
+++ b/crates/lab/tests/slopes.rs
@@ -4,10 +4,10 @@
 
 #[test]
 fn invalid_arguments_fail_and_are_named() {
-    let folder = tempfile::tempdir().unwrap();
-    let file = folder.path().join("file");
+    let directory = tempfile::tempdir().unwrap();
+    let file = directory.path().join("file");
     std::fs::write(&file, "").unwrap();
-    let (file, missing) = (file.to_str().unwrap(), folder.path().join("none"));
+    let (file, missing) = (file.to_str().unwrap(), directory.path().join("none"));
     let missing = missing.to_str().unwrap();
     for (args, what) in [
         (vec!["slopes"], "--program is required"),
@@ -17,9 +17,9 @@
         (vec!["slopes", "--program", file, "--only", "rate-http"], "Permission denied"),
     ] {
         let mut command = Command::new(env!("CARGO_BIN_EXE_shaletack-lab"));
-        let said = command.args(&args).current_dir(&folder).output().unwrap();
-        let text = String::from_utf8_lossy(&said.stderr);
-        assert!(!said.status.success(), "{args:?}");
+        let output = command.args(&args).current_dir(&directory).output().unwrap();
+        let text = String::from_utf8_lossy(&output.stderr);
+        assert!(!output.status.success(), "{args:?}");
         assert!(text.starts_with("shaletack-lab: ") && text.contains(what), "{args:?}: {text}");
     }
 }
