--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -30,7 +30,9 @@
 /// Size, load and endpoint parameters of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetConfig {
+    /// Number of initiators.
     pub initiators: usize,
+    /// Number of shards.
     pub shards: u16,
     /// Number of endpoints that hold each shard.
     pub replicas_per_shard: usize,
@@ -40,6 +42,7 @@
     pub write_fraction: f64,
     /// Whether initiators exchange reports with each other.
     pub peers: bool,
+    /// Capacity and overload parameters of the endpoints.
     pub endpoints: EndpointFigures,
     /// Units that an endpoint of any age can take within the overload window, from all initiators together.
     pub slow_start_units: f64,
@@ -48,9 +51,13 @@
 /// Counts of an initiator's requests since its last start, by outcome.
 #[derive(Clone, Debug)]
 pub struct RequestCounts {
+    /// Requests that arrived from clients.
     pub arrived: u64,
+    /// Requests answered as served.
     pub served: u64,
+    /// Requests answered as rejected.
     pub rejected: u64,
+    /// Requests answered as failed.
     pub failed: u64,
     /// Attempts at endpoints that drain, do not answer or fail.
     pub misdirected: u64,
@@ -123,6 +130,7 @@
 pub struct Fleet {
     /// Virtual time since the start of the run.
     pub now: Duration,
+    /// All endpoints; the replicas of a shard are adjacent.
     pub endpoints: Vec<ModelEndpoint>,
     config: FleetConfig,
     origin: Instant,
--- a/crates/lab/src/hollow/etcd.rs
+++ b/crates/lab/src/hollow/etcd.rs
@@ -21,6 +21,7 @@
 /// The part of etcd's JSON gateway that an initiator uses: a range request for all endpoints, and a watch
 /// that continues from its revision.
 pub struct Etcd {
+    /// Address at which the gateway listens.
     pub address: SocketAddr,
     endpoints: Vec<SocketAddr>,
     entries: RefCell<BTreeMap<usize, String>>,
--- a/crates/lab/src/hollow/experiment.rs
+++ b/crates/lab/src/hollow/experiment.rs
@@ -28,11 +28,15 @@
     pub real: usize,
     /// Number of all initiators, real and hollow.
     pub all: usize,
+    /// State known from the notices of the initiators.
     pub observed: Observed,
+    /// State shared with the threads of the hollow initiators.
     pub shared: Arc<SharedState>,
+    /// The real processes.
     pub processes: Vec<Process>,
     /// Address of each real process for clients.
     pub fronts: Vec<SocketAddr>,
+    /// The etcd stub that the first process watches.
     pub etcd: Rc<Etcd>,
     /// Number of clients' reads that were served, and of those that failed.
     pub reads: Rc<[Cell<u64>; 2]>,
--- a/crates/lab/src/hollow/initiator.rs
+++ b/crates/lab/src/hollow/initiator.rs
@@ -80,8 +80,11 @@
 /// A notice that something happened at an initiator.
 #[derive(Debug)]
 pub struct Notice {
+    /// The initiator's number; real ones come first.
     pub initiator: usize,
+    /// What happened.
     pub kind: NoticeKind,
+    /// When it happened, or when its log line was read.
     pub at: Instant,
 }
 
@@ -139,11 +142,17 @@
 
 /// What a hollow initiator is created from.
 pub struct HollowParts {
+    /// The initiator's number.
     pub index: usize,
+    /// The configuration that all hollow initiators share.
     pub operator: Rc<Operator>,
+    /// Listener for exchanges.
     pub tcp: std::net::TcpListener,
+    /// Socket for membership and gossip datagrams.
     pub udp: std::net::UdpSocket,
+    /// Where notices are sent.
     pub notices: UnboundedSender<Notice>,
+    /// State shared by the threads.
     pub shared: Arc<SharedState>,
 }
 
--- a/crates/lab/src/hollow/phases.rs
+++ b/crates/lab/src/hollow/phases.rs
@@ -67,17 +67,17 @@
     /// ceased.
     pub async fn wait_for_convergence(&mut self) -> Result<(), HollowError> {
         let (observed, others) = (&mut self.observed, self.all - 1);
-        let began = Instant::now();
-        let enough = others as f64 * CONVERGED_FRACTION;
-        let met = observed
+        let started = Instant::now();
+        let required = others as f64 * CONVERGED_FRACTION;
+        let converged = observed
             .wait_until(CONVERGENCE_TIMEOUT, |o| {
-                o.alive_members[o.real..].iter().all(|members| members.len() as f64 >= enough)
+                o.alive_members[o.real..].iter().all(|members| members.len() as f64 >= required)
             })
             .await;
         let least = observed.alive_members[self.real..].iter().map(BTreeSet::len).min().unwrap_or(0);
-        let took = began.elapsed().as_secs_f64();
+        let took = started.elapsed().as_secs_f64();
         println!("start: each hollow one knows {least} or more of {others} others after {took:.1} s");
-        if !met {
+        if !converged {
             return Err(HollowError::NotConverged(CONVERGENCE_TIMEOUT));
         }
         observed.wait(SETTLE_TIME).await;
@@ -127,9 +127,10 @@
     fn delays(&self, id: &str) -> Result<BTreeMap<usize, f64>, HollowError> {
         let listed = self.observed.listed_draining.get(id);
         let notified = *listed.ok_or_else(|| HollowError::DrainNotListed(id.to_owned()))?;
-        let known = self.observed.avoided.get(id).into_iter().flatten().filter(|(who, _)| **who > 0);
+        let known =
+            self.observed.avoided.get(id).into_iter().flatten().filter(|(initiator, _)| **initiator > 0);
         let delay = |at: &Instant| at.saturating_duration_since(notified).as_secs_f64();
-        Ok(known.map(|(who, at)| (*who, delay(at))).collect())
+        Ok(known.map(|(initiator, at)| (*initiator, delay(at))).collect())
     }
 
     /// Stops one process for a while, during which an endpoint drains, and resumes it.
--- a/crates/lab/src/hollow/process.rs
+++ b/crates/lab/src/hollow/process.rs
@@ -30,7 +30,9 @@
 /// Resource usage of a process: processor time since its start, and resident memory.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
+    /// Processor time in seconds, user and system.
     pub cpu_seconds: f64,
+    /// Resident memory in bytes.
     pub resident_bytes: u64,
 }
 
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -42,10 +42,15 @@
 /// Size of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
+    /// Number of initiators.
     pub initiators: usize,
+    /// Number of endpoints in each list.
     pub endpoints: usize,
+    /// Number of volumes.
     pub volumes: usize,
+    /// Number of regions.
     pub regions: usize,
+    /// Number of zones in all regions together.
     pub zones: usize,
 }
 
@@ -73,10 +78,15 @@
 
 /// The initiators and the events that are scheduled for them.
 pub struct Fleet {
+    /// Virtual time since the start of the run.
     pub now: Duration,
+    /// Size of the fleet.
     pub size: Size,
+    /// State of the network.
     pub links: Links,
+    /// The initiators.
     pub hollows: Vec<Hollow>,
+    /// Counts of events since the start of the run.
     pub counters: Counters,
     /// Reactions to drains: the time, the initiator and the endpoint that it stopped using.
     pub drain_reactions: Vec<(Duration, usize, usize)>,
--- a/crates/lab/src/scale/fleet/delivery.rs
+++ b/crates/lab/src/scale/fleet/delivery.rs
@@ -38,8 +38,9 @@
                 }
             }
             Event::ExchangeReply { to, generation, round_trip, frame } => {
-                let again = || (Event::ExchangeReply { to, generation, round_trip, frame: frame.clone() }, 0);
-                if self.accepts_event(to, Some(generation), again) {
+                let deferred =
+                    || (Event::ExchangeReply { to, generation, round_trip, frame: frame.clone() }, 0);
+                if self.accepts_event(to, Some(generation), deferred) {
                     self.receive_frame(to, round_trip, &frame);
                 }
             }
@@ -70,8 +71,8 @@
         if !self.links.connected(from, to) {
             return;
         }
-        let again = || (Event::Datagram { to, from, bytes: bytes.clone() }, receive_buffer_charge(&bytes));
-        if !self.accepts_event(to, None, again) {
+        let deferred = || (Event::Datagram { to, from, bytes: bytes.clone() }, receive_buffer_charge(&bytes));
+        if !self.accepts_event(to, None, deferred) {
             return;
         }
         self.count_bytes(to, from, bytes.len() + UDP_HEADER_BYTES);
@@ -86,8 +87,8 @@
     }
 
     fn timer_fired(&mut self, at: usize, generation: u64, reducer: Reducer, number: u64) {
-        let again = || (Event::TimerFired { at, generation, reducer, number }, 0);
-        if !self.accepts_event(at, Some(generation), again)
+        let deferred = || (Event::TimerFired { at, generation, reducer, number }, 0);
+        if !self.accepts_event(at, Some(generation), deferred)
             || self.hollows[at].timers[reducer as usize].0 != number
         {
             return;
--- a/crates/lab/src/scale/fleet/event.rs
+++ b/crates/lab/src/scale/fleet/event.rs
@@ -38,6 +38,7 @@
     /// Virtual time since the start, and a sequence number that keeps events of the same time in the order in
     /// which they were scheduled.
     pub at: (Duration, u64),
+    /// The event.
     pub event: Event,
 }
 
--- a/crates/lab/src/scale/fleet/hollow.rs
+++ b/crates/lab/src/scale/fleet/hollow.rs
@@ -34,18 +34,24 @@
 
 /// State of one hollow initiator.
 pub struct Hollow {
+    /// Its region and zone.
     pub placement: Placement,
+    /// Whether its process runs or is stopped, as opposed to killed.
     pub alive: bool,
+    /// Whether its process is stopped.
     pub paused: bool,
     /// Whether it leaves exchanges unanswered and sends no gossip datagrams.
     pub unresponsive: bool,
+    /// All its traffic.
     pub traffic: Traffic,
     /// Processor time spent in membership, in the broker's handling of control traffic, and in gossip or the
     /// frames of exchanges.
     pub cpu_time: [Duration; 3],
     /// Endpoints that its broker avoids on the advice of peers.
     pub avoided_endpoints: BTreeSet<usize>,
+    /// The membership reducer.
     pub membership: Membership,
+    /// The gossip reducer.
     pub gossip: Gossip,
     /// Gossip datagrams sent with observations and digests.
     pub observation_traffic: Traffic,
@@ -57,16 +63,23 @@
     pub peer_demand: BTreeMap<u64, Total>,
     /// Identifies the current run of the process.
     pub(super) generation: u64,
+    /// The fleet's time at which the process started.
     pub(super) started_at: Duration,
+    /// Drift of the process's clock, as a fraction.
     pub(super) clock_drift: f64,
+    /// Name and incarnation.
     pub(super) identity: Observer,
+    /// The broker.
     pub(super) broker: Broker,
     /// The id and the time of each reducer's timer.
     pub(super) timers: [(u64, Duration); 3],
+    /// The member with which it last exchanged reports.
     pub(super) last_exchanged: Option<SocketAddr>,
     /// Events that arrived while the process was stopped.
     pub(super) deferred_events: Vec<Event>,
+    /// Space that deferred datagrams take in the receive buffer.
     pub(super) deferred_bytes: usize,
+    /// Volumes that its clients use.
     pub(super) volumes_used: Vec<u64>,
 }
 
@@ -84,10 +97,11 @@
 }
 
 impl Fleet {
-    /// Creates a process that knows the first endpoint list and two peer addresses.
-    pub(super) fn new_hollow(&mut self, initiator: usize, named: usize, generation: u64) -> Hollow {
+    /// Creates a process with the name of the initiator `name_of`, which knows the first endpoint list and
+    /// two peer addresses.
+    pub(super) fn new_hollow(&mut self, initiator: usize, name_of: usize, generation: u64) -> Hollow {
         let incarnation = self.rng.random();
-        let identity = Observer { name: format!("init-{named:04}"), incarnation };
+        let identity = Observer { name: format!("init-{name_of:04}"), incarnation };
         let epoch = (UNIX_START + self.now).as_millis() as u64;
         let peer = membership::Member {
             name: identity.name.clone(),
--- a/crates/lab/src/scale/net.rs
+++ b/crates/lab/src/scale/net.rs
@@ -25,6 +25,7 @@
 /// Region and zone of an initiator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement {
+    /// Number of the region.
     pub region: usize,
     /// Numbered across all regions.
     pub zone: usize,
--- a/crates/lab/src/scale/options.rs
+++ b/crates/lab/src/scale/options.rs
@@ -43,10 +43,13 @@
     pub worker_seed: Option<u64>,
 }
 
+/// All arms by name.
 const ARMS: [(Arm, &str); 2] = [(Arm::After, "after"), (Arm::Before, "before")];
+/// All plans by name.
 const PLANS: [&str; 5] = ["idle", "busy", "spread", "sums", "faults"];
 
 impl Options {
+    /// Returns the default values.
     fn new() -> Self {
         Options {
             size: Size { initiators: 570, endpoints: 880, volumes: 1000, regions: 3, zones: 9 },
@@ -83,8 +86,8 @@
 
     /// Sets one option from its text.
     fn set(&mut self, name: &str, text: &str) -> Result<(), String> {
-        let named = |why: String| format!("scale: --{name}: {why}");
-        let number = || text.parse::<usize>().map_err(|_| named(format!("'{text}' is not a number")));
+        let option_error = |why: String| format!("scale: --{name}: {why}");
+        let number = || text.parse::<usize>().map_err(|_| option_error(format!("'{text}' is not a number")));
         match name {
             "initiators" => self.size.initiators = number()?,
             "boxes" => self.size.endpoints = number()?,
@@ -94,18 +97,20 @@
             "seeds" => self.seeds = number()? as u64,
             "worker" => self.worker_seed = Some(number()? as u64),
             "bend" => {
-                let read =
-                    text.parse().ok().filter(|max_growth: &f64| max_growth.is_finite() && *max_growth > 0.0);
-                self.max_growth = Some(read.ok_or(named(format!("'{text}' is not a positive number")))?);
+                let factor = text.parse().ok().filter(|factor: &f64| factor.is_finite() && *factor > 0.0);
+                self.max_growth =
+                    Some(factor.ok_or(option_error(format!("'{text}' is not a positive number")))?);
             }
             "plans" => {
-                self.plans = parse_list(text, PLANS.iter().map(|p| (p.to_string(), *p))).map_err(named)?
+                self.plans =
+                    parse_list(text, PLANS.iter().map(|p| (p.to_string(), *p))).map_err(option_error)?
             }
-            "arms" => self.arms = parse_list(text, ARMS.iter().map(|a| (*a, a.1))).map_err(named)?,
+            "arms" => self.arms = parse_list(text, ARMS.iter().map(|a| (*a, a.1))).map_err(option_error)?,
             "sizes" => {
                 let sizes = text.split(',').filter(|word| *word != "none");
-                let read = |word: &str| word.parse().map_err(|_| named(format!("'{word}' is not a number")));
-                self.sizes = sizes.map(read).collect::<Result<_, _>>()?;
+                let parse =
+                    |word: &str| word.parse().map_err(|_| option_error(format!("'{word}' is not a number")));
+                self.sizes = sizes.map(parse).collect::<Result<_, _>>()?;
             }
             _ => return Err(format!("scale: unknown option --{name}")),
         }
@@ -114,18 +119,18 @@
 
     /// Checks that all values are within their ranges.
     fn check(&self) -> Result<(), String> {
-        let within = |name: &str, value: usize, least: usize, most: usize| {
-            let fits = (least..=most).contains(&value);
-            fits.then_some(()).ok_or(format!("scale: --{name} {value}: must be from {least} to {most}"))
+        let check_range = |name: &str, value: usize, least: usize, most: usize| {
+            let in_range = (least..=most).contains(&value);
+            in_range.then_some(()).ok_or(format!("scale: --{name} {value}: must be from {least} to {most}"))
         };
         let Size { initiators, endpoints, volumes, regions, zones } = self.size;
-        within("initiators", initiators, 2, 5000)?;
-        self.sizes.iter().try_for_each(|size| within("sizes", *size, 2, 5000))?;
-        within("boxes", endpoints, 1, 4096)?;
-        within("volumes", volumes, 1, 1_000_000)?;
-        within("zones", zones, 1, initiators)?;
-        within("regions", regions, 1, zones)?;
-        within("seeds", self.seeds as usize, 1, 1000)
+        check_range("initiators", initiators, 2, 5000)?;
+        self.sizes.iter().try_for_each(|size| check_range("sizes", *size, 2, 5000))?;
+        check_range("boxes", endpoints, 1, 4096)?;
+        check_range("volumes", volumes, 1, 1_000_000)?;
+        check_range("zones", zones, 1, initiators)?;
+        check_range("regions", regions, 1, zones)?;
+        check_range("seeds", self.seeds as usize, 1, 1000)
     }
 }
 
@@ -134,6 +139,6 @@
     text: &str,
     all: impl Iterator<Item = (T, &'static str)> + Clone,
 ) -> Result<Vec<T>, String> {
-    let find = |word: &str| all.clone().find(|(_, name)| *name == word).map(|(is, _)| is);
+    let find = |word: &str| all.clone().find(|(_, name)| *name == word).map(|(value, _)| value);
     text.split(',').map(|word| find(word).ok_or(format!("'{word}' is not a known name"))).collect()
 }
--- a/crates/lab/src/scale/plans.rs
+++ b/crates/lab/src/scale/plans.rs
@@ -28,10 +28,15 @@
 
 /// Collects the rows of one plan.
 pub struct Recorder<'a> {
+    /// The rows collected so far.
     pub rows: &'a mut Vec<Row>,
+    /// Name of the arm.
     pub arm: &'static str,
+    /// Name of the plan.
     pub plan: &'a str,
+    /// Number of initiators.
     pub initiators: usize,
+    /// The seed.
     pub seed: u64,
 }
 
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -25,6 +25,7 @@
 pub struct Report<'a> {
     /// What was run.
     pub options: &'a Options,
+    /// The rows of all seeds.
     pub rows: &'a [Row],
 }
 
@@ -110,12 +111,12 @@
                         writeln!(spread, "{arm},{n},{},{},{},{},{}", k.p50, k.p99, k.worst, k.never, k.pairs);
                 }
                 for plan in ["idle", "busy"] {
-                    let at = |measure: &str| {
+                    let mean = |measure: &str| {
                         self.mean(arm, plan, n, measure).map_or(String::new(), |v| format!("{v:.4}"))
                     };
-                    let of: Vec<String> = MEASURES.iter().map(|measure| at(measure)).collect();
-                    if of.iter().any(|v| !v.is_empty()) {
-                        let _ = writeln!(cost, "{arm},{plan},{n},{}", of.join(","));
+                    let means: Vec<String> = MEASURES.iter().map(|measure| mean(measure)).collect();
+                    if means.iter().any(|v| !v.is_empty()) {
+                        let _ = writeln!(cost, "{arm},{plan},{n},{}", means.join(","));
                     }
                 }
             }
--- a/crates/lab/src/slopes/process.rs
+++ b/crates/lab/src/slopes/process.rs
@@ -27,6 +27,7 @@
 /// Configuration of a process.
 #[derive(Clone)]
 pub struct Setup {
+    /// The front that the process serves.
     pub front: Front,
     /// Address at which clients connect.
     pub listen: SocketAddr,
