--- a/crates/core/src/broker/requests.rs
+++ b/crates/core/src/broker/requests.rs
@@ -1,5 +1,5 @@
-//! Open requests and attempts in flight: their deadlines, the outcome of each attempt, and the withdrawal of
-//! attempts that have not been written yet.
+//! Open requests and attempts in flight: their deadlines, the outcome of each attempt, the final answer to
+//! each request, and the withdrawal of attempts that have not been written yet.
 
 use super::effect::{Answer, Effect};
 use super::input::{AttemptId, AttemptProgress, AttemptResult, IncomingRequest};
@@ -12,9 +12,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long before the client stops waiting the final answer is given, so that it reaches the client in time.
+/// The final answer is given at the latest this long before the client stops waiting, so that the answer
+/// reaches the client in time.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
-/// The retry-after time of a request that never ran and whose body cannot be sent again.
+/// The retry-after time in the rejection of a request that never ran and whose body cannot be sent again. A
+/// shorter [`max_retry_after`](crate::interface::Settings::max_retry_after) takes its place.
 const UNREPEATABLE_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// A request without a final answer.
@@ -22,11 +24,12 @@
 struct OpenRequest {
     class: u16,
     units: f64,
-    /// The latest time of the final answer.
+    /// The latest time of the final answer; `Duration::MAX` while a body is streaming.
     deadline: Duration,
-    /// How long the client waits, less [`RESPONSE_MARGIN`].
+    /// How long the client still waited when the request arrived, less [`RESPONSE_MARGIN`].
     time_remaining: Duration,
-    attempts: u8,
+    /// The number of attempts started, which is also the number of the next attempt.
+    attempts_started: u8,
     /// Whether an attempt has ended that may have run.
     may_have_run: bool,
 }
@@ -35,17 +38,20 @@
 #[derive(Debug)]
 struct InFlightAttempt {
     endpoint: EndpointId,
+    /// When the attempt was sent, or when the streaming of its body last began or ended.
     sent_at: Duration,
-    /// When the attempt times out.
+    /// When the attempt times out; `Duration::MAX` while its body is streaming.
     deadline: Duration,
     response_started_at: Option<Duration>,
+    /// Whether the body is being sent as the client sends it.
     body_streaming: bool,
+    /// Whether the writing of the request has begun, so that the endpoint may have received it.
     write_started: bool,
 }
 
 impl InFlightAttempt {
-    /// Returns the end of the attempt's round trip. Once the response has begun, a late end says nothing
-    /// about the endpoint's latency.
+    /// Returns the end of the attempt's round trip: the start of the response, or `now` if no response has
+    /// begun. A response that has begun but ends late says nothing about the endpoint's latency.
     fn round_trip_end(&self, now: Duration) -> Duration {
         self.response_started_at.unwrap_or(now)
     }
@@ -75,7 +81,7 @@
         deadlines.filter(|deadline| *deadline < Duration::MAX).min()
     }
 
-    /// Adds a new request. Ignored if a request of that number is already open.
+    /// Adds a new request. Does nothing if a request with this id is already open.
     pub(super) fn arrived(&mut self, id: RequestId, request: IncomingRequest, step: &mut Step) {
         if self.open.contains_key(&id) {
             return;
@@ -86,7 +92,7 @@
             units: request.units,
             deadline: step.now.saturating_add(time_remaining),
             time_remaining,
-            attempts: 0,
+            attempts_started: 0,
             may_have_run: false,
         };
         self.open.insert(id, open);
@@ -113,20 +119,21 @@
         }
     }
 
-    /// Answers a request as rejected.
+    /// Answers a request as rejected. Does nothing if it is no longer open.
     pub(super) fn reject(&mut self, request: RequestId, retry_after: Duration, step: &mut Step) {
         let Some(open) = self.open.remove(&request) else { return };
         self.counters.count(open.class, |counters| counters.rejected += 1);
         step.effects.push(Effect::Respond { request, answer: Answer::Rejected(retry_after) });
     }
 
-    /// Answers a request as failed.
+    /// Answers a request as failed. Does nothing if it is no longer open.
     pub(super) fn fail(&mut self, request: RequestId, step: &mut Step) {
         let Some(open) = self.open.remove(&request) else { return };
         self.counters.count(open.class, |counters| counters.failed += 1);
         step.effects.push(Effect::Respond { request, answer: Answer::Failed });
     }
 
+    /// Answers a request with the endpoint's response. Does nothing if it is no longer open.
     fn serve(&mut self, request: RequestId, body: Bytes, step: &mut Step) {
         let Some(open) = self.open.remove(&request) else { return };
         self.counters.count(open.class, |counters| {
@@ -136,8 +143,9 @@
         step.effects.push(Effect::Respond { request, answer: Answer::Served(body) });
     }
 
-    /// Starts the next attempt of a request. If `timeout` is zero, only the deadline of the request ends the
-    /// attempt. If the address of the endpoint is no longer known, the attempt ends at once as not sent.
+    /// Starts the next attempt of a request. If `timeout` is zero, the attempt times out only at the deadline
+    /// of the request. If the address of the endpoint is no longer known, the attempt ends at once as not
+    /// sent.
     pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
@@ -147,8 +155,8 @@
         step: &mut Step,
     ) {
         let Some(open) = self.open.get_mut(&request) else { return };
-        let attempt = AttemptId { request, number: open.attempts };
-        open.attempts = open.attempts.saturating_add(1);
+        let attempt = AttemptId { request, number: open.attempts_started };
+        open.attempts_started = open.attempts_started.saturating_add(1);
         let deadline = match timeout.is_zero() {
             true => open.deadline,
             false => open.deadline.min(step.now.saturating_add(timeout)),
@@ -182,8 +190,8 @@
                 attempt.response_started_at = Some(step.now);
                 step.events.push(Event::ResponseStarted(id.request));
             }
-            // While a body is streaming, the client's deadline is suspended; it starts anew with the last
-            // byte.
+            // While a body is streaming, the request has no deadline. From the last byte on the client's
+            // whole time is available again.
             AttemptProgress::BodyStreaming | AttemptProgress::BodySent => {
                 let streaming = progress == AttemptProgress::BodyStreaming;
                 open.deadline = match streaming {
@@ -229,8 +237,8 @@
         }));
     }
 
-    /// Gives a request that cannot be sent again its final answer. The request is rejected if no attempt may
-    /// have run, else failed. Does nothing if the request is already answered.
+    /// Gives a request that cannot be sent again its final answer. The request is rejected if none of its
+    /// attempts can have run, else failed. Does nothing if the request is already answered.
     fn end_unrepeatable(&mut self, request: RequestId, max_retry_after: Duration, step: &mut Step) {
         let Some(open) = self.open.get(&request) else { return };
         if open.may_have_run {
@@ -260,8 +268,8 @@
     }
 
     /// Withdraws the unwritten attempts to endpoints that take nothing new. An attempt that waits for a
-    /// connection would otherwise be written when the connection is established, later than the settings
-    /// allow.
+    /// connection would otherwise be written when the connection is established, which may be later than the
+    /// settings allow sends to such an endpoint.
     pub(super) fn withdraw_from(&mut self, unavailable: impl Fn(EndpointId) -> bool, step: &mut Step) {
         for id in self.attempts_where(|_, attempt| !attempt.write_started && unavailable(attempt.endpoint)) {
             self.withdraw(id, step);
@@ -273,7 +281,7 @@
         self.abort(id, TransportOutcome::Withdrawn, step);
     }
 
-    /// Aborts an attempt from this side, with `transport` as its outcome.
+    /// Ends an attempt from this side, without a result from its endpoint. `transport` becomes its outcome.
     pub(super) fn abort(&mut self, id: AttemptId, transport: TransportOutcome, step: &mut Step) {
         let Some(attempt) = self.in_flight.remove(&id) else { return };
         self.counters.count_attempt(transport);
@@ -283,17 +291,20 @@
         step.events.push(Event::AttemptEnded(ended));
     }
 
-    /// Ends the streaming of a body whose attempt ends, and restarts the client's deadline.
+    /// If the body of an attempt that ends is still streaming, ends the streaming and restarts the request's
+    /// deadline.
     fn finish_body(&mut self, id: AttemptId, step: &mut Step) {
         if self.in_flight.get(&id).is_some_and(|attempt| attempt.body_streaming) {
             self.progressed(id, AttemptProgress::BodySent, step);
         }
     }
 
+    /// Returns the ids of the attempts in flight that `wanted` selects.
     fn attempts_where(&self, wanted: impl Fn(&AttemptId, &InFlightAttempt) -> bool) -> Vec<AttemptId> {
         self.in_flight.iter().filter(|(id, attempt)| wanted(id, attempt)).map(|(id, _)| *id).collect()
     }
 
+    /// Describes the end of an attempt to the scheduler, without the reports that a response may carry.
     fn ended_attempt(
         &self,
         id: AttemptId,
--- a/crates/core/src/scheduler/outcomes.rs
+++ b/crates/core/src/scheduler/outcomes.rs
@@ -137,8 +137,8 @@
         let Some(pending) = self.requests.remove(&id) else { return };
         let request = &pending.request;
         if let Some(volume) = self.volumes.get_mut(request.volume).filter(|_| pending.units_drawn) {
-            let may_still_come = !pending.reached_endpoint && pending.may_have_run.is_some();
-            volume.limit.settle(self.now, request.units, may_still_come);
+            let may_still_arrive = !pending.reached_endpoint && pending.may_have_run.is_some();
+            volume.limit.settle(self.now, request.units, may_still_arrive);
         }
         if self.settings.class(request.class).ordered && request.key != 0 {
             self.key_order.remove(request.key, id);
--- a/crates/core/src/scheduler/volumes.rs
+++ b/crates/core/src/scheduler/volumes.rs
@@ -1,7 +1,7 @@
 //! Volumes: the virtual time of each, by which weighted fair queueing chooses between them, and the state of
 //! its reserve, its use and its limit.
 
-use super::limits::{LimitShares, VolumeLimit, POOLED_RATIO};
+use super::limits::{LimitContext, VolumeLimit, POOLED_RATIO};
 use super::times::{SECOND, SMOOTHING_TIME};
 use super::usage::VolumeUsage;
 use crate::interface::{Plan, Request, Settings, VolumeId};
@@ -81,14 +81,14 @@
         if self.plan.limit <= 0.0 {
             return 0.0;
         }
-        let shares = LimitShares {
+        let context = LimitContext {
             initiators: self.initiators,
             budget_share,
             demand_share: self.usage.share(now, self.initiators),
             others_rate: self.usage.others_rate(now),
             metered_total: self.usage.metered_total,
         };
-        self.limit.missing_units(now, &self.plan, &shares, units, outstanding)
+        self.limit.missing_units(now, &self.plan, &context, units, outstanding)
     }
 }
 
