--- a/crates/core/src/scheduler/arrivals.rs
+++ b/crates/core/src/scheduler/arrivals.rs
@@ -44,9 +44,9 @@
         PendingRequest { request, arrived_at: self.now, objective_at, deadline, ..PendingRequest::default() }
     }
 
-    /// Queues a waiting request for dispatch.
+    /// Queues a request for dispatch, unless it is queued already or answered.
     pub(super) fn enqueue(&mut self, id: RequestId) {
-        let Some(pending) = self.requests.get_mut(&id).filter(|pending| pending.phase == Phase::Waiting)
+        let Some(pending) = self.requests.get_mut(&id).filter(|pending| pending.phase == Phase::NotQueued)
         else {
             return;
         };
@@ -61,7 +61,7 @@
     /// Takes a request off its queue, because it is sent or closed.
     pub(super) fn dequeue(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get_mut(&id).filter(|pending| pending.is_queued()) else { return };
-        pending.phase = Phase::Waiting;
+        pending.phase = Phase::NotQueued;
         let entry = QueueEntry { objective_at: pending.objective_at, request: id };
         self.queues.remove(pending.request.shard, pending.queue_key(), entry);
         if let Some(volume) = self.volumes.get_mut(pending.request.volume) {
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Sets the time by which a request needs its final answer. This is now where nothing of the request is
-    /// in flight and no endpoint that serves its shard may repeat it.
+    /// Sets the time by which a request needs its final answer. The answer is due at once if nothing of the
+    /// request is in flight and none of the endpoints that serve its shard may repeat it.
     pub(super) fn schedule_answer(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else { return };
         let class = self.settings.class(pending.request.class);
--- a/crates/core/src/scheduler/dispatch.rs
+++ b/crates/core/src/scheduler/dispatch.rs
@@ -272,9 +272,11 @@
     fn limit_allows(&mut self, id: VolumeId, units: f64, is_late: bool) -> bool {
         let Some(volume) = self.volumes.get_mut(id) else { return false };
         let own = volume.own_limit_share(self.budget_share);
-        let left = if is_late { BURST_LEFT_BY_LATE_REQUESTS * volume.plan.burst * own } else { 0.0 };
+        let units_to_leave =
+            if is_late { BURST_LEFT_BY_LATE_REQUESTS * volume.plan.burst * own } else { 0.0 };
         let connection_lifetime = self.settings.keep_alive_timeout.max(SMOOTHING_TIME);
-        let missing = volume.missing_units(self.now, units + left, self.budget_share, connection_lifetime);
+        let missing =
+            volume.missing_units(self.now, units + units_to_leave, self.budget_share, connection_lifetime);
         if missing <= 0.0 {
             return true;
         }
--- a/crates/core/src/scheduler/gossip.rs
+++ b/crates/core/src/scheduler/gossip.rs
@@ -25,7 +25,8 @@
 /// The latest reports from other initiators.
 #[derive(Clone, Debug, Default)]
 pub(super) struct GossipReports {
-    /// Units that they sent an endpoint in slow start within the overload window, and when the report came.
+    /// Units that other initiators sent an endpoint in slow start within the overload window, and when the
+    /// report came.
     units_sent: BTreeMap<EndpointId, ReportedValue>,
     /// Demand at other initiators in units per second, and when it was observed.
     demand: BTreeMap<VolumeId, ReportedValue>,
--- a/crates/core/src/scheduler/health.rs
+++ b/crates/core/src/scheduler/health.rs
@@ -20,7 +20,7 @@
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
 /// Longest backoff after an endpoint could not be reached.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// Shortest time that an endpoint is held back after it rejected an attempt.
+/// Shortest time that an endpoint is held back after it rejected an attempt: 10 ms.
 const MIN_REJECTION_HOLD_NANOS: f64 = 1e7;
 /// Time-outs in a row are counted up to this; the count is an exponent in the pacing of sends.
 const MAX_TIMEOUTS_IN_A_ROW: u32 = 8;
@@ -148,7 +148,8 @@
         self.halve_window(rules.now);
     }
 
-    /// Holds the endpoint back for its service time, but at least 10 ms, after it rejected an attempt.
+    /// Halves the window after the endpoint rejected an attempt, and holds the endpoint back for its service
+    /// time, but at least 10 ms.
     fn rejected(&mut self, now: Duration) {
         self.halve_window(now);
         self.held_back_until = now + from_nanos(self.service_nanos.max(MIN_REJECTION_HOLD_NANOS));
--- a/crates/core/src/scheduler/lost_attempts.rs
+++ b/crates/core/src/scheduler/lost_attempts.rs
@@ -14,8 +14,8 @@
 const OVERTAKEN_THRESHOLD: u32 = 3;
 /// Age, in round trips, at which an overtaken attempt is presumed lost.
 const OVERTAKEN_ROUND_TRIPS: f64 = 2.0;
-/// Age, in round trips, at which any other attempt is presumed lost. It doubles with each attempt that was
-/// presumed lost since the last answer.
+/// Age, in round trips, at which any other attempt is presumed lost. This age doubles with each attempt that
+/// was presumed lost since the last answer.
 const SILENT_ROUND_TRIPS: f64 = 6.0;
 /// Losses in a row are counted up to this, which bounds the doubling.
 const MAX_LOST_IN_A_ROW: u32 = 8;
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Presumes attempts lost that are old enough. Returns when the next one may be.
+    /// Presumes attempts lost that are old enough. Returns the earliest time at which another attempt may be
+    /// presumed lost.
     pub(super) fn presume_lost(&mut self, now: Duration, losses_are_rare: bool) -> Duration {
         let health = &mut self.health;
         let round_trip = health.round_trip_nanos.max(health.service_nanos).max(MIN_ROUND_TRIP_NANOS);
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -2,9 +2,10 @@
 //! given up.
 //!
 //! [`Scheduler::step`] applies the events of a batch one by one. It then answers requests whose time is up,
-//! subscribes to the endpoint list where that is due, and fills the free slots of endpoints with queued
-//! requests in one dispatch pass. Each rule has a module of its own with the state that it needs, and
-//! [`Scheduler`] combines them. The scheduler reads no clock and does no I/O.
+//! subscribes to the endpoint list where that is due, lets paused keys run again, presumes attempts lost,
+//! raises virtual times, and fills the free slots of endpoints with queued requests in one dispatch pass.
+//! Last, it sheds requests beyond the maximum and sets the timer. Each rule has a module of its own with the
+//! state that it needs, and [`Scheduler`] combines them. The scheduler reads no clock and does no I/O.
 
 mod admission;
 mod arrivals;
@@ -58,6 +59,7 @@
     settings: Settings,
     random: SeededRandom,
     now: Duration,
+    /// When this scheduler started, or the first of a series of schedulers that handed over their state.
     started_at: Duration,
     /// This process's share of every budget, from 0 to 1; another process of this initiator has the rest.
     budget_share: f64,
@@ -111,8 +113,8 @@
         }
     }
 
-    /// Applies the events that happened up to `now` and appends the resulting actions. A time before that of
-    /// the last step counts as the latter.
+    /// Applies the events that happened up to `now` and appends the resulting actions. If `now` is before the
+    /// time of the last step, the time of the last step is used.
     pub fn step(&mut self, now: Duration, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.timer.begin_batch();
@@ -156,7 +158,7 @@
         self.budget_share = share;
     }
 
-    /// Applies a list, a change of it or a failed call.
+    /// Applies a list, a change of the list, or a failed call for the list.
     fn on_endpoint_list(&mut self, kind: EndpointListKind, lines: &[EndpointUpdate]) {
         if kind == EndpointListKind::Failed {
             return self.endpoint_list.failed(&mut self.random, self.now);
@@ -200,7 +202,7 @@
         self.endpoint_list.subscribed();
     }
 
-    /// Lets the requests of keys run again whose pauses have ended.
+    /// Lets the requests of each key whose pause has ended run again.
     fn resume_paused_keys(&mut self) {
         while let Some((at, key)) = self.key_order.next_resumption() {
             if at > self.now {
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Asks for a timer where none that is set is early enough.
+    /// Asks for a timer, unless one that is already set fires early enough.
     fn set_timer(&mut self) {
         if let Some(at) = self.timer.set(self.now) {
             self.actions.push(Action::SetTimer(at));
--- a/crates/core/src/scheduler/outcomes.rs
+++ b/crates/core/src/scheduler/outcomes.rs
@@ -92,8 +92,8 @@
             return;
         }
         let class = self.settings.class(pending.request.class);
-        let is_late = pending.deadline <= self.now;
-        if is_late || pending.streaming || !may_attempt_again(pending, &class, &self.settings) {
+        let deadline_passed = pending.deadline <= self.now;
+        if deadline_passed || pending.streaming || !may_attempt_again(pending, &class, &self.settings) {
             self.reject_or_fail(id);
         } else {
             self.schedule_answer(id);
--- a/crates/core/src/scheduler/pacing.rs
+++ b/crates/core/src/scheduler/pacing.rs
@@ -9,7 +9,7 @@
 
 /// Initiators pause once the round trip exceeds this many times the shortest latency objective.
 const ROUND_TRIP_THRESHOLD: f64 = 2.0;
-/// Minimum of that threshold.
+/// Minimum of the round trip from which on initiators pause.
 const MIN_THRESHOLD_NANOS: f64 = 1e6;
 /// The pause grows with this power of the ratio of the round trip to the threshold.
 const PAUSE_EXPONENT: f64 = 2.0;
@@ -45,8 +45,8 @@
     let health = &endpoint.health;
     let threshold =
         (ROUND_TRIP_THRESHOLD * context.latency_objective_nanos * tolerance).max(MIN_THRESHOLD_NANOS);
-    // Time-outs show that the endpoint has no capacity. The decay slows with each, so attempts become rarer,
-    // until those of all initiators together are the work of one core.
+    // Time-outs show that the endpoint has no capacity. The decay slows with each time-out, so attempts
+    // become rarer, until the attempts of all initiators together are the work of one core.
     let one_core = (f64::from(initiators) * health.service_nanos).max(nanos(SMOOTHING_TIME));
     let decay_time = (nanos(SMOOTHING_TIME) * f64::from(1 << health.timeouts_in_a_row)).min(one_core);
     let age = nanos(now.saturating_sub(health.round_trip_updated_at)) / decay_time;
--- a/crates/core/src/scheduler/requests.rs
+++ b/crates/core/src/scheduler/requests.rs
@@ -17,9 +17,9 @@
 /// The state of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// The request is in flight, or waits for earlier requests of its key.
+    /// The request is neither queued nor answered: it is in flight, or waits for earlier requests of its key.
     #[default]
-    Waiting,
+    NotQueued,
     /// The request may be sent.
     Queued,
     /// No answer is owed any more; attempts may still be in flight.
--- a/crates/core/src/scheduler/retry_policy.rs
+++ b/crates/core/src/scheduler/retry_policy.rs
@@ -14,7 +14,7 @@
     Allowed,
     /// The budget is spent.
     Spent {
-        /// When it may allow a retry again, where that is known.
+        /// When the budget may allow a retry again, where that is known.
         until: Option<Duration>,
     },
 }
--- a/crates/core/src/scheduler/slow_start.rs
+++ b/crates/core/src/scheduler/slow_start.rs
@@ -210,8 +210,8 @@
 
     /// Returns the units that an endpoint can take within an overload window just after its start, from all
     /// initiators: the greater of the guaranteed units and of the safe fraction of what the observed speed of
-    /// warm endpoints allows. Where an even part of that does not hold the largest request, only the safe
-    /// fraction of it counts.
+    /// warm endpoints allows. If an even part of this capacity does not hold the largest request, only the
+    /// safe fraction of the capacity counts.
     pub(super) fn starting_capacity(&self, context: &SlowStartContext) -> f64 {
         let safe_fraction = 1.0 - 1.0 / context.overload_factor.max(MIN_OVERLOAD_FACTOR);
         let observed = self.warm_units_per_second
--- a/crates/core/src/scheduler/usage.rs
+++ b/crates/core/src/scheduler/usage.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Sets the rate that other initiators reported to be requested from them.
+    /// Sets the demand at other initiators to the rate that they reported.
     pub(super) fn adopt_others(&mut self, now: Duration, units_per_second: f64, observed_at: Duration) {
         self.others = DecayingRate { per_second: units_per_second, updated_at: now };
         self.reported_at = Some(observed_at);
--- a/crates/gossip/src/aggregation/owner.rs
+++ b/crates/gossip/src/aggregation/owner.rs
@@ -31,9 +31,11 @@
 const PARTIAL_INTERVAL: Duration = Duration::from_millis(800);
 /// The minimum time between two answers to one member about one page.
 const MIN_ANSWER_GAP: Duration = Duration::from_millis(200);
-/// The minimum time between two checks for expired pages. A page may count longer than its TTL by this time.
+/// The minimum time between two checks for expired pages. A page may therefore count for up to this much
+/// longer than its TTL.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
-/// The number of rounds that tell the other cells that no keys are left.
+/// The number of rounds that tell the other cells that no keys are left: more than one, because messages may
+/// be lost.
 const EMPTY_ROUNDS: u8 = 3;
 
 /// One page of a shard's partial sums, as sent repeatedly to one cell.
@@ -43,16 +45,19 @@
     page: u8,
 }
 
-/// The keys that a receiver has got for a stream.
+/// The keys of the page that was last sent for a stream, and its receiver. While both stay the same, the keys
+/// need not be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct SentLayout {
     to: SocketAddr,
+    /// The [`layout_hash`] of the keys.
     hash: u32,
 }
 
 /// A page of partial sums, which is the same for each receiving cell.
 struct PartialPage {
     rows: Vec<KeyRow>,
+    /// The amounts of the rows, in the same order, as [`pack_amount`] encodes them.
     amounts: Vec<u16>,
 }
 
@@ -60,19 +65,23 @@
 struct PartialRound {
     now: Duration,
     shard: usize,
-    /// The split of this process's own zone.
+    /// The split of this process's own zone; see [`Page::split`].
     split: u8,
     pages: Vec<PartialPage>,
 }
 
+/// What this process stores and has sent of one shard.
 #[derive(Clone, Debug, Default)]
 struct OwnedShard {
     /// The contributions of the members of this process's own cell.
     contributions: BTreeMap<SocketAddr, ReceivedPages>,
     /// The partial sums of the other cells.
     partials: BTreeMap<Cell, ReceivedPages>,
+    /// When expired pages were last looked for.
     last_expiry_at: Option<Duration>,
+    /// When the next round of partial sums is due; `None` while no round is scheduled.
     next_partials_at: Option<Duration>,
+    /// How many more rounds tell the other cells that no keys are left.
     empty_rounds_left: u8,
     sent_layouts: BTreeMap<PartialStream, SentLayout>,
 }
@@ -80,6 +89,7 @@
 /// The shards that this process stores and sums as an owner.
 #[derive(Debug)]
 pub(super) struct Owner {
+    /// All shards, by number; those that this process does not own are empty as a rule.
     shards: Vec<OwnedShard>,
 }
 
@@ -88,11 +98,12 @@
         Owner { shards: vec![OwnedShard::default(); SHARDS] }
     }
 
+    /// Returns whether a round of partial sums of a shard is due.
     pub(super) fn is_due(&self, now: Duration, shard: usize) -> bool {
         self.shards[shard].next_partials_at.is_some_and(|at| at <= now)
     }
 
-    /// Returns when the partial sums of each shard that has any are due.
+    /// Returns when the next round of partial sums is due, for each shard that has one scheduled.
     pub(super) fn next_partials_at(&self) -> impl Iterator<Item = Duration> + '_ {
         self.shards.iter().filter_map(|shard| shard.next_partials_at)
     }
@@ -143,11 +154,12 @@
             }
         }
         owned.schedule_partials(now, transmitter);
-        let Some(totals) = owned.take_totals(now, to, number) else { return };
+        let Some(totals) = owned.totals_if_due(now, to, number) else { return };
         let missing_cells = owned.missing_cells(placement);
         let age_ticks = owned.age_ticks(now);
         let page = TotalsPage { shard, page: number, sequence, age_ticks, missing_cells, totals };
         let answer = Message::Totals(page);
+        // An answer to this process itself is not sent as a datagram, so the byte limit does not apply.
         if to == placement.own().address || transmitter.try_answer(now, &answer) {
             out.push(Envelope { to, message: answer });
         }
@@ -183,8 +195,8 @@
         self.shards.get_mut(usize::from(page.shard)).filter(|_| in_bounds)
     }
 
-    /// Handles an answer that a receiver does not know the keys of a page: the next page is sent with all
-    /// keys.
+    /// Handles an answer that a receiver does not know the keys of a page: the page is sent with all its keys
+    /// the next time.
     pub(super) fn forget_sent_layout(&mut self, receiver: SocketAddr, cell: Cell, shard: u8, page: u8) {
         let Some(owned) = self.shards.get_mut(usize::from(shard)) else { return };
         let stream = PartialStream { cell, page };
@@ -247,7 +259,8 @@
         outcome
     }
 
-    /// Drops expired pages, and returns how many more keys may be stored.
+    /// Drops expired pages, at most once per [`EXPIRY_INTERVAL`], and returns how many more keys may be
+    /// stored.
     fn expire(&mut self, now: Duration) -> usize {
         if self.last_expiry_at.is_none_or(|at| now.saturating_sub(at) >= EXPIRY_INTERVAL) {
             self.last_expiry_at = Some(now);
@@ -266,9 +279,9 @@
         self.next_partials_at.get_or_insert(soon);
     }
 
-    /// Returns the totals of the keys of a member's page, or `None` if it was answered within
-    /// [`MIN_ANSWER_GAP`].
-    fn take_totals(&mut self, now: Duration, member: SocketAddr, page: u8) -> Option<Vec<PackedTotal>> {
+    /// Returns the totals of the keys of a member's page, and counts the page as answered. Returns `None` if
+    /// the page was answered within [`MIN_ANSWER_GAP`] or is not stored.
+    fn totals_if_due(&mut self, now: Duration, member: SocketAddr, page: u8) -> Option<Vec<PackedTotal>> {
         let contribution = self.contributions.get_mut(&member)?;
         let keys = contribution.take_answerable(now, page, MIN_ANSWER_GAP)?;
         Some(keys.iter().map(|key| self.total(key)).collect())
@@ -288,7 +301,8 @@
         PackedTotal { amount: pack_amount(sum), contributors }
     }
 
-    /// Returns the age of the oldest partial, rounded up; see [`TotalsPage::age_ticks`].
+    /// Returns the age of the oldest partial in units of [`AGE_TICK`], rounded up and at most 255; see
+    /// [`TotalsPage::age_ticks`].
     fn age_ticks(&self, now: Duration) -> u8 {
         let oldest = self.partials.values().map(ReceivedPages::oldest_received_at).min().unwrap_or(now);
         let ticks = now.saturating_sub(oldest).as_millis().div_ceil(AGE_TICK.as_millis());
@@ -301,7 +315,7 @@
         missing.min(usize::from(u16::MAX)) as u16
     }
 
-    /// Returns the sums over this cell.
+    /// Returns the sums over this cell, without keys whose amounts are all 0.
     fn own_cell_sums(&self) -> BTreeMap<ShortKey, SummedAmount> {
         let mut sums: BTreeMap<ShortKey, SummedAmount> = BTreeMap::new();
         for contribution in self.contributions.values() {
@@ -323,7 +337,7 @@
         with_keys.map(|(cell, _)| cell.clone()).collect()
     }
 
-    /// Sends the pages of a round to the owner in one cell, leaving out those that the limiter does not
+    /// Sends the pages of a round to the owner in one cell, leaving out those that the byte limit does not
     /// allow.
     fn send_round(
         &mut self,
@@ -359,7 +373,8 @@
     }
 }
 
-/// Divides sums into pages; returns one empty page if there are no sums.
+/// Divides sums into at most [`MAX_PAGES`] pages, and leaves out the keys that do not fit. Returns one empty
+/// page if there are no sums.
 fn partial_pages(sums: BTreeMap<ShortKey, SummedAmount>) -> Vec<PartialPage> {
     let sums: Vec<(ShortKey, SummedAmount)> = sums.into_iter().take(MAX_PAGES * MAX_PAGE_KEYS).collect();
     if sums.is_empty() {
