--- a/tests/common/faults.c
+++ b/tests/common/faults.c
@@ -1,8 +1,9 @@
-/* System calls that fail as Linux documents, for a process that the tests start with this library preloaded.
+/* Fault injection: a library that a test preloads into a process, which makes system calls fail with the errors that Linux
+ * documents for them.
  *
- * The file that FAULTS names holds lines `name value`; it is read again every few milliseconds, so that a test can
- * change it while the process runs. A value is a chance in a thousand, but for `clock`: milliseconds by which the wall
- * clock is ahead (behind, where negative). */
+ * The environment variable FAULTS names a file with lines `name value`. The file is read again every few milliseconds, so
+ * that a test can change it while the process runs. A value is the probability of the fault in thousandths, except for
+ * `clock`, which is the offset of the wall clock in milliseconds (negative: behind). */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -25,10 +26,10 @@
 static atomic_long values[KINDS];
 static atomic_long read_at = -1;
 static atomic_uchar connected[4096];
-static atomic_ulong drawn = 88172645463325252UL;
+static atomic_ulong random_state = 88172645463325252UL;
 
-#define READ_EVERY_MS 5
-#define HOLD_MS 150
+#define PLAN_READ_INTERVAL_MS 5
+#define DELAY_MS 150
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 #define FAILURES(...) (const int[]){__VA_ARGS__}, sizeof((int[]){__VA_ARGS__}) / sizeof(int)
 
@@ -41,14 +42,14 @@
 static void read_plan(void) {
   long now = now_ms();
   const char *path = getenv("FAULTS");
-  if (path == NULL || (read_at >= 0 && now < read_at + READ_EVERY_MS)) return;
+  if (path == NULL || (read_at >= 0 && now < read_at + PLAN_READ_INTERVAL_MS)) return;
   read_at = now;
-  int kept = errno;
+  int saved_errno = errno;
   char text[512];
   int file = syscall(SYS_openat, AT_FDCWD, path, O_RDONLY | O_CLOEXEC);
   long length = file < 0 ? -1 : syscall(SYS_read, file, text, sizeof(text) - 1);
   if (file >= 0) syscall(SYS_close, file);
-  errno = kept;
+  errno = saved_errno;
   if (length < 0) return;
   text[length] = 0;
   for (int kind = 0; kind < KINDS; kind++) {
@@ -57,37 +58,37 @@
   }
 }
 
-static unsigned long draw(void) {
-  unsigned long x = drawn;
+static unsigned long next_random(void) {
+  unsigned long x = random_state;
   x ^= x << 13, x ^= x >> 7, x ^= x << 17;
-  drawn = x;
+  random_state = x;
   return x >> 11;
 }
 
-static int strikes(enum kind kind) {
+static int should_fail(enum kind kind) {
   read_plan();
-  return values[kind] > 0 && (long)(draw() % 1000) < values[kind];
+  return values[kind] > 0 && (long)(next_random() % 1000) < values[kind];
 }
 
 static int fails(enum kind kind, const int *errors, size_t count) {
-  if (!strikes(kind)) return 0;
-  errno = errors[draw() % count];
+  if (!should_fail(kind)) return 0;
+  errno = errors[next_random() % count];
   return 1;
 }
 
 static int is_inet(int socket) {
   struct sockaddr_storage at;
   socklen_t length = sizeof(at);
-  int kept = errno, got = getsockname(socket, (struct sockaddr *)&at, &length);
-  errno = kept;
+  int saved_errno = errno, got = getsockname(socket, (struct sockaddr *)&at, &length);
+  errno = saved_errno;
   return got == 0 && at.ss_family == AF_INET;
 }
 
 static int is_stream(int socket) {
-  int kind = 0, kept = errno;
+  int kind = 0, saved_errno = errno;
   socklen_t length = sizeof(kind);
   getsockopt(socket, SOL_SOCKET, SO_TYPE, &kind, &length);
-  errno = kept;
+  errno = saved_errno;
   return kind == SOCK_STREAM && is_inet(socket);
 }
 
@@ -96,8 +97,8 @@
   return fstat(file, &about) == 0 && S_ISREG(about.st_mode);
 }
 
-/* The way to whoever this process connected to is lost. */
-static int is_cut_off(int socket) {
+/* Whether the path to a peer that this process connected to fails. Accepted connections are not affected. */
+static int is_connection_lost(int socket) {
   int known = socket >= 0 && socket < (int)sizeof(connected) && connected[socket];
   return known && fails(PEER, FAILURES(ETIMEDOUT, EHOSTUNREACH, ECONNRESET));
 }
@@ -106,21 +107,22 @@
   return is_stream(socket) && fails(INTERRUPT, FAILURES(EINTR));
 }
 
-/* The system takes a part of what is written where it has no room for more: a socket with the least send buffer. With the
- * least receive buffer its window may stay shut, and the other side's system keeps a request's last bytes for seconds. */
-static int with_little_room(int socket) {
-  int least = 1, kept = errno;
-  if (socket >= 0 && strikes(SHORT)) setsockopt(socket, SOL_SOCKET, SO_SNDBUF, &least, sizeof(least));
-  errno = kept;
+/* Gives the socket the smallest send buffer, so that the kernel accepts only a part of what is written. The receive buffer
+ * stays as it is: with the smallest one its window may stay closed, and the peer's kernel then holds back the last bytes of
+ * a request for seconds. */
+static int with_small_send_buffer(int socket) {
+  int least = 1, saved_errno = errno;
+  if (socket >= 0 && should_fail(SHORT)) setsockopt(socket, SOL_SOCKET, SO_SNDBUF, &least, sizeof(least));
+  errno = saved_errno;
   return socket;
 }
 
-static void hold_up(int socket) {
-  struct timespec span = {0, HOLD_MS * 1000000L};
-  if (is_stream(socket) && strikes(HOLD)) nanosleep(&span, NULL);
+static void delay(int socket) {
+  struct timespec span = {0, DELAY_MS * 1000000L};
+  if (is_stream(socket) && should_fail(HOLD)) nanosleep(&span, NULL);
 }
 
-/* Files of settings alone: what the process is linked with and the plan itself are always there. */
+/* Only settings files (`.json`) fail to open. Shared libraries and the fault plan itself can always be opened. */
 int open64(const char *path, int flags, ...) {
   va_list rest;
   va_start(rest, flags);
@@ -136,12 +138,12 @@
   if (fails(ACCEPT, FAILURES(ECONNABORTED, ENFILE, ENOBUFS, EMFILE, EINTR, ENOMEM, EPROTO))) return -1;
   int accepted = REAL(accept4)(socket, at, length, flags);
   if (accepted >= 0 && accepted < (int)sizeof(connected)) connected[accepted] = 0;
-  return with_little_room(accepted);
+  return with_small_send_buffer(accepted);
 }
 
 int socket(int domain, int type, int protocol) {
   if (fails(SOCKET, FAILURES(ENFILE, ENOBUFS, EMFILE, ENOMEM))) return -1;
-  return with_little_room(REAL(socket)(domain, type, protocol));
+  return with_small_send_buffer(REAL(socket)(domain, type, protocol));
 }
 
 int connect(int socket, const struct sockaddr *to, socklen_t length) {
@@ -152,23 +154,23 @@
 }
 
 ssize_t recv(int socket, void *bytes, size_t length, int flags) {
-  return is_interrupted(socket) || is_cut_off(socket) ? -1 : REAL(recv)(socket, bytes, length, flags);
+  return is_interrupted(socket) || is_connection_lost(socket) ? -1 : REAL(recv)(socket, bytes, length, flags);
 }
 
 ssize_t send(int socket, const void *bytes, size_t length, int flags) {
-  hold_up(socket);
-  return is_interrupted(socket) || is_cut_off(socket) ? -1 : REAL(send)(socket, bytes, length, flags);
+  delay(socket);
+  return is_interrupted(socket) || is_connection_lost(socket) ? -1 : REAL(send)(socket, bytes, length, flags);
 }
 
 ssize_t writev(int socket, const struct iovec *parts, int count) {
-  hold_up(socket);
+  delay(socket);
   return is_interrupted(socket) ? -1 : REAL(writev)(socket, parts, count);
 }
 
 ssize_t pwrite64(int file, const void *bytes, size_t length, off64_t at) {
   if (is_file(file) && fails(DISK, FAILURES(EIO, ENOSPC))) {
     int error = errno;
-    /* Half of it may be there all the same. */
+    /* A failed write may still have written a part of the data. */
     if (length > 1) REAL(pwrite64)(file, bytes, length / 2, at);
     errno = error;
     return -1;
--- a/tests/common/faults.rs
+++ b/tests/common/faults.rs
@@ -1,10 +1,11 @@
-//! System calls of a real process that fail for a while, by a library that it is started with (`faults.c`).
+//! Makes system calls of a real process fail, by a library (`faults.c`) that is preloaded into the process.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// The library, built once for each test program: whoever links Rust has a C compiler.
+/// Returns the path of the library, which is built once for each test binary with `cc`, the C compiler that
+/// linking Rust requires anyway.
 fn library() -> &'static Path {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| {
@@ -18,11 +19,12 @@
     })
 }
 
-/// What fails in one process, and can be changed while it runs.
+/// The fault plan of one process, which can be changed while the process runs. It is a file that the library
+/// reads.
 pub struct Faults(PathBuf);
 
 impl Faults {
-    /// A plan of that name: lines of what fails and its chance in a thousand, see `faults.c`.
+    /// Creates a plan with the given name and lines; `faults.c` describes their form.
     pub fn new(name: &str, plan: &str) -> Self {
         let file = format!("faults-{}-{name}", std::process::id());
         let faults = Faults(Path::new(env!("CARGO_TARGET_TMPDIR")).join(file));
@@ -30,14 +32,14 @@
         faults
     }
 
-    /// Another plan from now on (a few milliseconds later).
+    /// Replaces the plan. The change takes effect within a few milliseconds.
     pub fn set(&self, plan: &str) {
-        let next = self.0.with_extension("next");
-        std::fs::write(&next, plan).unwrap();
-        std::fs::rename(&next, &self.0).unwrap();
+        let new_plan = self.0.with_extension("next");
+        std::fs::write(&new_plan, plan).unwrap();
+        std::fs::rename(&new_plan, &self.0).unwrap();
     }
 
-    /// The process that is started by this command is under the plan.
+    /// Applies the plan to the process that the command starts.
     pub fn on<'a>(&self, command: &'a mut Command) -> &'a mut Command {
         command.env("LD_PRELOAD", library()).env("FAULTS", &self.0)
     }
--- a/tests/common/kept.rs
+++ b/tests/common/kept.rs
@@ -1,11 +1,11 @@
-//! What the log says.
+//! Captures the log of the current thread, so that a test can read it.
 
 use shaletack::runtime::log::{subscriber, LogFormat};
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
 use tracing::level_filters::LevelFilter;
 
-/// What a story's thread logs.
+/// A buffer that holds what the current thread has logged.
 #[derive(Clone, Default)]
 pub struct Kept(Arc<Mutex<Vec<u8>>>);
 
@@ -21,14 +21,16 @@
 }
 
 impl Kept {
-    pub fn start(form: LogFormat, level: LevelFilter) -> (Self, tracing::subscriber::DefaultGuard) {
-        let kept = Kept::default();
-        let out = kept.clone();
-        (kept, tracing::subscriber::set_default(subscriber(form, level, move || out.clone())))
+    /// Captures the thread's log in the given format, from the given level up, until the guard is dropped.
+    pub fn start(format: LogFormat, level: LevelFilter) -> (Self, tracing::subscriber::DefaultGuard) {
+        let captured = Kept::default();
+        let out = captured.clone();
+        (captured, tracing::subscriber::set_default(subscriber(format, level, move || out.clone())))
     }
 
-    pub fn lines(&self, with: &str) -> Vec<String> {
-        let text = String::from_utf8(self.0.lock().unwrap().clone()).unwrap();
-        text.lines().filter(|l| l.contains(with)).map(String::from).collect()
+    /// Returns the captured lines that contain the given text.
+    pub fn lines(&self, text: &str) -> Vec<String> {
+        let log = String::from_utf8(self.0.lock().unwrap().clone()).unwrap();
+        log.lines().filter(|l| l.contains(text)).map(String::from).collect()
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A driver for one module alone: feeds events, keeps what it did.
+//! Helpers that the integration tests share. This module has fixtures for the scheduler, and a driver that
+//! feeds events to a single scheduler and records its actions.
 #![allow(dead_code)]
 
 pub mod faults;
@@ -15,13 +16,15 @@
 
 pub const MS: Duration = Duration::from_millis(1);
 pub const S: Duration = Duration::from_secs(1);
-/// So many milliseconds.
+/// Returns a duration of `count` milliseconds.
 pub fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
+/// The time on the scheduler's clock at which tests start.
 pub const T0: Duration = Duration::from_secs(1_000);
 
+/// Returns a request class with the given idempotency.
 pub fn class(effect: Idempotency) -> RequestClass {
     RequestClass {
         name: String::new(),
@@ -38,7 +41,7 @@
     }
 }
 
-/// Three hosts, a plan with a limit (number 0) and one without (number 1).
+/// Returns settings for three initiators, a plan with a limit (number 0) and one without (number 1).
 pub fn settings() -> Settings {
     let limited = Plan {
         name: String::new(),
@@ -81,14 +84,17 @@
     }
 }
 
+/// Returns an endpoint list entry with default values except for the endpoint and its shard.
 pub fn line(node: EndpointId, shard: u16) -> EndpointUpdate {
     EndpointUpdate { endpoint: node, shard, ..EndpointUpdate::default() }
 }
 
+/// Returns the event of an endpoint list.
 pub fn list(kind: EndpointListKind, lines: Vec<EndpointUpdate>) -> Event {
     Event::EndpointList { kind, updates: lines }
 }
 
+/// Returns a request of 2 units for shard 0, of volume 9 under the plan without a limit.
 pub fn request(id: RequestId) -> Request {
     Request {
         id,
@@ -102,6 +108,7 @@
     }
 }
 
+/// Returns the event of an attempt that ended after 40 ms.
 pub fn outcome(request: RequestId, number: u8, node: EndpointId, ending: AttemptOutcome) -> Event {
     Event::AttemptEnded(EndedAttempt {
         request,
@@ -116,21 +123,23 @@
     })
 }
 
+/// Drives a single scheduler in virtual time and records its actions.
 pub struct Host {
     pub scheduler: Scheduler,
     pub now: Duration,
+    /// Each action that the scheduler returned, and when.
     pub log: Vec<(Duration, Action)>,
 }
 
 impl Host {
-    /// A host that knows one node, number 1, with shard 0.
+    /// Creates a scheduler that knows one endpoint, number 1, which holds shard 0.
     pub fn new(settings: Settings) -> Self {
-        let mut host = Host { scheduler: Scheduler::new(settings, 7, T0), now: T0, log: Vec::new() };
-        host.at(T0, &[list(EndpointListKind::Cached, vec![line(1, 0)])]);
-        host
+        let mut driver = Host { scheduler: Scheduler::new(settings, 7, T0), now: T0, log: Vec::new() };
+        driver.at(T0, &[list(EndpointListKind::Cached, vec![line(1, 0)])]);
+        driver
     }
 
-    /// One batch; what it brought.
+    /// Passes one batch of events at the given time and returns the resulting actions.
     pub fn at(&mut self, now: Duration, events: &[Event]) -> Vec<Action> {
         self.now = now;
         let mut actions = Vec::new();
@@ -139,7 +148,7 @@
         actions
     }
 
-    /// Rings every millisecond until `end`; what that brought.
+    /// Fires the timer every millisecond until `end` and returns the resulting actions.
     pub fn ring_until(&mut self, end: Duration) -> Vec<(Duration, Action)> {
         let from = self.log.len();
         while self.now < end {
@@ -148,6 +157,7 @@
         self.log[from..].to_vec()
     }
 
+    /// Returns all attempts that were sent: when, of which request, to which endpoint.
     pub fn sends(&self) -> Vec<(Duration, RequestId, EndpointId)> {
         let send = |(at, a): &(Duration, Action)| match a {
             Action::Send { request, endpoint: node, .. } => Some((*at, *request, *node)),
@@ -156,6 +166,7 @@
         self.log.iter().filter_map(send).collect()
     }
 
+    /// Returns when the request was rejected or failed.
     pub fn ends(&self, id: RequestId) -> Vec<Duration> {
         let end = |(at, a): &(Duration, Action)| match a {
             Action::Reject { request, .. } | Action::Fail { request } if *request == id => Some(*at),
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -1,4 +1,4 @@
-//! Scripted peers on loopback: boxes and clients of both fronts.
+//! Scripted peers on loopback: endpoints and clients for the NBD front and for the platform's HTTP front.
 
 use shaletack::broker::{Broker, Clock, Input};
 use shaletack::nbd::codec::{
@@ -18,27 +18,29 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Runs a story on one thread; one that hangs is a failure, not a wait.
-pub fn story<F: Future<Output = ()>>(story: F) {
+/// Runs a test on a single-threaded runtime and fails where the test does not end within 120 s.
+pub fn story<F: Future<Output = ()>>(test: F) {
     actix_rt::System::new().block_on(async {
-        tokio::time::timeout(Duration::from_secs(120), story).await.expect("the story hangs");
+        tokio::time::timeout(Duration::from_secs(120), test).await.expect("the test ends within 120 s");
     });
 }
 
-/// A core that starts now.
+/// Starts a core whose clock starts now.
 pub fn host(settings: &shaletack::interface::Settings) -> Host {
     let now = Instant::now();
     let clock = Clock::new(now, Duration::from_secs(1_000_000));
     Host::start(Broker::new(settings.clone(), 7, clock, now))
 }
 
+/// Binds a listener to a free port on loopback.
 pub async fn loopback() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     (listener, address)
 }
 
-/// A peer that handles each connection by a script, given its number.
+/// Starts a peer that runs a script for each connection, passing the connection's number, and returns its
+/// address.
 pub async fn peer<F: Future<Output = ()> + 'static>(
     script: impl Fn(TcpStream, usize) -> F + 'static,
 ) -> SocketAddr {
@@ -52,12 +54,12 @@
     address
 }
 
-/// What a stand-in box does with a command.
+/// How a scripted NBD endpoint handles a command.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Script {
     Serve,
     Silent,
-    /// It takes writes and carries none of them out.
+    /// Accepts commands without answering them, and discards the data of writes.
     Swallow,
     Error,
     ErrorAfterData,
@@ -65,11 +67,12 @@
     NoExport,
 }
 
-/// A disk box that speaks NBD, and what it saw.
+/// A scripted endpoint that speaks NBD and records the commands it receives.
 pub struct NbdBox {
     pub address: SocketAddr,
     pub script: Rc<Cell<Script>>,
     pub seen: Rc<RefCell<Vec<Request>>>,
+    /// Notified of each command.
     pub came: Rc<Notify>,
 }
 
@@ -81,7 +84,7 @@
         let address = peer(move |stream, _| {
             let (parts, data) = (parts.clone(), data.clone());
             async move {
-                // The initiator ends connections as it likes.
+                // Errors are ignored, because the initiator may close its connections at any time.
                 let _ = nbd_box(stream, parts.0, parts.1, parts.2, data).await;
             }
         })
@@ -89,6 +92,7 @@
         NbdBox { address, script, seen, came }
     }
 
+    /// Returns how many commands of this type were received.
     pub fn count(&self, command: u16) -> usize {
         self.seen.borrow().iter().filter(|r| r.command == command).count()
     }
@@ -165,7 +169,8 @@
     }
 }
 
-/// An operator's file for one export over two shards of 64 KiB, in units of 4 KiB, with short deadlines.
+/// Returns the configuration of an operator's file with one export over two shards of 64 KiB each, in units
+/// of 4 KiB, and with short deadlines.
 pub fn operator(boxes: &[(SocketAddr, u16)]) -> Operator {
     let lane = |name: &str, effect: &str, aim: u32| {
         format!(
@@ -203,7 +208,7 @@
     operator::read(&mut text.into_bytes()).unwrap()
 }
 
-/// An NBD front over these boxes; what it tells to stop, and its core.
+/// Starts an NBD front. Returns its address, the notification that stops it, and its core.
 pub async fn nbd_front(operator: Operator) -> (SocketAddr, Rc<Notify>, Host) {
     let (listener, address) = loopback().await;
     let (core, stop) = (host(&operator.settings), Rc::new(Notify::new()));
@@ -215,7 +220,7 @@
     (address, stop, core)
 }
 
-/// A whole reply as an NBD client sees it.
+/// A complete NBD reply, as a client receives it.
 #[derive(Debug, Default, PartialEq)]
 pub struct Got {
     pub cookie: u64,
@@ -225,16 +230,18 @@
 }
 
 impl Got {
+    /// Returns the data of all chunks in the order of their offsets.
     pub fn bytes(mut self) -> Vec<u8> {
         self.data.sort();
         self.data.into_iter().flat_map(|d| d.1).collect()
     }
 }
 
+/// An NBD client, after the greeting.
 pub struct NbdClient(pub BufReader<TcpStream>);
 
 impl NbdClient {
-    /// Connects and goes as far as the options.
+    /// Connects and exchanges the handshake up to the option haggling phase.
     pub async fn connect(to: SocketAddr) -> Self {
         let mut s = BufReader::new(TcpStream::connect(to).await.unwrap());
         assert_eq!((s.read_u64().await.unwrap(), s.read_u64().await.unwrap()), (INIT_MAGIC, OPT_MAGIC));
@@ -243,7 +250,7 @@
         NbdClient(s)
     }
 
-    /// Connects and goes on to commands, with structured replies.
+    /// Connects and negotiates up to the transmission phase, with structured replies.
     pub async fn go(to: SocketAddr) -> Self {
         let mut client = Self::connect(to).await;
         assert_eq!(client.option(opt::STRUCTURED_REPLY, &[]).await.last().unwrap().0, rep::ACK);
@@ -251,7 +258,7 @@
         client
     }
 
-    /// An option, and all that comes back for it.
+    /// Sends an option and returns all replies to it.
     pub async fn option(&mut self, option: u32, data: &[u8]) -> Vec<(u32, Vec<u8>)> {
         let s = &mut self.0;
         s.write_all(&shaletack::nbd::codec::option(option, data)).await.unwrap();
@@ -268,6 +275,7 @@
         }
     }
 
+    /// Sends a command.
     pub async fn send(
         &mut self,
         command: u16,
@@ -281,7 +289,7 @@
         self.0.write_all(&[&request, data].concat()).await.unwrap();
     }
 
-    /// The next whole reply.
+    /// Reads the next complete reply.
     pub async fn reply(&mut self) -> Got {
         let s = &mut self.0;
         let mut got = Got::default();
@@ -306,7 +314,8 @@
     }
 }
 
-/// One HTTP message: its first line and headers, and its body. `None`: the connection ended.
+/// Reads one HTTP message and returns its head, which is the start line and headers, and its body. `None`:
+/// the connection ended.
 pub async fn message(s: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -322,7 +331,7 @@
     Some((head, body))
 }
 
-/// A chunked body, its extensions and trailers left out; `None`: it was cut.
+/// Reads a chunked body without its extensions and trailers; `None`: the body is incomplete.
 async fn chunks(s: &mut BufReader<TcpStream>) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
@@ -341,22 +350,24 @@
     }
 }
 
-/// A header's value, by its name in lower case.
+/// Returns a header's value by its name in lower case.
 pub fn header(head: &str, name: &str) -> Option<String> {
     let line = |l: &str| l.split_once(':').map(|(n, v)| (n.to_lowercase(), v.trim().to_owned()));
     head.lines().filter_map(line).find(|(n, _)| n == name).map(|(_, v)| v)
 }
 
-/// Of each request its connection's number, its head and its body.
+/// For each request the number of its connection, its head and its body.
 pub type Seen = Rc<RefCell<Vec<(usize, String, Vec<u8>)>>>;
 
-/// An HTTP box: gives each request, with the number of its connection, to a script that says what goes
-/// back, and then closes the connection if told so; `None`: nothing goes back.
+/// A scripted endpoint that speaks HTTP and records the requests it receives. For each request the script
+/// gets the number of earlier requests and the head, and returns the response and whether to close the
+/// connection after it; `None`: no response.
 pub struct HttpBox {
     pub address: SocketAddr,
     pub seen: Seen,
+    /// Notified of each request.
     pub came: Rc<Notify>,
-    /// Rung when the initiator closed a connection.
+    /// Notified when the initiator has closed a connection.
     pub closed: Rc<Notify>,
 }
 
@@ -387,19 +398,20 @@
     }
 }
 
-/// An answer with a body of stated length, which may be cut short.
+/// Returns a response with a body of stated length, from whose end `cut` bytes are missing.
 pub fn answer(status: &str, body: &[u8], cut: usize) -> Vec<u8> {
     let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
     [head.as_bytes(), &body[..body.len() - cut]].concat()
 }
 
-/// The platform's front over these boxes.
+/// Starts the platform's front over these endpoints. Returns its address, the notification that stops it, and
+/// its core.
 pub async fn http_front(boxes: &[(SocketAddr, u16)]) -> (SocketAddr, Rc<Notify>, Host) {
     let (address, stop, core, _) = http_front_until(boxes).await;
     (address, stop, core)
 }
 
-/// The same, and the task that ends once the front has stopped.
+/// Like [`http_front`], and also returns the task that ends once the front has stopped.
 pub async fn http_front_until(
     boxes: &[(SocketAddr, u16)],
 ) -> (SocketAddr, Rc<Notify>, Host, tokio::task::JoinHandle<()>) {
@@ -428,7 +440,7 @@
 
 static LAST_ID: AtomicU64 = AtomicU64::new(0x9b1f_03aa_5c7e_2d41);
 
-/// One request of the platform's form, under an id of its own.
+/// Returns a request in the platform's form with a unique trace id.
 pub fn platform_request(method: &str, class: &str, shard: u16, units: u32, body: &[u8]) -> Vec<u8> {
     let id = LAST_ID.fetch_add(1, Ordering::Relaxed);
     let head = format!(
@@ -440,6 +452,7 @@
     [head.as_bytes(), body].concat()
 }
 
+/// An HTTP client with one connection.
 pub struct HttpClient(pub BufReader<TcpStream>);
 
 impl HttpClient {
@@ -447,20 +460,21 @@
         HttpClient(BufReader::new(TcpStream::connect(to).await.unwrap()))
     }
 
-    /// Sends bytes and takes the answer: its status, head and body.
+    /// Sends bytes and reads a response: its status, head and body.
     pub async fn ask(&mut self, request: &[u8]) -> (u16, String, Vec<u8>) {
         self.0.write_all(request).await.unwrap();
-        let (head, body) = message(&mut self.0).await.expect("an answer");
+        let (head, body) = message(&mut self.0).await.expect("a response");
         (head[9..12].parse().unwrap(), head, body)
     }
 
-    /// The same, of an answer of any form: its status, its body as far as it came, and whether it is whole.
+    /// Like [`HttpClient::ask`], for a response that may be incomplete: its status, its body as far as it was
+    /// received, and whether it is complete.
     pub async fn ask_any(&mut self, request: &[u8]) -> (u16, Vec<u8>, bool) {
         let s = &mut self.0;
         s.write_all(request).await.unwrap();
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
-            head.push(s.read_u8().await.expect("a head"));
+            head.push(s.read_u8().await.expect("a response head"));
         }
         let head = String::from_utf8(head).unwrap();
         let (status, mut body) = (head[9..12].parse().unwrap(), Vec::new());
@@ -482,7 +496,7 @@
     }
 }
 
-/// How long it takes until that holds.
+/// Waits until the condition holds and returns how long that took.
 pub async fn until(holds: impl Fn() -> bool) -> Duration {
     let start = Instant::now();
     while !holds() {
@@ -491,22 +505,22 @@
     start.elapsed()
 }
 
-/// How a watch of the list is answered.
+/// The head of the response to an endpoint list watch.
 pub const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A piece of a chunked body.
+/// Returns the text as one chunk of a chunked body.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// The list at a revision: one box, in that phase.
+/// Returns the chunk of a full endpoint list at a revision, with one endpoint in the given phase.
 pub fn listed(revision: u64, phase: &str) -> String {
     chunk(&format!(
         r#"{{"revision":{revision},"complete":true,"members":[{{"id":"s-1","host_port":"127.0.0.1:9","cell":0,"phase":"{phase}"}}]}}"#
     ))
 }
 
-/// Says this and stays until the other side ends it.
+/// Sends the text and keeps the connection open until the peer closes it.
 pub async fn say(stream: &mut BufReader<TcpStream>, text: &str) {
     stream.write_all(text.as_bytes()).await.unwrap();
     let _ = stream.read(&mut [0]).await;
--- a/tests/common/platform.rs
+++ b/tests/common/platform.rs
@@ -1,4 +1,5 @@
-//! The platform round one real process, in blocking threads: its discovery agent, boxes over HTTP, and clients.
+//! Stubs of the platform around one real process, in blocking threads: a discovery agent, HTTP endpoints, and
+//! clients.
 
 use socket2::{Domain, Socket, Type};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -7,29 +8,30 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime};
 
-/// A request as it came to a box.
+/// A request that arrived at an endpoint.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When its last byte came.
+    /// When its last byte arrived.
     pub at: Instant,
-    /// Its first line and headers.
+    /// Its request line and headers.
     pub head: String,
 }
 
 impl Arrival {
-    /// Which request it is.
+    /// Returns the trace id, which identifies the request.
     pub fn trace(&self) -> &str {
         header_of(&self.head, "x-trace-id").unwrap_or_default()
     }
 }
 
-/// A header's value.
+/// Returns a header's value; the name is compared without regard to case.
 pub fn header_of<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let mut lines = head.lines().filter_map(|line| line.split_once(':'));
     lines.find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
 }
 
-/// Reads one message: its first line and headers, and its body of a stated length; `None`: the connection ended first.
+/// Reads one message and returns its head, which is the start line and headers, and its body of stated
+/// length. `None`: the connection ended before.
 pub fn read_message(stream: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -43,28 +45,29 @@
     Some((head, body))
 }
 
-/// What a box answers a request with: one in 16 answers is long.
+/// Returns the body with which an endpoint answers the request of this trace id. One body in 16 is long.
 pub fn answer_to(trace: &str) -> String {
     trace.repeat(if trace.ends_with('7') { 2000 } else { 1 })
 }
 
-/// A box that answers each request in its own words, unless it hangs.
+/// An HTTP endpoint that answers each request with [`answer_to`] its trace id, unless it hangs.
 pub struct StandInBox {
     pub address: SocketAddr,
     pub arrivals: Arc<Mutex<Vec<Arrival>>>,
+    /// While set, requests are received and not answered.
     pub hangs: Arc<AtomicBool>,
-    /// Connections come up, from when this is set on.
+    /// Connections are accepted once this is set.
     pub opens: Arc<AtomicBool>,
 }
 
 impl StandInBox {
-    /// Each answer takes so long.
-    pub fn start(takes: Duration) -> Self {
-        Self::serve(TcpListener::bind("127.0.0.1:0").unwrap(), takes, true, Vec::new())
+    /// Starts an endpoint that answers each request after `service_time`.
+    pub fn start(service_time: Duration) -> Self {
+        Self::serve(TcpListener::bind("127.0.0.1:0").unwrap(), service_time, true, Vec::new())
     }
 
-    /// The same, with a backlog that is full: no connection comes up before `opens` is set.
-    pub fn start_full(takes: Duration) -> Self {
+    /// Like [`Self::start`], with a full backlog: no connection is established before `opens` is set.
+    pub fn start_full(service_time: Duration) -> Self {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         listener.listen(1).unwrap();
@@ -72,10 +75,10 @@
         let address = listener.local_addr().unwrap();
         let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(200));
         let filled = std::iter::repeat_with(fill).map_while(Result::ok).collect();
-        Self::serve(listener, takes, false, filled)
+        Self::serve(listener, service_time, false, filled)
     }
 
-    fn serve(listener: TcpListener, takes: Duration, opens: bool, filled: Vec<TcpStream>) -> Self {
+    fn serve(listener: TcpListener, service_time: Duration, opens: bool, filled: Vec<TcpStream>) -> Self {
         let address = listener.local_addr().unwrap();
         let (arrivals, hangs) = (Arc::<Mutex<Vec<Arrival>>>::default(), Arc::<AtomicBool>::default());
         let opens = Arc::new(AtomicBool::new(opens));
@@ -87,13 +90,13 @@
             drop(filled);
             for stream in listener.incoming().map_while(Result::ok) {
                 let (seen, hanging) = (seen.clone(), hanging.clone());
-                std::thread::spawn(move || answer_all(stream, takes, &seen, &hanging));
+                std::thread::spawn(move || answer_all(stream, service_time, &seen, &hanging));
             }
         });
         StandInBox { address, arrivals, hangs, opens }
     }
 
-    /// How many requests came within each second from an instant on.
+    /// Returns how many requests arrived within each second, beginning at an instant.
     pub fn by_second(&self, from: Instant, seconds: usize) -> Vec<usize> {
         let mut counts = vec![0; seconds];
         for arrival in self.arrivals.lock().unwrap().iter() {
@@ -106,9 +109,10 @@
     }
 }
 
+/// Answers the requests of one connection until it is closed.
 fn answer_all(
     stream: TcpStream,
-    takes: Duration,
+    service_time: Duration,
     seen: &Mutex<Vec<Arrival>>,
     hangs: &AtomicBool,
 ) -> Option<()> {
@@ -119,64 +123,69 @@
         let trace = header_of(&head, "x-trace-id").unwrap_or_default().to_owned();
         seen.lock().unwrap().push(Arrival { at: Instant::now(), head });
         if hangs.load(Ordering::Relaxed) {
-            // Nothing is answered; the initiator ends the connection.
+            // The request is not answered; waits until the initiator closes the connection.
             let _ = stream.read(&mut [0]);
             return None;
         }
-        std::thread::sleep(takes);
+        std::thread::sleep(service_time);
         let body = answer_to(&trace);
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         stream.get_mut().write_all(answer.as_bytes()).ok()?;
     }
 }
 
-/// A discovery agent: each watch is told the whole list first and then every change; an empty line each second.
+/// A discovery agent. Each watch receives the full list first and then every change, and an empty line after
+/// each second without one.
 pub struct StandInAgent {
     pub address: SocketAddr,
+    /// The revision, and the entries in the order in which they were listed.
     list: Arc<Mutex<(u64, Vec<String>)>>,
 }
 
-/// What becomes of a call of an agent.
+/// How a call to a discovery agent fails.
 #[derive(Clone, Copy, Debug)]
 pub enum Trouble {
-    /// Its connection is closed at once.
+    /// The connection is closed at once.
     Closed,
-    /// Nothing is answered.
+    /// No response is sent.
     Silent,
-    /// A head, and nothing behind it.
+    /// The response head is sent, and nothing after it.
     HeadOnly,
-    /// It is turned away.
+    /// The call is rejected with status 503.
     Refused,
-    /// Half an object.
+    /// The body stops in the middle of a JSON object.
     HalfObject,
 }
 
 impl Trouble {
-    fn befall(self, mut stream: TcpStream) -> io::Result<()> {
+    /// Handles a call's connection accordingly.
+    fn handle(self, mut stream: TcpStream) -> io::Result<()> {
         const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        let said = match self {
+        let response = match self {
             Trouble::Closed => return Ok(()),
             Trouble::Silent => String::new(),
             Trouble::HeadOnly => HEAD.into(),
             Trouble::Refused => "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".into(),
             Trouble::HalfObject => format!("{HEAD}a\r\n{{\"revision\r\n"),
         };
-        stream.write_all(said.as_bytes())?;
-        // It stays until the other side ends it.
+        stream.write_all(response.as_bytes())?;
+        // The connection stays open until the peer closes it.
         io::copy(&mut stream, &mut io::sink()).map(drop)
     }
 }
 
-/// How often a watch looks for changes, and after how many looks it says that there is none.
-const LOOK: (Duration, u32) = (Duration::from_millis(5), 200);
+/// How often a watch checks for changes.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// After how many checks without a change a watch sends an empty line as a keep-alive: one each second.
+const CHECKS_PER_KEEP_ALIVE: u32 = 200;
 
 impl StandInAgent {
-    /// Lists these entries, as revision 1.
+    /// Starts an agent that lists these entries as revision 1.
     pub fn start(entries: &[String]) -> Self {
         Self::start_troubled(entries, &[])
     }
 
-    /// The same, but its first calls end in trouble.
+    /// Like [`Self::start`], but the first calls fail, each in the way given at its position.
     pub fn start_troubled(entries: &[String], troubles: &'static [Trouble]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -186,15 +195,15 @@
             for (number, stream) in listener.incoming().map_while(Result::ok).enumerate() {
                 let list = shared.clone();
                 std::thread::spawn(move || match troubles.get(number) {
-                    Some(trouble) => trouble.befall(stream),
-                    None => tell_changes(stream, &list),
+                    Some(trouble) => trouble.handle(stream),
+                    None => serve_watch(stream, &list),
                 });
             }
         });
         StandInAgent { address, list }
     }
 
-    /// One entry more, or another word on one.
+    /// Lists another entry, or a change of one, as the next revision.
     pub fn tell(&self, entry: String) {
         let mut list = self.list.lock().unwrap();
         list.0 += 1;
@@ -202,42 +211,43 @@
     }
 }
 
-fn tell_changes(stream: TcpStream, list: &Mutex<(u64, Vec<String>)>) -> io::Result<()> {
+/// Serves one watch until its connection is closed.
+fn serve_watch(stream: TcpStream, list: &Mutex<(u64, Vec<String>)>) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut stream = BufReader::new(stream);
     read_message(&mut stream).ok_or(io::ErrorKind::UnexpectedEof)?;
     let stream = stream.get_mut();
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
-    let say = |stream: &mut TcpStream, text: &str| {
+    let send_line = |stream: &mut TcpStream, text: &str| {
         stream.write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes())
     };
-    let (mut told, mut quiet) = (0, 0);
+    let (mut sent, mut unchanged_checks) = (0, 0);
     loop {
         let (revision, entries) = list.lock().unwrap().clone();
-        if entries.len() > told || told == 0 && quiet == 0 {
-            let (complete, members) = (told == 0, entries[told..].join(","));
-            say(
+        if entries.len() > sent || sent == 0 && unchanged_checks == 0 {
+            let (complete, members) = (sent == 0, entries[sent..].join(","));
+            send_line(
                 stream,
                 &format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#),
             )?;
-            (told, quiet) = (entries.len(), 0);
+            (sent, unchanged_checks) = (entries.len(), 0);
         }
-        quiet += 1;
-        if quiet % LOOK.1 == 0 {
-            say(stream, "")?;
+        unchanged_checks += 1;
+        if unchanged_checks % CHECKS_PER_KEEP_ALIVE == 0 {
+            send_line(stream, "")?;
         }
-        std::thread::sleep(LOOK.0);
+        std::thread::sleep(CHECK_INTERVAL);
     }
 }
 
-/// An entry of the list.
+/// Returns an entry of the endpoint list.
 pub fn entry(id: &str, at: SocketAddr, cell: u16, phase: &str, up_since_ms: u64) -> String {
     format!(
         r#"{{"id":"{id}","host_port":"{at}","locality":"a","cell":{cell},"phase":"{phase}","up_since_ms":{up_since_ms}}}"#
     )
 }
 
-/// What the machine's clock shows.
+/// Returns the Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_millis() as u64
 }
@@ -245,50 +255,50 @@
 /// How a client's request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Its whole answer, and whether the connection is kept.
+    /// The complete response, and whether the connection is kept open.
     Answered { status: u16, body: Vec<u8>, kept: bool },
-    /// The connection ended, or was closed, with nothing of an answer.
+    /// The connection was closed or failed before any response.
     Closed,
-    /// Nothing came in time.
+    /// No response arrived in time.
     Silent,
 }
 
 impl Ending {
-    /// Whether the connection goes on.
+    /// Whether the connection can be used for another request.
     pub fn keeps(&self) -> bool {
         matches!(self, Ending::Answered { kept: true, .. })
     }
 }
 
-/// A client's connection.
+/// The connection of an HTTP client.
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    /// Fails where nobody listens.
+    /// Connects to the address; fails if nobody listens there.
     pub fn connect(to: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(to)?;
         stream.set_nodelay(true)?;
         Ok(Client(BufReader::new(stream)))
     }
 
-    /// Sends a request, and goes on without its answer.
+    /// Sends a request without waiting for the response.
     pub fn send(&mut self, request: &[u8]) -> io::Result<()> {
         self.0.get_mut().write_all(request)
     }
 
-    /// Sends a request and waits so long for its answer; `Err`: it could not be written.
-    pub fn ask(&mut self, request: &[u8], patience: Duration) -> io::Result<Ending> {
+    /// Sends a request and waits up to `timeout` for the response; `Err`: the request could not be written.
+    pub fn ask(&mut self, request: &[u8], timeout: Duration) -> io::Result<Ending> {
         self.send(request)?;
-        Ok(self.answer(patience))
+        Ok(self.answer(timeout))
     }
 
-    /// Waits so long for the next answer.
-    pub fn answer(&mut self, patience: Duration) -> Ending {
-        let _ = self.0.get_ref().set_read_timeout(Some(patience));
+    /// Waits up to `timeout` for the next response.
+    pub fn answer(&mut self, timeout: Duration) -> Ending {
+        let _ = self.0.get_ref().set_read_timeout(Some(timeout));
         match self.0.fill_buf() {
             Ok([]) => return Ending::Closed,
             Ok(_) => {}
-            Err(why) if matches!(why.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
+            Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
                 return Ending::Silent
             }
             Err(_) => return Ending::Closed,
@@ -298,36 +308,37 @@
         Ending::Answered { status: head[9..12].parse().unwrap(), body, kept }
     }
 
-    /// Waits until the other side ends its half, for so long at the most: whether it did.
+    /// Waits up to `span` for the peer to close its side, and returns whether it did.
     pub fn is_ended_within(&mut self, span: Duration) -> bool {
         let _ = self.0.get_ref().set_read_timeout(Some(span));
         match self.0.read(&mut [0]) {
             Ok(count) => count == 0,
-            Err(why) => !matches!(why.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut),
+            Err(error) => !matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut),
         }
     }
 
-    /// Ends the connection.
+    /// Closes the connection in both directions.
     pub fn close(self) {
         let _ = self.0.get_ref().shutdown(Shutdown::Both);
     }
 }
 
-/// A request of one unit in the platform's form, and its trace id.
-pub fn request(method: &str, class: &str, shard: u16, patience: Duration, body: &str) -> (Vec<u8>, String) {
+/// Returns a request of one unit in the platform's form, with `timeout` as its time budget, and its trace id.
+pub fn request(method: &str, class: &str, shard: u16, timeout: Duration, body: &str) -> (Vec<u8>, String) {
     static LAST: AtomicU64 = AtomicU64::new(1);
     let trace = format!("{:016x}", LAST.fetch_add(1, Ordering::Relaxed));
     let text = format!(
         "{method} /{class}/{trace} HTTP/1.1\r\nHost: api\r\nX-Trace-Id: {trace}\r\nX-Qos-Policy: basico\r\n\
          X-Expires-In: {:.3}\r\nContent-Length: {}\r\n\
          X-Placement: volume=00000000000000a1,units=1,shard={shard},hosts=1\r\n\r\n{body}",
-        patience.as_secs_f64(),
+        timeout.as_secs_f64(),
         body.len()
     );
     (text.into_bytes(), trace)
 }
 
-/// A configuration of one initiator: a safe and an unsafe class, with this deadline, and these `domain` and `invariants`.
+/// Returns the platform's configuration of one initiator: an idempotent and an at-most-once class with the
+/// given deadline, and the given contents of `domain` and `invariants`.
 pub fn configuration(agent: SocketAddr, deadline_ms: u64, domain: &str, invariants: &str) -> String {
     let lane = |name: &str, effect: &str| {
         let (aim, deadline) = (deadline_ms * 500_000, deadline_ms * 1_000_000);
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! The real program as a process of its own.
+//! Runs the real program with an operator's file as a separate process.
 
 use super::faults::Faults;
 use std::io::BufRead;
@@ -7,8 +7,9 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use tokio::sync::mpsc;
 
-/// An address for a process's peers, which its file has to name before it is there: free for TCP and UDP, and below the
-/// ports that the system hands out by itself, so that no other test is given it in the meantime.
+/// Returns an address for a process to receive its peers on, which its file has to name before the process
+/// starts. The port is free for TCP and UDP and below the ephemeral port range, so that the system gives it
+/// to no other test in between.
 pub fn place_for_peers() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     loop {
@@ -21,7 +22,8 @@
     }
 }
 
-/// Ends the process whatever becomes of the test.
+/// A running process, which is killed when the test ends, also where the test fails. Holds the lines of its
+/// log.
 pub struct Process(pub Child, mpsc::UnboundedReceiver<String>);
 
 impl Drop for Process {
@@ -32,17 +34,17 @@
 }
 
 impl Process {
-    /// Starts the program by an operator's file of this text.
+    /// Starts the program with the given text as the operator's file.
     pub fn start(file: &str, text: &str) -> Self {
-        Self::started(file, text, None)
+        Self::spawn(file, text, None)
     }
 
-    /// The same, where system calls fail by a plan.
+    /// Like [`Self::start`], with system calls that fail according to a plan.
     pub fn start_under(faults: &Faults, file: &str, text: &str) -> Self {
-        Self::started(file, text, Some(faults))
+        Self::spawn(file, text, Some(faults))
     }
 
-    fn started(file: &str, text: &str, faults: Option<&Faults>) -> Self {
+    fn spawn(file: &str, text: &str, faults: Option<&Faults>) -> Self {
         let path =
             std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{file}", std::process::id()));
         std::fs::write(&path, text).unwrap();
@@ -53,23 +55,23 @@
             faults.on(&mut command);
         }
         let mut child = command.spawn().unwrap();
-        let (say, said) = mpsc::unbounded_channel();
+        let (sender, log_lines) = mpsc::unbounded_channel();
         let lines = std::io::BufReader::new(child.stderr.take().unwrap()).lines();
-        std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|l| say.send(l)));
-        Process(child, said)
+        std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|l| sender.send(l)));
+        Process(child, log_lines)
     }
 
-    /// Its next line with this in it.
+    /// Waits for the next line of the log that contains the text, and returns the line.
     pub async fn says(&mut self, what: &str) -> String {
         loop {
-            let line = self.1.recv().await.expect("it goes on");
+            let line = self.1.recv().await.expect("the process still runs");
             if line.contains(what) {
                 return line;
             }
         }
     }
 
-    /// Where clients connect.
+    /// Returns the address that clients connect to, from the log.
     pub async fn place(&mut self) -> SocketAddr {
         let line = self.says("listens for NBD").await;
         line.split(" at=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap()
--- a/tests/common/program.rs
+++ b/tests/common/program.rs
@@ -1,11 +1,12 @@
-//! The program as its users start it, with blocking clients.
+//! Runs the real program as its users start it, with blocking clients.
 
 use super::faults::Faults;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
 
-/// The program with these arguments, and nothing of the environment's word.
+/// Returns the command that runs the program with these arguments and without the environment variables it
+/// reads.
 pub fn shaletack(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_shaletack"));
     command.args(args).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
@@ -15,14 +16,14 @@
     command
 }
 
-/// A file of this text, for the program to read; its path.
+/// Writes a file with this text for the program to read, and returns its path.
 pub fn file(name: &str, text: &str) -> String {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
     path.to_str().unwrap().to_owned()
 }
 
-/// Ends the program whatever becomes of the test.
+/// A running program, which is killed when the test ends, also where the test fails.
 pub struct Running(pub Child);
 
 impl Drop for Running {
@@ -32,29 +33,30 @@
     }
 }
 
-/// A field of a line of the log, in its text form.
+/// Returns the value of a field of a log line in text form.
 pub fn field(line: &str, name: &str) -> String {
     let (_, rest) = line.split_once(&format!(" {name}=")).expect(line);
     rest.split(' ').next().unwrap_or_default().trim_matches('"').to_owned()
 }
 
 impl Running {
-    /// Starts the program, and waits until it listens.
+    /// Starts the program and waits until it listens. Returns the program, the following lines of its log,
+    /// and the address that it listens on.
     pub fn start(command: &mut Command) -> (Self, impl Iterator<Item = String>, String) {
         let mut child = Running(command.spawn().unwrap());
         let mut lines = BufReader::new(child.0.stderr.take().unwrap()).lines().map(|l| l.unwrap());
-        let line = lines.find(|l| l.contains(" listens for ")).expect("it says where");
+        let line = lines.find(|l| l.contains(" listens for ")).expect("the program logs its address");
         let address = field(&line, "at");
         (child, lines, address)
     }
 
-    /// Sends it a signal, by its name for `kill`.
+    /// Sends the program a signal, given as an option of `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         assert!(Command::new("kill").args([name, &self.0.id().to_string()]).status().unwrap().success());
     }
 }
 
-/// One exchange: status, and whether the connection is kept.
+/// Sends a request and reads the response. Returns its status, and whether the connection is kept open.
 pub fn exchange(stream: &mut TcpStream, request: &str) -> (u16, bool) {
     stream.set_read_timeout(Some(std::time::Duration::from_secs(20))).unwrap();
     stream.write_all(format!("{request} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes()).unwrap();
@@ -72,14 +74,15 @@
     (head[9..12].parse().unwrap(), !head.contains("connection: close"))
 }
 
-/// Starts a version of the program on a clients' socket that the test holds, as the platform does.
+/// Starts a version of the program with a listening socket that the test holds, as the platform does. Returns
+/// the program, the lines of its log, and its management address.
 pub fn version(
     held: &TcpListener,
     folder: &std::path::Path,
     config: &str,
     faults: Option<&Faults>,
 ) -> (Running, impl Iterator<Item = String>, String) {
-    // The shell hands its standard input on as the first descriptor beside the usual three.
+    // The shell passes the socket, its standard input, on as descriptor 3.
     let mut command = Command::new("/bin/sh");
     let held: std::os::fd::OwnedFd = held.try_clone().unwrap().into();
     command.args([
@@ -95,10 +98,10 @@
     }
     let mut child = Running(command.spawn().unwrap());
     let mut lines = BufReader::new(child.0.stderr.take().unwrap()).lines().map(|l| l.unwrap());
-    let mut told = Vec::new();
-    while !told.last().is_some_and(|l: &String| l.contains(" accepting management calls ")) {
-        told.push(lines.next().expect("it says where"));
+    let mut log_lines = Vec::new();
+    while !log_lines.last().is_some_and(|l: &String| l.contains(" accepting management calls ")) {
+        log_lines.push(lines.next().expect("the program logs its address"));
     }
-    let place = field(&told.pop().unwrap(), "at");
-    (child, told.into_iter().chain(lines), place)
+    let address = field(&log_lines.pop().unwrap(), "at");
+    (child, log_lines.into_iter().chain(lines), address)
 }
--- a/tests/common/traffic.rs
+++ b/tests/common/traffic.rs
@@ -1,50 +1,59 @@
-//! Many clients of one process, and what became of their requests.
+//! Load from many clients on one process, and the outcomes of their requests.
 
 use super::platform::{answer_to, request, Client, Ending};
 use std::io;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// An answer may be so late and only earn nothing.
-const LATE: Duration = Duration::from_millis(500);
+/// How long after its deadline a response may still arrive. A response that late earns nothing, but its request
+/// does not count as lost.
+const MAX_LATENESS: Duration = Duration::from_millis(500);
 
-/// What became of the requests of many clients.
+/// The outcomes of the requests of many clients.
 #[derive(Debug, Default)]
 pub struct Outcomes {
     pub served: usize,
-    pub refused: usize,
+    pub rejected: usize,
     pub failed_reads: usize,
     pub failed_writes: usize,
-    /// Read and closed with no answer, or never answered.
+    /// Requests that got no response: the connection was closed, or nothing arrived in time.
     pub lost: Vec<String>,
-    /// Answered with what was made for another request.
+    /// Requests that were answered with the response to another request.
     pub foreign: usize,
-    /// Trace ids of all writes, and of those that were refused.
+    /// The trace ids of all writes.
     pub writes: Vec<String>,
-    pub refused_writes: Vec<String>,
-    /// Nobody listened any more.
+    /// The trace ids of the writes that were rejected.
+    pub rejected_writes: Vec<String>,
+    /// Clients that ended because nobody listened any more.
     pub turned_away: usize,
 }
 
 impl Outcomes {
     fn add(&mut self, other: Outcomes) {
         self.served += other.served;
-        self.refused += other.refused;
+        self.rejected += other.rejected;
         self.failed_reads += other.failed_reads;
         self.failed_writes += other.failed_writes;
         self.lost.extend(other.lost);
         self.foreign += other.foreign;
         self.writes.extend(other.writes);
-        self.refused_writes.extend(other.refused_writes);
+        self.rejected_writes.extend(other.rejected_writes);
         self.turned_away += other.turned_away;
     }
 }
 
-/// Clients that read and write by turns on connections that they keep, for so long, or until nobody listens.
-pub fn traffic(to: SocketAddr, clients: usize, shards: u16, patience: Duration, lasts: Duration) -> Outcomes {
-    let until = Instant::now() + lasts;
+/// Runs clients that send reads and writes on persistent connections for `duration`, or until nobody listens,
+/// and returns the outcomes of their requests. A request has the time budget `timeout`.
+pub fn traffic(
+    to: SocketAddr,
+    clients: usize,
+    shards: u16,
+    timeout: Duration,
+    duration: Duration,
+) -> Outcomes {
+    let until = Instant::now() + duration;
     let start =
-        |number| std::thread::spawn(move || TrafficClient::new(to, patience).run(number, shards, until));
+        |number| std::thread::spawn(move || TrafficClient::new(to, timeout).run(number, shards, until));
     let threads: Vec<_> = (0..clients).map(start).collect();
     let mut all = Outcomes::default();
     threads.into_iter().for_each(|thread| all.add(thread.join().unwrap()));
@@ -53,21 +62,15 @@
 
 struct TrafficClient {
     to: SocketAddr,
-    patience: Duration,
+    timeout: Duration,
     begins: Instant,
     connection: Option<Client>,
     outcomes: Outcomes,
 }
 
 impl TrafficClient {
-    fn new(to: SocketAddr, patience: Duration) -> Self {
-        TrafficClient {
-            to,
-            patience,
-            begins: Instant::now(),
-            connection: None,
-            outcomes: Outcomes::default(),
-        }
+    fn new(to: SocketAddr, timeout: Duration) -> Self {
+        TrafficClient { to, timeout, begins: Instant::now(), connection: None, outcomes: Outcomes::default() }
     }
 
     fn run(mut self, number: usize, shards: u16, until: Instant) -> Outcomes {
@@ -78,7 +81,7 @@
             let writes = turn.is_multiple_of(3);
             let (method, class) = if writes { ("PUT", "gravacao") } else { ("GET", "leitura") };
             let body = "data".repeat(if !writes { 0 } else { 1 + turn % 5 * 1000 });
-            let (request, trace) = request(method, class, turn as u16 % shards, self.patience, &body);
+            let (request, trace) = request(method, class, turn as u16 % shards, self.timeout, &body);
             if writes {
                 self.outcomes.writes.push(trace.clone());
             }
@@ -94,12 +97,12 @@
         self.outcomes
     }
 
-    /// On the connection that there is; where its close crossed the request, once more on a new one. `Err`: nobody
-    /// listens.
+    /// Sends a request on the open connection. Where the connection was closed at the same time, sends the
+    /// request once more on a new one. `Err`: nobody listens.
     fn ask(&mut self, request: &[u8]) -> io::Result<Ending> {
-        let patience = self.patience + LATE;
+        let timeout = self.timeout + MAX_LATENESS;
         if let Some(mut kept) = self.connection.take() {
-            match kept.ask(request, patience) {
+            match kept.ask(request, timeout) {
                 Ok(Ending::Closed) | Err(_) => {}
                 Ok(ending) => {
                     self.connection = ending.keeps().then_some(kept);
@@ -108,7 +111,7 @@
             }
         }
         let mut fresh = Client::connect(self.to)?;
-        let ending = fresh.ask(request, patience).unwrap_or(Ending::Closed);
+        let ending = fresh.ask(request, timeout).unwrap_or(Ending::Closed);
         self.connection = ending.keeps().then_some(fresh);
         Ok(ending)
     }
@@ -122,10 +125,11 @@
             }
             Ending::Answered { status: 200, .. } => outcomes.foreign += 1,
             Ending::Answered { status: 503, .. } => {
-                outcomes.refused += 1;
-                outcomes.refused_writes.extend(writes.then_some(trace));
+                outcomes.rejected += 1;
+                outcomes.rejected_writes.extend(writes.then_some(trace));
             }
-            // The id was taken before: the first was read, and its connection closed with no answer.
+            // 409 means that the id is already in use: the first copy of the request was read, and its
+            // connection was closed without a response.
             Ending::Answered { status: 409, .. } | Ending::Closed | Ending::Silent => {
                 let (from, span) = (sent - self.begins, sent.elapsed());
                 outcomes
