--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -316,27 +316,27 @@
     let call = |at: &str, call: &str| exchange(&mut TcpStream::connect(at).unwrap(), call).0;
     let ready = |at: &str| while call(at, "GET /v1/readyz") != 200 {};
     let health = |client: &mut TcpStream| exchange(client, "GET /_health");
-    let (mut old, mut old_lines, old_place) = version(&held, &folder, &good, None);
+    let (mut old, mut old_lines, old_place) = start_version(&held, &folder, &good, None);
     ready(&old_place);
     let mut kept = TcpStream::connect(place).unwrap();
     assert_eq!(health(&mut kept), (200, true));
     assert_eq!(call(&old_place, "POST /v1/targets/s-5be2a07c/suspend"), 200);
     // Another customer's initiator of that name, on a socket of its own, shares and inherits nothing.
     let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (_other, mut other_lines, other_place) = version(&elsewhere, &folder, &good, None);
+    let (_other, mut other_lines, other_place) = start_version(&elsewhere, &folder, &good, None);
     ready(&other_place);
     let told: Vec<String> = other_lines.by_ref().take_while(|l| !l.contains(" listens for ")).collect();
     assert!(!told.iter().any(|l| l.contains(" hand-over state restored ")), "{told:?}");
     assert_eq!(call(&other_place, "POST /v1/initiator/drain"), 200);
     assert_eq!(health(&mut kept), (200, true));
     // One that dies early leaves the old one serving, and found by the next.
-    let (dies, _, early) = version(&held, &folder, &good, None);
+    let (dies, _, early) = start_version(&held, &folder, &good, None);
     ready(&early);
     drop(dies);
     assert!(old_lines.any(|l| l.contains(" the other process is gone")));
     // What the old one turned down at SIGHUP must not stop the new one.
     let cut = file("over-cut.json", "{\"name\":");
-    let (_new, mut lines, new_place) = version(&held, &folder, &cut, None);
+    let (_new, mut lines, new_place) = start_version(&held, &folder, &cut, None);
     ready(&new_place);
     let inherited = lines.by_ref().take(60).find(|l| l.contains(" hand-over state restored ")).unwrap();
     assert!(inherited.ends_with("endpoints=1 revision=41 suspended=1 drained=false"), "{inherited}");
--- a/tests/common/kept.rs
+++ b/tests/common/captured_log.rs
@@ -7,9 +7,9 @@
 
 /// A buffer that holds what the current thread has logged.
 #[derive(Clone, Default)]
-pub struct Kept(Arc<Mutex<Vec<u8>>>);
+pub struct CapturedLog(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for CapturedLog {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend(bytes);
         Ok(bytes.len())
@@ -20,10 +20,10 @@
     }
 }
 
-impl Kept {
+impl CapturedLog {
     /// Captures the thread's log in the given format, from the given level up, until the guard is dropped.
     pub fn start(format: LogFormat, level: LevelFilter) -> (Self, tracing::subscriber::DefaultGuard) {
-        let captured = Kept::default();
+        let captured = CapturedLog::default();
         let out = captured.clone();
         (captured, tracing::subscriber::set_default(subscriber(format, level, move || out.clone())))
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,8 +2,8 @@
 //! feeds events to a single scheduler and records its actions.
 #![allow(dead_code)]
 
+pub mod captured_log;
 pub mod faults;
-pub mod kept;
 pub mod net;
 pub mod platform;
 pub mod process;
@@ -124,17 +124,18 @@
 }
 
 /// Drives a single scheduler in virtual time and records its actions.
-pub struct Host {
+pub struct SchedulerDriver {
     pub scheduler: Scheduler,
     pub now: Duration,
     /// Each action that the scheduler returned, and when.
     pub log: Vec<(Duration, Action)>,
 }
 
-impl Host {
+impl SchedulerDriver {
     /// Creates a scheduler that knows one endpoint, number 1, which holds shard 0.
     pub fn new(settings: Settings) -> Self {
-        let mut driver = Host { scheduler: Scheduler::new(settings, 7, T0), now: T0, log: Vec::new() };
+        let mut driver =
+            SchedulerDriver { scheduler: Scheduler::new(settings, 7, T0), now: T0, log: Vec::new() };
         driver.at(T0, &[list(EndpointListKind::Cached, vec![line(1, 0)])]);
         driver
     }
@@ -149,7 +150,7 @@
     }
 
     /// Fires the timer every millisecond until `end` and returns the resulting actions.
-    pub fn ring_until(&mut self, end: Duration) -> Vec<(Duration, Action)> {
+    pub fn fire_timer_until(&mut self, end: Duration) -> Vec<(Duration, Action)> {
         let from = self.log.len();
         while self.now < end {
             self.at(self.now + MS, &[Event::Timer]);
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -19,7 +19,7 @@
 use tokio::sync::Notify;
 
 /// Runs a test on a single-threaded runtime and fails where the test does not end within 120 s.
-pub fn story<F: Future<Output = ()>>(test: F) {
+pub fn run_test<F: Future<Output = ()>>(test: F) {
     actix_rt::System::new().block_on(async {
         tokio::time::timeout(Duration::from_secs(120), test).await.expect("the test ends within 120 s");
     });
@@ -57,39 +57,45 @@
 /// How a scripted NBD endpoint handles a command.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Script {
+    /// Executes and answers each command.
     Serve,
+    /// Executes commands without answering them.
     Silent,
     /// Accepts commands without answering them, and discards the data of writes.
     Swallow,
+    /// Answers each command with an error.
     Error,
+    /// Answers a read with half of its data and then an error.
     ErrorAfterData,
+    /// Sends half of a read's data and closes the connection.
     HalfReply,
+    /// Rejects the export during negotiation.
     NoExport,
 }
 
 /// A scripted endpoint that speaks NBD and records the commands it receives.
-pub struct NbdBox {
+pub struct StubNbdEndpoint {
     pub address: SocketAddr,
     pub script: Rc<Cell<Script>>,
     pub seen: Rc<RefCell<Vec<Request>>>,
     /// Notified of each command.
-    pub came: Rc<Notify>,
+    pub received: Rc<Notify>,
 }
 
-impl NbdBox {
+impl StubNbdEndpoint {
     pub async fn start(script: Script, size: usize) -> Self {
-        let (script, seen, came) = (Rc::new(Cell::new(script)), Rc::default(), Rc::new(Notify::new()));
+        let (script, seen, received) = (Rc::new(Cell::new(script)), Rc::default(), Rc::new(Notify::new()));
         let data = Rc::new(RefCell::new(vec![0u8; size]));
-        let parts = (script.clone(), Rc::clone(&seen), came.clone());
+        let parts = (script.clone(), Rc::clone(&seen), received.clone());
         let address = peer(move |stream, _| {
             let (parts, data) = (parts.clone(), data.clone());
             async move {
                 // Errors are ignored, because the initiator may close its connections at any time.
-                let _ = nbd_box(stream, parts.0, parts.1, parts.2, data).await;
+                let _ = serve_nbd(stream, parts.0, parts.1, parts.2, data).await;
             }
         })
         .await;
-        NbdBox { address, script, seen, came }
+        StubNbdEndpoint { address, script, seen, received }
     }
 
     /// Returns how many commands of this type were received.
@@ -98,11 +104,11 @@
     }
 }
 
-async fn nbd_box(
+async fn serve_nbd(
     stream: TcpStream,
     script: Rc<Cell<Script>>,
     seen: Rc<RefCell<Vec<Request>>>,
-    came: Rc<Notify>,
+    received: Rc<Notify>,
     data: Rc<RefCell<Vec<u8>>>,
 ) -> std::io::Result<()> {
     let mut s = BufReader::new(stream);
@@ -142,7 +148,7 @@
             }
         }
         seen.borrow_mut().push(r);
-        came.notify_one();
+        received.notify_one();
         let read = r.command == cmd::READ;
         let part = |flags: u16, from: usize, to: usize| {
             let mut out = chunk_header(flags, chunk::OFFSET_DATA, r.cookie, 8 + to - from);
@@ -171,7 +177,7 @@
 
 /// Returns the configuration of an operator's file with one export over two shards of 64 KiB each, in units
 /// of 4 KiB, and with short deadlines.
-pub fn operator(boxes: &[(SocketAddr, u16)]) -> Operator {
+pub fn operator(endpoints: &[(SocketAddr, u16)]) -> Operator {
     let lane = |name: &str, effect: &str, aim: u32| {
         format!(
             r#"{{"name":"{name}","aim":{aim}000000,"deadline":1500000000,"idempotency":"{effect}","group":"cell",
@@ -184,7 +190,7 @@
         lane("exportacao", "idempotent", 401),
         lane("keyed", "deduplicated", 400),
     ];
-    let members: Vec<String> = boxes
+    let members: Vec<String> = endpoints
         .iter()
         .map(|(a, cell)| {
             format!(
@@ -222,14 +228,14 @@
 
 /// A complete NBD reply, as a client receives it.
 #[derive(Debug, Default, PartialEq)]
-pub struct Got {
+pub struct NbdReply {
     pub cookie: u64,
     pub error: u32,
     pub text: String,
     pub data: Vec<(u64, Vec<u8>)>,
 }
 
-impl Got {
+impl NbdReply {
     /// Returns the data of all chunks in the order of their offsets.
     pub fn bytes(mut self) -> Vec<u8> {
         self.data.sort();
@@ -290,9 +296,9 @@
     }
 
     /// Reads the next complete reply.
-    pub async fn reply(&mut self) -> Got {
+    pub async fn reply(&mut self) -> NbdReply {
         let s = &mut self.0;
-        let mut got = Got::default();
+        let mut got = NbdReply::default();
         loop {
             assert_eq!(s.read_u32().await.unwrap(), STRUCTURED_REPLY_MAGIC);
             let (flags, kind) = (s.read_u16().await.unwrap(), s.read_u16().await.unwrap());
@@ -362,29 +368,29 @@
 /// A scripted endpoint that speaks HTTP and records the requests it receives. For each request the script
 /// gets the number of earlier requests and the head, and returns the response and whether to close the
 /// connection after it; `None`: no response.
-pub struct HttpBox {
+pub struct StubHttpEndpoint {
     pub address: SocketAddr,
     pub seen: Seen,
     /// Notified of each request.
-    pub came: Rc<Notify>,
+    pub received: Rc<Notify>,
     /// Notified when the initiator has closed a connection.
     pub closed: Rc<Notify>,
 }
 
-impl HttpBox {
+impl StubHttpEndpoint {
     pub async fn start(script: impl Fn(usize, &str) -> Option<(Vec<u8>, bool)> + 'static) -> Self {
         let seen = Seen::default();
-        let (came, closed, script) = (Rc::new(Notify::new()), Rc::new(Notify::new()), Rc::new(script));
-        let parts = (seen.clone(), came.clone(), closed.clone());
+        let (received, closed, script) = (Rc::new(Notify::new()), Rc::new(Notify::new()), Rc::new(script));
+        let parts = (seen.clone(), received.clone(), closed.clone());
         let address = peer(move |stream, number| {
-            let ((seen, came, closed), script) = (parts.clone(), script.clone());
+            let ((seen, received, closed), script) = (parts.clone(), script.clone());
             async move {
                 let mut s = BufReader::new(stream);
                 while let Some((head, body)) = message(&mut s).await {
                     let count = seen.borrow().len();
                     let reply = script(count, &head);
                     seen.borrow_mut().push((number, head, body));
-                    came.notify_one();
+                    received.notify_one();
                     let Some((reply, close)) = reply else { continue };
                     if s.write_all(&reply).await.is_err() || close {
                         return;
@@ -394,7 +400,7 @@
             }
         })
         .await;
-        HttpBox { address, seen, came, closed }
+        StubHttpEndpoint { address, seen, received, closed }
     }
 }
 
@@ -406,23 +412,23 @@
 
 /// Starts the platform's front over these endpoints. Returns its address, the notification that stops it, and
 /// its core.
-pub async fn http_front(boxes: &[(SocketAddr, u16)]) -> (SocketAddr, Rc<Notify>, Host) {
-    let (address, stop, core, _) = http_front_until(boxes).await;
+pub async fn http_front(endpoints: &[(SocketAddr, u16)]) -> (SocketAddr, Rc<Notify>, Host) {
+    let (address, stop, core, _) = http_front_until(endpoints).await;
     (address, stop, core)
 }
 
 /// Like [`http_front`], and also returns the task that ends once the front has stopped.
 pub async fn http_front_until(
-    boxes: &[(SocketAddr, u16)],
+    endpoints: &[(SocketAddr, u16)],
 ) -> (SocketAddr, Rc<Notify>, Host, tokio::task::JoinHandle<()>) {
-    let known = boxes.len();
+    let known = endpoints.len();
     let nowhere = ("127.0.0.1:9".parse().unwrap(), 0);
-    let Operator { settings, endpoints: mut boxes, .. } =
-        operator(&[boxes, &[nowhere, (nowhere.0, 1)]].concat());
-    boxes.entries.truncate(known);
+    let Operator { settings, endpoints: mut list, .. } =
+        operator(&[endpoints, &[nowhere, (nowhere.0, 1)]].concat());
+    list.entries.truncate(known);
     let (listener, address) = loopback().await;
     let (core, stop) = (host(&settings), Rc::new(Notify::new()));
-    core.feed(Input::EndpointList(boxes));
+    core.feed(Input::EndpointList(list));
     let endpoint_clients = shaletack::net::upstream::endpoint_clients::EndpointClients::new(&core, 16);
     let front = shaletack::net::downstream::front::Front {
         host: core.clone(),
@@ -521,7 +527,7 @@
 }
 
 /// Sends the text and keeps the connection open until the peer closes it.
-pub async fn say(stream: &mut BufReader<TcpStream>, text: &str) {
+pub async fn send_and_hold(stream: &mut BufReader<TcpStream>, text: &str) {
     stream.write_all(text.as_bytes()).await.unwrap();
     let _ = stream.read(&mut [0]).await;
 }
--- a/tests/common/platform.rs
+++ b/tests/common/platform.rs
@@ -46,12 +46,12 @@
 }
 
 /// Returns the body with which an endpoint answers the request of this trace id. One body in 16 is long.
-pub fn answer_to(trace: &str) -> String {
+pub fn response_body(trace: &str) -> String {
     trace.repeat(if trace.ends_with('7') { 2000 } else { 1 })
 }
 
-/// An HTTP endpoint that answers each request with [`answer_to`] its trace id, unless it hangs.
-pub struct StandInBox {
+/// An HTTP endpoint that answers each request with the [`response_body`] of its trace id, unless it hangs.
+pub struct StubEndpoint {
     pub address: SocketAddr,
     pub arrivals: Arc<Mutex<Vec<Arrival>>>,
     /// While set, requests are received and not answered.
@@ -60,14 +60,14 @@
     pub opens: Arc<AtomicBool>,
 }
 
-impl StandInBox {
+impl StubEndpoint {
     /// Starts an endpoint that answers each request after `service_time`.
     pub fn start(service_time: Duration) -> Self {
         Self::serve(TcpListener::bind("127.0.0.1:0").unwrap(), service_time, true, Vec::new())
     }
 
     /// Like [`Self::start`], with a full backlog: no connection is established before `opens` is set.
-    pub fn start_full(service_time: Duration) -> Self {
+    pub fn start_with_full_backlog(service_time: Duration) -> Self {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         listener.listen(1).unwrap();
@@ -93,7 +93,7 @@
                 std::thread::spawn(move || answer_all(stream, service_time, &seen, &hanging));
             }
         });
-        StandInBox { address, arrivals, hangs, opens }
+        StubEndpoint { address, arrivals, hangs, opens }
     }
 
     /// Returns how many requests arrived within each second, beginning at an instant.
@@ -128,7 +128,7 @@
             return None;
         }
         std::thread::sleep(service_time);
-        let body = answer_to(&trace);
+        let body = response_body(&trace);
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         stream.get_mut().write_all(answer.as_bytes()).ok()?;
     }
@@ -136,7 +136,7 @@
 
 /// A discovery agent. Each watch receives the full list first and then every change, and an empty line after
 /// each second without one.
-pub struct StandInAgent {
+pub struct StubDiscoveryAgent {
     pub address: SocketAddr,
     /// The revision, and the entries in the order in which they were listed.
     list: Arc<Mutex<(u64, Vec<String>)>>,
@@ -144,7 +144,7 @@
 
 /// How a call to a discovery agent fails.
 #[derive(Clone, Copy, Debug)]
-pub enum Trouble {
+pub enum AgentFault {
     /// The connection is closed at once.
     Closed,
     /// No response is sent.
@@ -157,16 +157,16 @@
     HalfObject,
 }
 
-impl Trouble {
+impl AgentFault {
     /// Handles a call's connection accordingly.
     fn handle(self, mut stream: TcpStream) -> io::Result<()> {
         const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let response = match self {
-            Trouble::Closed => return Ok(()),
-            Trouble::Silent => String::new(),
-            Trouble::HeadOnly => HEAD.into(),
-            Trouble::Refused => "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".into(),
-            Trouble::HalfObject => format!("{HEAD}a\r\n{{\"revision\r\n"),
+            AgentFault::Closed => return Ok(()),
+            AgentFault::Silent => String::new(),
+            AgentFault::HeadOnly => HEAD.into(),
+            AgentFault::Refused => "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".into(),
+            AgentFault::HalfObject => format!("{HEAD}a\r\n{{\"revision\r\n"),
         };
         stream.write_all(response.as_bytes())?;
         // The connection stays open until the peer closes it.
@@ -179,14 +179,14 @@
 /// After how many checks without a change a watch sends an empty line as a keep-alive: one each second.
 const CHECKS_PER_KEEP_ALIVE: u32 = 200;
 
-impl StandInAgent {
+impl StubDiscoveryAgent {
     /// Starts an agent that lists these entries as revision 1.
     pub fn start(entries: &[String]) -> Self {
-        Self::start_troubled(entries, &[])
+        Self::start_with_faults(entries, &[])
     }
 
     /// Like [`Self::start`], but the first calls fail, each in the way given at its position.
-    pub fn start_troubled(entries: &[String], troubles: &'static [Trouble]) -> Self {
+    pub fn start_with_faults(entries: &[String], faults: &'static [AgentFault]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let list = Arc::new(Mutex::new((1, entries.to_vec())));
@@ -194,17 +194,17 @@
         std::thread::spawn(move || {
             for (number, stream) in listener.incoming().map_while(Result::ok).enumerate() {
                 let list = shared.clone();
-                std::thread::spawn(move || match troubles.get(number) {
-                    Some(trouble) => trouble.handle(stream),
+                std::thread::spawn(move || match faults.get(number) {
+                    Some(fault) => fault.handle(stream),
                     None => serve_watch(stream, &list),
                 });
             }
         });
-        StandInAgent { address, list }
+        StubDiscoveryAgent { address, list }
     }
 
     /// Lists another entry, or a change of one, as the next revision.
-    pub fn tell(&self, entry: String) {
+    pub fn add_entry(&self, entry: String) {
         let mut list = self.list.lock().unwrap();
         list.0 += 1;
         list.1.push(entry);
@@ -254,7 +254,7 @@
 
 /// How a client's request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum ClientOutcome {
     /// The complete response, and whether the connection is kept open.
     Answered { status: u16, body: Vec<u8>, kept: bool },
     /// The connection was closed or failed before any response.
@@ -263,10 +263,10 @@
     Silent,
 }
 
-impl Ending {
+impl ClientOutcome {
     /// Whether the connection can be used for another request.
-    pub fn keeps(&self) -> bool {
-        matches!(self, Ending::Answered { kept: true, .. })
+    pub fn keeps_connection(&self) -> bool {
+        matches!(self, ClientOutcome::Answered { kept: true, .. })
     }
 }
 
@@ -287,29 +287,29 @@
     }
 
     /// Sends a request and waits up to `timeout` for the response; `Err`: the request could not be written.
-    pub fn ask(&mut self, request: &[u8], timeout: Duration) -> io::Result<Ending> {
+    pub fn ask(&mut self, request: &[u8], timeout: Duration) -> io::Result<ClientOutcome> {
         self.send(request)?;
         Ok(self.answer(timeout))
     }
 
     /// Waits up to `timeout` for the next response.
-    pub fn answer(&mut self, timeout: Duration) -> Ending {
+    pub fn answer(&mut self, timeout: Duration) -> ClientOutcome {
         let _ = self.0.get_ref().set_read_timeout(Some(timeout));
         match self.0.fill_buf() {
-            Ok([]) => return Ending::Closed,
+            Ok([]) => return ClientOutcome::Closed,
             Ok(_) => {}
             Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
-                return Ending::Silent
+                return ClientOutcome::Silent
             }
-            Err(_) => return Ending::Closed,
+            Err(_) => return ClientOutcome::Closed,
         }
-        let Some((head, body)) = read_message(&mut self.0) else { return Ending::Closed };
+        let Some((head, body)) = read_message(&mut self.0) else { return ClientOutcome::Closed };
         let kept = header_of(&head, "connection") != Some("close");
-        Ending::Answered { status: head[9..12].parse().unwrap(), body, kept }
+        ClientOutcome::Answered { status: head[9..12].parse().unwrap(), body, kept }
     }
 
     /// Waits up to `span` for the peer to close its side, and returns whether it did.
-    pub fn is_ended_within(&mut self, span: Duration) -> bool {
+    pub fn is_closed_within(&mut self, span: Duration) -> bool {
         let _ = self.0.get_ref().set_read_timeout(Some(span));
         match self.0.read(&mut [0]) {
             Ok(count) => count == 0,
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -10,7 +10,7 @@
 /// Returns an address for a process to receive its peers on, which its file has to name before the process
 /// starts. The port is free for TCP and UDP and below the ephemeral port range, so that the system gives it
 /// to no other test in between.
-pub fn place_for_peers() -> SocketAddr {
+pub fn free_peer_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     loop {
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -40,7 +40,7 @@
     }
 
     /// Like [`Self::start`], with system calls that fail according to a plan.
-    pub fn start_under(faults: &Faults, file: &str, text: &str) -> Self {
+    pub fn start_with_faults(faults: &Faults, file: &str, text: &str) -> Self {
         Self::spawn(file, text, Some(faults))
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Waits for the next line of the log that contains the text, and returns the line.
-    pub async fn says(&mut self, what: &str) -> String {
+    pub async fn wait_for_line(&mut self, what: &str) -> String {
         loop {
             let line = self.1.recv().await.expect("the process still runs");
             if line.contains(what) {
@@ -72,8 +72,8 @@
     }
 
     /// Returns the address that clients connect to, from the log.
-    pub async fn place(&mut self) -> SocketAddr {
-        let line = self.says("listens for NBD").await;
+    pub async fn client_address(&mut self) -> SocketAddr {
+        let line = self.wait_for_line("listens for NBD").await;
         line.split(" at=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap()
     }
 }
--- a/tests/common/program.rs
+++ b/tests/common/program.rs
@@ -76,7 +76,7 @@
 
 /// Starts a version of the program with a listening socket that the test holds, as the platform does. Returns
 /// the program, the lines of its log, and its management address.
-pub fn version(
+pub fn start_version(
     held: &TcpListener,
     folder: &std::path::Path,
     config: &str,
--- a/tests/common/traffic.rs
+++ b/tests/common/traffic.rs
@@ -1,12 +1,12 @@
 //! Load from many clients on one process, and the outcomes of their requests.
 
-use super::platform::{answer_to, request, Client, Ending};
+use super::platform::{request, response_body, Client, ClientOutcome};
 use std::io;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long after its deadline a response may still arrive. A response that late earns nothing, but its request
-/// does not count as lost.
+/// How long after its deadline a response may still arrive. A response that late earns nothing, but its
+/// request does not count as lost.
 const MAX_LATENESS: Duration = Duration::from_millis(500);
 
 /// The outcomes of the requests of many clients.
@@ -99,45 +99,45 @@
 
     /// Sends a request on the open connection. Where the connection was closed at the same time, sends the
     /// request once more on a new one. `Err`: nobody listens.
-    fn ask(&mut self, request: &[u8]) -> io::Result<Ending> {
+    fn ask(&mut self, request: &[u8]) -> io::Result<ClientOutcome> {
         let timeout = self.timeout + MAX_LATENESS;
         if let Some(mut kept) = self.connection.take() {
             match kept.ask(request, timeout) {
-                Ok(Ending::Closed) | Err(_) => {}
+                Ok(ClientOutcome::Closed) | Err(_) => {}
                 Ok(ending) => {
-                    self.connection = ending.keeps().then_some(kept);
+                    self.connection = ending.keeps_connection().then_some(kept);
                     return Ok(ending);
                 }
             }
         }
         let mut fresh = Client::connect(self.to)?;
-        let ending = fresh.ask(request, timeout).unwrap_or(Ending::Closed);
-        self.connection = ending.keeps().then_some(fresh);
+        let ending = fresh.ask(request, timeout).unwrap_or(ClientOutcome::Closed);
+        self.connection = ending.keeps_connection().then_some(fresh);
         Ok(ending)
     }
 
-    fn count(&mut self, ending: Ending, trace: String, writes: bool, sent: Instant) {
+    fn count(&mut self, ending: ClientOutcome, trace: String, writes: bool, sent: Instant) {
         let class = if writes { "write" } else { "read" };
         let outcomes = &mut self.outcomes;
         match ending {
-            Ending::Answered { status: 200, body, .. } if body == answer_to(&trace).as_bytes() => {
+            ClientOutcome::Answered { status: 200, body, .. } if body == response_body(&trace).as_bytes() => {
                 outcomes.served += 1
             }
-            Ending::Answered { status: 200, .. } => outcomes.foreign += 1,
-            Ending::Answered { status: 503, .. } => {
+            ClientOutcome::Answered { status: 200, .. } => outcomes.foreign += 1,
+            ClientOutcome::Answered { status: 503, .. } => {
                 outcomes.rejected += 1;
                 outcomes.rejected_writes.extend(writes.then_some(trace));
             }
             // 409 means that the id is already in use: the first copy of the request was read, and its
             // connection was closed without a response.
-            Ending::Answered { status: 409, .. } | Ending::Closed | Ending::Silent => {
+            ClientOutcome::Answered { status: 409, .. } | ClientOutcome::Closed | ClientOutcome::Silent => {
                 let (from, span) = (sent - self.begins, sent.elapsed());
                 outcomes
                     .lost
                     .push(format!("{trace} ({class}) sent after {from:?}: {ending:?} after {span:?}"));
             }
-            Ending::Answered { .. } if writes => outcomes.failed_writes += 1,
-            Ending::Answered { .. } => outcomes.failed_reads += 1,
+            ClientOutcome::Answered { .. } if writes => outcomes.failed_writes += 1,
+            ClientOutcome::Answered { .. } => outcomes.failed_reads += 1,
         }
     }
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -22,8 +22,8 @@
 /// A client that goes is noticed behind all that it sent ahead: the close was not read past 16 KiB.
 #[test]
 fn a_client_that_disconnects_is_noticed_behind_whatever_it_sent() {
-    story(async {
-        let boxed = HttpBox::start(|_, _| None).await;
+    run_test(async {
+        let boxed = StubHttpEndpoint::start(|_, _| None).await;
         let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
         let mut flood = Vec::new();
         while flood.len() < 1 << 20 {
@@ -33,7 +33,7 @@
             for way in ["close", "reset", "half"] {
                 let mut client = HttpClient::connect(front).await;
                 client.0.write_all(&platform_request("PUT", "gravacao", 0, 2, b"w")).await.unwrap();
-                boxed.came.notified().await;
+                boxed.received.notified().await;
                 client.0.write_all(&flood[..ahead]).await.unwrap();
                 assert_eq!(host.open_requests(), 1, "{ahead} {way}");
                 if way == "reset" {
@@ -51,7 +51,7 @@
         }
         assert_eq!(host.with_broker(|b| b.counters()[1].requests.client_left), 15);
         // One that goes on sending and stays is served first, and its connection ends with that answer.
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+        let boxed = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let (front, _, _) = http_front(&[(boxed.address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         let sent = [&platform_request("GET", "leitura", 0, 1, b"")[..], &flood[..200 << 10]].concat();
@@ -62,13 +62,13 @@
 /// The initiator closed over bytes that it had not read: a reset, which takes what is still on the way with it.
 #[test]
 fn a_request_that_crosses_the_close_is_neither_sent_on_nor_answered_by_a_reset() {
-    story(async {
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+    run_test(async {
+        let boxed = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let (front, stop, _, served) = http_front_until(&[(boxed.address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         let request = platform_request("GET", "leitura", 0, 1, b"");
         client.0.write_all(&request).await.unwrap();
-        boxed.came.notified().await;
+        boxed.received.notified().await;
         stop.notify_one();
         // Unread, so that nothing of the answer leaves the client's system before the close comes.
         while !client.0.get_ref().ready(Interest::READABLE).await.unwrap().is_read_closed() {
@@ -92,7 +92,7 @@
 /// over. A head with nothing behind it took the time of a whole silence once more.
 #[test]
 fn whatever_next_calls_bring_a_silent_watch_is_replaced_within_six_seconds() {
-    story(async {
+    run_test(async {
         let ways: [fn(&str) -> String; 4] = [
             |_| String::new(),
             |_| HEAD.into(),
@@ -105,9 +105,9 @@
                 message(&mut s).await;
                 match number {
                     // The first falls silent after a sign of life.
-                    0 => say(&mut s, &format!("{HEAD}{}", chunk("\n"))).await,
-                    1 | 2 => say(&mut s, &way("")).await,
-                    _ => say(&mut s, &format!("{HEAD}{}", listed(43, "up"))).await,
+                    0 => send_and_hold(&mut s, &format!("{HEAD}{}", chunk("\n"))).await,
+                    1 | 2 => send_and_hold(&mut s, &way("")).await,
+                    _ => send_and_hold(&mut s, &format!("{HEAD}{}", listed(43, "up"))).await,
                 }
             })
             .await;
@@ -130,7 +130,7 @@
 /// has told since: it undid a drain.
 #[test]
 fn an_older_list_of_a_new_address_undoes_nothing() {
-    story(async {
+    run_test(async {
         let (tell, told) = (Rc::new(Notify::new()), Rc::new(Cell::new(0)));
         let waits = tell.clone();
         let old = peer(move |stream, _| {
@@ -140,7 +140,7 @@
                 message(&mut s).await;
                 s.write_all(format!("{HEAD}{}", listed(43, "up")).as_bytes()).await.unwrap();
                 waits.notified().await;
-                say(&mut s, &listed(50, "draining")).await;
+                send_and_hold(&mut s, &listed(50, "draining")).await;
             }
         })
         .await;
@@ -158,7 +158,7 @@
                 message(&mut s).await;
                 calls.set(number + 1);
                 let list = if number < 3 { listed(45, "up") } else { listed(51, "removed") };
-                say(&mut s, &format!("{HEAD}{list}")).await
+                send_and_hold(&mut s, &format!("{HEAD}{list}")).await
             }
         })
         .await;
@@ -183,8 +183,8 @@
 /// Where the list has to be asked for, a host that is refused for so long that changes count as told sends nothing new.
 #[test]
 fn an_initiator_that_discovery_rejects_for_six_seconds_sends_nothing_new_until_it_lists() {
-    story(async {
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+    run_test(async {
+        let boxed = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let full = Rc::new(Cell::new(true));
         let refuses = full.clone();
         let agent = peer(move |stream, _| {
@@ -194,7 +194,7 @@
                 message(&mut s).await;
                 match refuses.get() {
                     true => s.write_all(&answer("503 Service Unavailable", b"", 0)).await.unwrap(),
-                    false => say(&mut s, &format!("{HEAD}{}", chunk("\n"))).await,
+                    false => send_and_hold(&mut s, &format!("{HEAD}{}", chunk("\n"))).await,
                 }
             }
         })
@@ -222,8 +222,8 @@
 /// The times of connections were those of the first settings for ever.
 #[test]
 fn newer_settings_apply_to_connections_to_endpoints() {
-    story(async {
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+    run_test(async {
+        let boxed = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         let mut connections = async |keepalive: Option<Duration>| {
@@ -262,13 +262,13 @@
 /// before that time began, and could be written late.
 #[test]
 fn a_place_and_a_connection_together_take_no_longer_than_a_connection_may() {
-    story(async {
-        let boxed = HttpBox::start(|_, _| None).await;
+    run_test(async {
+        let boxed = StubHttpEndpoint::start(|_, _| None).await;
         let host = host(&operator(&[(boxed.address, 0), (boxed.address, 1)]).settings);
         let boxes = EndpointClients::new(&host, 1);
         let attempt = || reads(&boxes).attempt(boxed.address, Duration::from_secs(2), Box::new(|_| {}));
         let first = actix_rt::spawn(attempt());
-        boxed.came.notified().await;
+        boxed.received.notified().await;
         let start = Instant::now();
         assert_eq!(attempt().await.transport, TransportOutcome::ConnectTimedOut);
         assert!(start.elapsed() < Duration::from_millis(600), "{:?}", start.elapsed());
@@ -281,7 +281,7 @@
 /// A box's answer in each form, reset after each of its bytes: a reset is no end, and half is never whole.
 #[test]
 fn a_response_that_is_reset_is_never_complete() {
-    story(async {
+    run_test(async {
         let away = "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 4\r\n\r\nfull";
         // The form, whether its end shows without the connection's, and how a whole one ends.
         let forms = [
@@ -335,7 +335,7 @@
 /// A second answer may come late: behind the next request it would be taken for that one's.
 #[test]
 fn an_endpoint_that_answered_twice_gets_one_request_on_each_connection() {
-    story(async {
+    run_test(async {
         let (strays, stray) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
         let (went, go) = (strays.clone(), stray.clone());
         let boxed = peer(move |stream, number| {
@@ -400,7 +400,7 @@
 /// and configuration. And whoever connected and said nothing kept the true successor waiting until that gave up.
 #[test]
 fn state_is_handed_only_to_a_process_of_the_same_initiator() {
-    story(async {
+    run_test(async {
         let (folder, me) = (folder("states"), initiator("n.3", "127.0.0.1:5000"));
         let host = host(
             &operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)]).settings,
@@ -460,7 +460,7 @@
 /// A predecessor that dies in the middle of handing over its state, or right behind it, before it said how the budgets are shared.
 #[test]
 fn a_predecessor_that_dies_leaves_its_successor_every_budget() {
-    story(async {
+    run_test(async {
         let (folder, me) = (folder("dies"), initiator("n3", "127.0.0.1:5000"));
         let whole = format!("{{\"Will\":{}}}\n", serde_json::to_string(&state()).unwrap());
         for (said, given) in [(&whole[..whole.len() / 2], false), (&whole[..], true)] {
@@ -494,7 +494,7 @@
 /// being taken out would send to it.
 #[test]
 fn an_operators_command_during_the_hand_over_reaches_the_successor() {
-    story(async {
+    run_test(async {
         let (folder, me) = (folder("words"), initiator("n3", "127.0.0.1:5000"));
         let nowhere = "127.0.0.1:9".parse().unwrap();
         let host = host(&operator(&[(nowhere, 0), (nowhere, 1)]).settings);
@@ -526,8 +526,8 @@
 /// The same where the call that is out as the 6 s end gets no answer: they are over all the same.
 #[test]
 fn a_call_in_flight_keeps_no_rejected_initiator_sending() {
-    story(async {
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+    run_test(async {
+        let boxed = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let refused: Rc<Cell<Option<Instant>>> = Rc::default();
         let first = refused.clone();
         let agent = peer(move |stream, _| {
@@ -540,7 +540,7 @@
                 if since.elapsed() < Duration::from_millis(4500) {
                     s.write_all(&answer("503 Service Unavailable", b"", 0)).await.unwrap();
                 } else {
-                    say(&mut s, "").await;
+                    send_and_hold(&mut s, "").await;
                 }
             }
         })
@@ -564,7 +564,7 @@
 /// A whole call that waits for the other of two versions is not the one that gives way to callers who say nothing.
 #[test]
 fn a_complete_call_is_not_closed_for_silent_callers() {
-    story(async {
+    run_test(async {
         let (folder, me) = (folder("calls"), initiator("n3", "127.0.0.1:5000"));
         let boxes = operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)]);
         let host = host(&boxes.settings);
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -30,7 +30,7 @@
 /// Slow callers by the dozen hold every place; what is no call is a no.
 #[test]
 fn calls_are_answered_beside_callers_that_say_nothing() {
-    story(async {
+    run_test(async {
         let (_, _, host) = http_front(&[]).await;
         let place = operators(&host).await;
         let mut slow = Vec::new();
@@ -57,8 +57,8 @@
 /// The list knows nothing of what operators said, and must not undo it.
 #[test]
 fn a_target_taken_out_gets_nothing_until_it_is_given_back_whatever_the_list_says() {
-    story(async {
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
+    run_test(async {
+        let boxed = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
         let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
         let place = operators(&host).await;
         let id = format!("s-{:08x}", boxed.address.port());
@@ -82,8 +82,8 @@
 /// Clients are sent elsewhere and nothing is cut: a connection goes with its answer, or once it rests.
 #[test]
 fn a_drain_closes_what_rests_and_ends_as_it_began() {
-    story(async {
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
+    run_test(async {
+        let boxed = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
         let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
         let place = operators(&host).await;
         let (mut resting, mut working) = (HttpClient::connect(front).await, HttpClient::connect(front).await);
@@ -114,7 +114,7 @@
 /// Half of the boxes' answers had no stated length or were too large, and each was a failed attempt.
 #[test]
 fn answers_of_every_form_and_size_pass_and_a_cut_one_shows() {
-    story(async {
+    run_test(async {
         let chunked = |body: &[u8], cut: usize| {
             let mut out = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
             for piece in body.chunks(10_000) {
@@ -135,7 +135,7 @@
             (to_the_end(&large), true, &large),
             (answer("200 OK", &large, 0), false, &large),
         ] {
-            let boxed = HttpBox::start(move |_, _| Some((sent.clone(), close))).await;
+            let boxed = StubHttpEndpoint::start(move |_, _| Some((sent.clone(), close))).await;
             let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
             let mut client = HttpClient::connect(front).await;
             for _ in 0..2 {
@@ -152,7 +152,7 @@
             (chunked(&large, 30), 200),
             (answer("200 OK", &large, 9), 200),
         ] {
-            let boxed = HttpBox::start(move |_, _| Some((sent.clone(), true))).await;
+            let boxed = StubHttpEndpoint::start(move |_, _| Some((sent.clone(), true))).await;
             let (front, _, _) = http_front(&[(boxed.address, 0)]).await;
             let mut client = HttpClient::connect(front).await;
             let (got, _, whole) = client.ask_any(&platform_request("PUT", "gravacao", 0, 2, b"w")).await;
@@ -165,10 +165,10 @@
 /// A large answer takes as long as its client does; a stop ended the process a deadline after the signal.
 #[test]
 fn a_stop_waits_for_large_answers_that_are_being_passed_on() {
-    story(async {
+    run_test(async {
         let large = vec![7; 30_000_000];
         let sent = answer("200 OK", &large, 0);
-        let boxed = HttpBox::start(move |_, _| Some((sent.clone(), false))).await;
+        let boxed = StubHttpEndpoint::start(move |_, _| Some((sent.clone(), false))).await;
         let (address, stop, host, served) = http_front_until(&[(boxed.address, 0)]).await;
         let mut client = HttpClient::connect(address).await;
         client.0.write_all(&platform_request("GET", "leitura", 0, 2, b"")).await.unwrap();
@@ -188,12 +188,12 @@
 /// A head alone is asked for: its answer states a length that no body follows.
 #[test]
 fn a_head_request_is_forwarded_and_its_connection_stays_open() {
-    story(async {
+    run_test(async {
         let script = |_: usize, head: &str| {
             let length = if head.starts_with("HEAD") { 5 } else { 0 };
             Some((answer("200 OK", b"whole", length), false))
         };
-        let boxed = HttpBox::start(script).await;
+        let boxed = StubHttpEndpoint::start(script).await;
         let (front, _, _) = http_front(&[(boxed.address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         let head = platform_request("HEAD", "leitura", 0, 2, b"");
@@ -209,7 +209,7 @@
 /// What does not say how long it is was held until 64 KiB of it were there, or its client had left.
 #[test]
 fn a_slow_response_without_a_length_is_streamed_as_it_comes() {
-    story(async {
+    run_test(async {
         let begun = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n".to_vec();
         let place = peer(move |stream, _| {
             let begun = begun.clone();
@@ -241,8 +241,8 @@
 /// A large request was turned away with 413; held whole, a few of them would be all of the memory.
 #[test]
 fn large_requests_pass_as_they_come_and_hold_no_place() {
-    story(async {
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
+    run_test(async {
+        let boxed = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
         let (front, _, host) = http_front(&[(boxed.address, 0)]).await;
         let large: Vec<u8> = (0..3_000_000u32).map(|i| (i >> 3) as u8).collect();
         let plain = platform_request("PUT", "gravacao", 0, 2, &large);
@@ -286,8 +286,8 @@
 /// Slow clients take 2 s for a head and send 64 kB of a body in a second; they were cut off at 2.3 s.
 #[test]
 fn a_slow_client_is_read_to_its_end() {
-    story(async {
-        let boxed = HttpBox::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
+    run_test(async {
+        let boxed = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
         let (front, _, _) = http_front(&[(boxed.address, 0)]).await;
         let body = vec![7; 60_000];
         let request = platform_request("PUT", "gravacao", 0, 2, &body);
@@ -309,7 +309,7 @@
 /// kept their connection for good filled it, and were closed only from half of the places on.
 #[test]
 fn idle_connections_go_before_clients_run_out_of_theirs() {
-    story(async {
+    run_test(async {
         let (front, _, _) = http_front(&[]).await;
         let health = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
         // Of the 16 places here.
--- a/tests/etcd.rs
+++ b/tests/etcd.rs
@@ -30,10 +30,10 @@
 /// must continue after the last known revision.
 #[test]
 fn no_change_is_lost_by_closed_cancelled_and_compacted_watches() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let endpoint_address = endpoint.address.to_string();
-        let agent = HttpBox::start(move |count, head| {
+        let agent = StubHttpEndpoint::start(move |count, head| {
             let (kv, removed_key) = (kv("s-1", &endpoint_address), STANDARD.encode("/boxes/s-1"));
             let unreadable = r#"{"key":"L2JveGVzL3g=","value":"eA=="}"#;
             assert_eq!(head.contains("/v3/kv/range"), [0, 5].contains(&count), "{head}");
@@ -83,8 +83,8 @@
 /// follows is not answered. A change must be known within 6 s after the silence began.
 #[test]
 fn a_change_is_known_within_six_seconds_despite_a_silent_watch_and_a_lost_call() {
-    story(async {
-        let agent = HttpBox::start(move |count, _| {
+    run_test(async {
+        let agent = StubHttpEndpoint::start(move |count, _| {
             let kv = kv("s-1", "127.0.0.1:9");
             match count {
                 0 => Some((
--- a/tests/standing.rs
+++ b/tests/http_front.rs
@@ -74,7 +74,7 @@
 /// established: otherwise a connection that is established a second late passes on a second too much.
 #[test]
 fn an_attempt_passes_on_no_more_time_than_its_client_has_left() {
-    story(async {
+    run_test(async {
         let times = PassedOnTimes::default();
         let recorded = times.clone();
         let endpoint = peer(move |stream, number| {
@@ -131,9 +131,9 @@
 /// attempt or for a retry.
 #[test]
 fn nothing_is_forwarded_for_a_client_that_has_disconnected() {
-    story(async {
+    run_test(async {
         // Several clients disconnect while no endpoint is listed; then the endpoint is listed.
-        let endpoint = HttpBox::start(|_, head| Some((trace_id_response(head), false))).await;
+        let endpoint = StubHttpEndpoint::start(|_, head| Some((trace_id_response(head), false))).await;
         let nowhere: SocketAddr = "127.0.0.1:9".parse().unwrap();
         let mut took = Vec::new();
         for round in 0..9 {
@@ -212,7 +212,7 @@
 /// in less than 6 s.
 #[test]
 fn a_watch_that_falls_silent_late_is_replaced_as_soon_as_an_early_one() {
-    story(async {
+    run_test(async {
         let (silent_since, calls) = (Rc::new(Cell::new(None)), Rc::new(Cell::new(0)));
         let (silence_start, call_count) = (silent_since.clone(), calls.clone());
         let agent = peer(move |stream, number| {
@@ -222,7 +222,7 @@
                 message(&mut s).await;
                 call_count.set(number + 1);
                 if number > 0 {
-                    return say(&mut s, &format!("{HEAD}{}", listed(44, "removed"))).await;
+                    return send_and_hold(&mut s, &format!("{HEAD}{}", listed(44, "removed"))).await;
                 }
                 s.write_all(format!("{HEAD}{}", listed(43, "up")).as_bytes()).await.unwrap();
                 // The agent sends a keep-alive line every 2 s.
@@ -251,7 +251,7 @@
 /// configuration changes.
 #[test]
 fn a_drain_and_a_reload_in_the_same_instant_both_count() {
-    story(async {
+    run_test(async {
         for (readiness, full) in [
             (Some(Readiness::Draining), false),
             (Some(Readiness::Removed), false),
@@ -274,7 +274,8 @@
                     }
                 })
                 .await;
-                let remaining = HttpBox::start(|_, head| Some((trace_id_response(head), false))).await;
+                let remaining =
+                    StubHttpEndpoint::start(|_, head| Some((trace_id_response(head), false))).await;
                 let (front, _, host) = http_front(&[(draining, 0)]).await;
                 let mut first = HttpClient::connect(front).await;
                 first.0.write_all(&platform_request("PUT", "gravacao", 0, 1, b"w")).await.unwrap();
@@ -325,7 +326,7 @@
                 message(&mut s).await;
                 s.write_all(format!("{HEAD}{}", listed(43, "up")).as_bytes()).await.unwrap();
                 removal_requested.notified().await;
-                say(&mut s, &listed(44, "removed")).await;
+                send_and_hold(&mut s, &listed(44, "removed")).await;
             }
         })
         .await;
@@ -350,7 +351,7 @@
 /// pieces of a single byte.
 #[test]
 fn messages_are_read_in_every_form_and_in_small_pieces() {
-    story(async {
+    run_test(async {
         let responses = [
             "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
             "HTTP/1.1 200 \r\ncontent-length:5\r\nX-Iops-Used: 12.5\r\nx-rho:3\r\n\r\nhello",
@@ -477,7 +478,7 @@
 /// incomplete.
 #[test]
 fn a_long_response_without_a_length_that_is_reset_is_not_complete() {
-    story(async {
+    run_test(async {
         let reset = Rc::new(Notify::new());
         let reset_requested = reset.clone();
         let endpoint = peer(move |stream, _| {
@@ -511,8 +512,8 @@
 /// closed, and the client may send them elsewhere.
 #[test]
 fn requests_that_are_sent_ahead_are_answered_in_turn() {
-    story(async {
-        let endpoint = HttpBox::start(|_, head| Some((trace_id_response(head), false))).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, head| Some((trace_id_response(head), false))).await;
         let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
         for (count, all_answered) in [(24, true), (400, true), (4000, false)] {
             let before = endpoint.seen.borrow().len();
@@ -541,7 +542,7 @@
 /// it is closed. Each request that reaches an endpoint is answered, and the front still stops in time.
 #[test]
 fn clients_that_send_to_the_end_are_answered_or_never_sent_on() {
-    story(async {
+    run_test(async {
         let seen: Rc<RefCell<Vec<String>>> = Rc::default();
         let received = seen.clone();
         let endpoint = peer(move |stream, _| {
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -1,7 +1,7 @@
 //! Tests of the log's formats, its rate limit, and the lines that events of the core produce.
 
 mod common;
-use common::kept::Kept;
+use common::captured_log::CapturedLog;
 use shaletack::operator_event::OperatorEvent;
 use shaletack::runtime::log::{write, EventWindow, LogFormat, MAX_EVENTS, WINDOW};
 use simd_json::prelude::*;
@@ -11,7 +11,7 @@
 
 /// Returns the lines that `emit` logs.
 fn logged_lines(format: LogFormat, level: LevelFilter, emit: impl FnOnce()) -> Vec<String> {
-    let (kept, _guard) = Kept::start(format, level);
+    let (kept, _guard) = CapturedLog::start(format, level);
     emit();
     kept.lines("")
 }
--- a/tests/nbd.rs
+++ b/tests/nbd.rs
@@ -8,18 +8,18 @@
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-async fn two_boxes(first: Script, second: Script) -> (NbdBox, NbdBox) {
-    (NbdBox::start(first, 1 << 16).await, NbdBox::start(second, 1 << 17).await)
+async fn two_boxes(first: Script, second: Script) -> (StubNbdEndpoint, StubNbdEndpoint) {
+    (StubNbdEndpoint::start(first, 1 << 16).await, StubNbdEndpoint::start(second, 1 << 17).await)
 }
 
 /// The operator's file with the first endpoint for shard 0 and the second for shard 1.
-fn operator_with(boxes: &(NbdBox, NbdBox)) -> shaletack::operator::Operator {
+fn operator_with(boxes: &(StubNbdEndpoint, StubNbdEndpoint)) -> shaletack::operator::Operator {
     operator(&[(boxes.0.address, 0), (boxes.1.address, 1)])
 }
 
 #[test]
 fn options_are_answered_as_the_protocol_specifies() {
-    story(async {
+    run_test(async {
         let (front, _, _) =
             nbd_front(operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)]))
                 .await;
@@ -58,13 +58,13 @@
 
 #[test]
 fn a_write_across_an_extent_boundary_is_read_back_completely() {
-    story(async {
+    run_test(async {
         let boxes = two_boxes(Script::Serve, Script::Serve).await;
         let (front, _, host) = nbd_front(operator_with(&boxes)).await;
         let mut client = NbdClient::go(front).await;
         let text: Vec<u8> = (0..20_000u32).map(|i| (i % 251) as u8).collect();
         client.send(cmd::WRITE, command_flag::FUA, 1, 60_000, 20_000, &text).await;
-        assert_eq!(client.reply().await, Got { cookie: 1, ..Got::default() });
+        assert_eq!(client.reply().await, NbdReply { cookie: 1, ..NbdReply::default() });
         assert_eq!((boxes.0.count(cmd::WRITE), boxes.1.count(cmd::WRITE)), (1, 1));
         assert!(boxes.0.seen.borrow().iter().all(|r| r.flags == command_flag::FUA));
         // Pipelined commands: each gets its own reply.
@@ -94,7 +94,7 @@
 /// connection, as a complete reply. The read is retried instead.
 #[test]
 fn an_error_chunk_after_partial_data_fails_the_whole_read() {
-    story(async {
+    run_test(async {
         for script in [Script::ErrorAfterData, Script::HalfReply] {
             let boxes = two_boxes(script, Script::Serve).await;
             let (front, _, host) = nbd_front(operator_with(&boxes)).await;
@@ -111,7 +111,7 @@
 
 #[test]
 fn a_write_that_a_silent_endpoint_received_fails_once_and_is_not_retried() {
-    story(async {
+    run_test(async {
         let boxes = two_boxes(Script::Silent, Script::Serve).await;
         let (front, _, host) = nbd_front(operator_with(&boxes)).await;
         let mut client = NbdClient::go(front).await;
@@ -126,8 +126,8 @@
 
 #[test]
 fn an_unreachable_or_rejecting_endpoint_rejects_the_write_too() {
-    story(async {
-        let refusing = NbdBox::start(Script::NoExport, 1 << 16).await;
+    run_test(async {
+        let refusing = StubNbdEndpoint::start(Script::NoExport, 1 << 16).await;
         let (closed, gone) = loopback().await;
         drop(closed);
         for address in [refusing.address, gone] {
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_client_that_disconnects_during_a_reply_leaves_no_open_request() {
-    story(async {
+    run_test(async {
         let boxes = two_boxes(Script::Serve, Script::Silent).await;
         let (front, _, host) = nbd_front(operator_with(&boxes)).await;
         let mut client = NbdClient::go(front).await;
@@ -152,7 +152,7 @@
         // The first endpoint's chunk arrives. The second endpoint stays silent, and the client does not wait
         // for it.
         assert_eq!(client.0.read_u32().await.unwrap(), STRUCTURED_REPLY_MAGIC);
-        boxes.1.came.notified().await;
+        boxes.1.received.notified().await;
         assert_eq!(host.open_requests(), 1);
         drop(client);
         while host.open_requests() > 0 {
@@ -169,12 +169,12 @@
 
 #[test]
 fn a_stopping_front_completes_admitted_commands_and_rejects_new_ones() {
-    story(async {
+    run_test(async {
         let boxes = two_boxes(Script::Silent, Script::Serve).await;
         let (front, stop, host) = nbd_front(operator_with(&boxes)).await;
         let (mut client, mut late) = (NbdClient::go(front).await, NbdClient::connect(front).await);
         client.send(cmd::WRITE, 0, 1, 0, 4096, &[7; 4096]).await;
-        boxes.0.came.notified().await;
+        boxes.0.received.notified().await;
         stop.notify_one();
         while !host.is_stopping() {
             tokio::task::yield_now().await;
@@ -193,7 +193,7 @@
 /// connection.
 #[test]
 fn clients_that_connect_at_the_same_instant_all_receive_a_greeting() {
-    story(async {
+    run_test(async {
         let boxes = two_boxes(Script::Serve, Script::Serve).await;
         let mut operator = operator_with(&boxes);
         operator.max_descriptors = 4096;
@@ -233,7 +233,7 @@
     for disconnection in
         [Disconnection::Pipelined, Disconnection::AfterDisc, Disconnection::HalfClosed, Disconnection::AtStop]
     {
-        story(async move {
+        run_test(async move {
             let boxes = two_boxes(Script::Serve, Script::Serve).await;
             let operator = operator_with(&boxes);
             let listed = operator.endpoints.clone();
@@ -288,7 +288,7 @@
 /// within 3 s, while a client that is idle between two commands stays connected.
 #[test]
 fn nbd_clients_that_stall_within_a_message_are_disconnected_within_three_seconds() {
-    story(async {
+    run_test(async {
         let boxes = two_boxes(Script::Serve, Script::Serve).await;
         let (front, _, _) = nbd_front(operator_with(&boxes)).await;
         let mut idle = NbdClient::go(front).await;
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -15,8 +15,9 @@
 
 #[test]
 fn a_request_and_its_response_pass_unchanged() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"\0reading\xff", 0), false))).await;
+    run_test(async {
+        let endpoint =
+            StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"\0reading\xff", 0), false))).await;
         let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         assert_eq!(client.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").await.0, 200);
@@ -59,10 +60,10 @@
 /// repeat then.
 #[test]
 fn a_keyed_request_and_its_repeat_carry_its_key_unchanged() {
-    story(async {
+    run_test(async {
         // The first attempt of each request may have run: the endpoint closes the connection without a
         // response.
-        let endpoint = HttpBox::start(|count, _| match count % 2 {
+        let endpoint = StubHttpEndpoint::start(|count, _| match count % 2 {
             0 => Some((Vec::new(), true)),
             _ => Some((answer("200 OK", b"booked", 0), false)),
         });
@@ -119,7 +120,7 @@
 /// complete.
 #[test]
 fn a_truncated_response_is_never_served_and_its_write_is_not_repeated() {
-    story(async {
+    run_test(async {
         let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n".to_vec();
         let redirect = b"HTTP/1.1 307 Moved\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n".to_vec();
         for broken in [
@@ -132,7 +133,7 @@
             redirect,
         ] {
             let text = String::from_utf8_lossy(&broken).into_owned();
-            let endpoint = HttpBox::start(move |count, _| {
+            let endpoint = StubHttpEndpoint::start(move |count, _| {
                 Some(if count == 0 { (broken.clone(), true) } else { (answer("200 OK", b"whole", 0), false) })
             })
             .await;
@@ -151,7 +152,7 @@
 /// bytes that it has read after a response, and reads the rest of them as the response to the next request.
 #[test]
 fn each_request_gets_its_own_response_whatever_the_endpoint_sends_around_it() {
-    story(async {
+    run_test(async {
         let address = peer(|stream, number| async move {
             let mut s = BufReader::new(stream);
             for count in 0.. {
@@ -186,7 +187,7 @@
 /// seconds.
 #[test]
 fn a_malformed_response_fails_its_attempt_but_is_no_sign_of_a_restart() {
-    story(async {
+    run_test(async {
         let endless = [b"HTTP/1.1 200 OK\r\n".to_vec(), b"X-More: and more\r\n".repeat(2000)].concat();
         for (malformed, outcome) in [
             (b"\x16\x03\x01 nonsense\r\n\r\n".to_vec(), "MalformedResponse"),
@@ -201,7 +202,7 @@
             (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabcd".to_vec(), "UnboundedResponse"),
         ] {
             let text = String::from_utf8_lossy(&malformed[..malformed.len().min(60)]).into_owned();
-            let endpoint = HttpBox::start(move |count, _| {
+            let endpoint = StubHttpEndpoint::start(move |count, _| {
                 Some((if count == 0 { malformed.clone() } else { answer("200 OK", b"whole", 0) }, false))
             })
             .await;
@@ -258,9 +259,9 @@
 
 #[test]
 fn a_write_that_provably_never_ran_is_retried() {
-    story(async {
+    run_test(async {
         let rejection = b"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n".to_vec();
-        let endpoint = HttpBox::start(move |count, _| {
+        let endpoint = StubHttpEndpoint::start(move |count, _| {
             Some((if count == 0 { rejection.clone() } else { answer("200 OK", b"ok", 0) }, false))
         })
         .await;
@@ -302,8 +303,8 @@
 
 #[test]
 fn a_request_to_a_silent_endpoint_is_answered_in_time_and_its_connection_closed() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| None).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| None).await;
         let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
         for (method, class, expected) in [("PUT", "gravacao", 502), ("GET", "leitura", 503)] {
             let mut client = HttpClient::connect(front).await;
@@ -319,12 +320,13 @@
 /// run it again.
 #[test]
 fn draining_an_endpoint_does_not_withdraw_written_requests() {
-    story(async {
-        let endpoints = [HttpBox::start(|_, _| None).await, HttpBox::start(|_, _| None).await];
+    run_test(async {
+        let endpoints =
+            [StubHttpEndpoint::start(|_, _| None).await, StubHttpEndpoint::start(|_, _| None).await];
         let (front, _, host) = http_front(&[(endpoints[0].address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         client.0.write_all(&platform_request("GET", "leitura", 0, 2, b"")).await.unwrap();
-        endpoints[0].came.notified().await;
+        endpoints[0].received.notified().await;
         let mut list =
             operator(&[(endpoints[0].address, 0), (endpoints[1].address, 0), (endpoints[0].address, 1)])
                 .endpoints;
@@ -339,12 +341,12 @@
 
 #[test]
 fn a_request_ends_when_its_client_disconnects() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| None).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| None).await;
         let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         client.0.write_all(&platform_request("PUT", "gravacao", 0, 2, b"w")).await.unwrap();
-        endpoint.came.notified().await;
+        endpoint.received.notified().await;
         assert_eq!(host.open_requests(), 1);
         drop(client);
         while host.open_requests() > 0 {
@@ -357,8 +359,8 @@
 /// An endpoint may close an idle connection. A request written to that connection would be reset.
 #[test]
 fn a_connection_closed_by_the_endpoint_is_not_reused() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), true))).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), true))).await;
         let (front, _, _) = http_front(&[(endpoint.address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         for _ in 0..5 {
@@ -371,8 +373,8 @@
 
 #[test]
 fn a_shutdown_finishes_accepted_requests_and_closes_idle_connections() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| None).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| None).await;
         let (front, stop, host) = http_front(&[(endpoint.address, 0)]).await;
         let (mut idle, mut busy) = (HttpClient::connect(front).await, HttpClient::connect(front).await);
         assert_eq!(idle.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").await.0, 200);
@@ -400,14 +402,14 @@
 /// the id of an open request is rejected too: the two would interfere.
 #[test]
 fn a_malformed_request_is_rejected_and_its_connection_closed() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| None).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| None).await;
         let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
         let mut first = HttpClient::connect(front).await;
         let request = String::from_utf8(platform_request("GET", "leitura", 0, 2, b"")).unwrap();
         let open = format!("Trace-Id: {}", header(&request, "x-trace-id").unwrap());
         first.0.write_all(request.as_bytes()).await.unwrap();
-        endpoint.came.notified().await;
+        endpoint.received.notified().await;
         let valid = String::from_utf8(platform_request("PUT", "gravacao", 0, 2, b"w")).unwrap();
         let valid = valid.replace(&header(&valid, "x-trace-id").unwrap(), "77");
         let cases = [
@@ -445,8 +447,8 @@
 /// connections.
 #[test]
 fn silent_connections_and_partial_requests_end_within_three_seconds() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
         let whole = platform_request("PUT", "gravacao", 0, 2, b"12345");
         let other = platform_request("PUT", "gravacao", 0, 2, b"12345");
@@ -478,8 +480,8 @@
 /// Clients that leave connections open and idle must not keep other clients from connecting.
 #[test]
 fn at_the_connection_limit_idle_connections_close() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let (front, _, _) = http_front(&[(endpoint.address, 0)]).await;
         let start = std::time::Instant::now();
         let mut clients = Vec::new();
@@ -498,10 +500,10 @@
 
 #[test]
 fn the_list_watch_resumes_from_the_last_revision_after_it_breaks() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let address = endpoint.address;
-        let agent = HttpBox::start(move |count, _| {
+        let agent = StubHttpEndpoint::start(move |count, _| {
             let line = match count {
                 0 => format!(r#"{{"revision":43,"complete":false,"members":[{{"id":"s-0000000a","host_port":"{address}","cell":0,"phase":"up","up_since_ms":0}}]}}"#),
                 _ => r#"{"revision":44,"complete":false,"members":[{"id":"s-0000000a","phase":"removed"}]}"#.into(),
@@ -542,7 +544,7 @@
         format!("{compact}{indented}"),
         format!("{}\n{indented}", indented.replace("  ", "\t")),
     ];
-    story(async move {
+    run_test(async move {
         for text in layouts {
             for size in 1..=text.len() {
                 let chunks = text.as_bytes().chunks(size).map(|p| Ok::<_, String>(Bytes::copy_from_slice(p)));
@@ -576,7 +578,7 @@
 /// changes count as notified then.
 #[test]
 fn a_silent_watch_is_reopened_before_its_changes_count_as_notified() {
-    story(async {
+    run_test(async {
         let agent = peer(|stream, number| async move {
             let mut s = BufReader::new(stream);
             message(&mut s).await;
@@ -625,19 +627,19 @@
 /// Both must count the same outcomes by class.
 #[test]
 fn both_fronts_count_the_same_outcomes() {
-    story(async {
+    run_test(async {
         let scripts = [Script::Serve, Script::Error, Script::Silent];
         let (closed, gone) = loopback().await;
         drop(closed);
         let (mut over_http, mut over_nbd) = (vec![(gone, 3)], vec![(gone, 3)]);
         for (shard, script) in scripts.into_iter().enumerate() {
-            let endpoint = HttpBox::start(move |_, _| match script {
+            let endpoint = StubHttpEndpoint::start(move |_, _| match script {
                 Script::Serve => Some((answer("200 OK", b"ok", 0), false)),
                 Script::Error => Some((answer("500 Error", b"", 0), false)),
                 _ => None,
             });
             over_http.push((endpoint.await.address, shard as u16));
-            over_nbd.push((NbdBox::start(script, 1 << 18).await.address, shard as u16));
+            over_nbd.push((StubNbdEndpoint::start(script, 1 << 18).await.address, shard as u16));
         }
         let (http, _, http_host) = http_front(&over_http).await;
         let mut set = operator(&over_nbd);
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -4,9 +4,9 @@
 mod common;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
-use common::kept::Kept;
+use common::captured_log::CapturedLog;
 use common::net::*;
-use common::process::{place_for_peers, Process};
+use common::process::{free_peer_address, Process};
 use shaletack::broker::{Broker, Clock, Input};
 use shaletack::endpoint_list::{EndpointList, EndpointRecord};
 use shaletack::interface::{EndpointListKind, Readiness};
@@ -69,8 +69,8 @@
 
 #[test]
 fn an_initiator_learns_from_its_peer_at_startup_and_later_by_gossip() {
-    story(async {
-        let (log, _guard) = Kept::start(LogFormat::Text, LevelFilter::INFO);
+    run_test(async {
+        let (log, _guard) = CapturedLog::start(LogFormat::Text, LevelFilter::INFO);
         let endpoints = || vec![endpoint("s-1", Readiness::Ready), endpoint("s-2", Readiness::Ready)];
         let (a, a_peers, _) = initiator("a", &[], endpoints()).await;
         let list_update = |id, readiness| {
@@ -102,8 +102,8 @@
 /// request shows the members and that a configuration is in force on all of them but one.
 #[test]
 fn gossip_reaches_all_initiators_and_the_status_shows_the_members() {
-    story(async {
-        let (log, _guard) = Kept::start(LogFormat::Text, LevelFilter::INFO);
+    run_test(async {
+        let (log, _guard) = CapturedLog::start(LogFormat::Text, LevelFilter::INFO);
         let endpoints = || vec![endpoint("s-1", Readiness::Ready), endpoint("s-2", Readiness::Ready)];
         let (first, first_peers, _) = initiator("n0", &[], endpoints()).await;
         let mut all = vec![(first, first_peers)];
@@ -159,8 +159,8 @@
 /// exchange timeout.
 #[test]
 fn faulty_peers_cost_one_log_line_each_and_their_reports_are_ignored() {
-    story(async {
-        let (log, _guard) = Kept::start(LogFormat::Text, LevelFilter::INFO);
+    run_test(async {
+        let (log, _guard) = CapturedLog::start(LogFormat::Text, LevelFilter::INFO);
         let false_report = Report {
             claim: Claim::Readiness { endpoint: "s-1".into(), readiness: ReportedReadiness::Removed },
             observer: Observer { name: "x".into(), incarnation: 1 },
@@ -237,8 +237,8 @@
 
 #[test]
 fn two_processes_with_the_same_name_are_logged_once_by_each_of_them() {
-    story(async {
-        let (log, _guard) = Kept::start(LogFormat::Text, LevelFilter::INFO);
+    run_test(async {
+        let (log, _guard) = CapturedLog::start(LogFormat::Text, LevelFilter::INFO);
         let endpoints = || vec![endpoint("s-1", Readiness::Ready)];
         let (_a, a, _) = initiator("a", &[], endpoints()).await;
         let (_b, b, _) = initiator("a", &[a.address()], endpoints()).await;
@@ -300,7 +300,7 @@
 
 /// Starts a fake etcd, whose list contains `s-2`, and `s-1` as up or as removed. Its watches never deliver an
 /// event.
-async fn fake_etcd(serving: SocketAddr, is_removed: Rc<Cell<bool>>) -> HttpBox {
+async fn fake_etcd(serving: SocketAddr, is_removed: Rc<Cell<bool>>) -> StubHttpEndpoint {
     let entry = |id: &str| format!(r#"{{"id":"{id}","host_port":"{serving}","cell":0,"phase":"up"}}"#);
     let kv = |id: &str, value: &str| {
         let (key, value) = (STANDARD.encode(format!("/boxes/{id}")), STANDARD.encode(value));
@@ -308,7 +308,7 @@
     };
     let second = kv("s-2", &entry("s-2"));
     let first = [kv("s-1", &entry("s-1")), kv("s-1", r#"{"id":"s-1","cell":0,"phase":"removed"}"#)];
-    HttpBox::start(move |_, head| {
+    StubHttpEndpoint::start(move |_, head| {
         let list = format!(
             r#"{{"header":{{"revision":"{}"}},"kvs":[{second},{}]}}"#,
             7 + u8::from(is_removed.get()),
@@ -336,12 +336,12 @@
 /// it rejoins and learns of the removal, without a restart.
 #[test]
 fn a_stopped_process_that_continues_rejoins_and_learns_what_it_missed() {
-    story(async {
-        let unresponsive = NbdBox::start(Script::Silent, 1 << 16).await;
-        let serving = NbdBox::start(Script::Serve, 1 << 16).await;
+    run_test(async {
+        let unresponsive = StubNbdEndpoint::start(Script::Silent, 1 << 16).await;
+        let serving = StubNbdEndpoint::start(Script::Serve, 1 << 16).await;
         let is_removed = Rc::new(Cell::new(false));
         let etcd = fake_etcd(serving.address, is_removed.clone()).await;
-        let [at_a, at_b, at_c] = [place_for_peers(), place_for_peers(), place_for_peers()];
+        let [at_a, at_b, at_c] = [free_peer_address(), free_peer_address(), free_peer_address()];
         let endpoints = [unresponsive.address, serving.address];
         let peers = |name, at| Some((name, at, at_a));
         let mut a =
@@ -349,27 +349,27 @@
         let mut b = Process::start("stopped-b.json", &operator_file(endpoints, None, peers("b", at_b)));
         let mut c = Process::start("stopped-c.json", &operator_file(endpoints, None, peers("c", at_c)));
         for process in [&mut a, &mut b, &mut c] {
-            let _ = process.place().await;
+            let _ = process.client_address().await;
         }
-        c.says("a peer is up").await;
-        c.says("a peer is up").await;
+        c.wait_for_line("a peer is up").await;
+        c.wait_for_line("a peer is up").await;
         signal(&c, "-STOP");
-        b.says(r#"a peer is down name="c""#).await;
+        b.wait_for_line(r#"a peer is down name="c""#).await;
         is_removed.set(true);
-        let line = b.says("advice on an endpoint").await;
+        let line = b.wait_for_line("advice on an endpoint").await;
         assert!(line.contains(r#"id="s-1" stopped=true"#), "{line}");
         signal(&c, "-CONT");
-        let line = c.says("advice on an endpoint").await;
+        let line = c.wait_for_line("advice on an endpoint").await;
         assert!(line.contains(r#"id="s-1" stopped=true"#), "{line}");
-        b.says(r#"a peer is up name="c""#).await;
+        b.wait_for_line(r#"a peer is up name="c""#).await;
         // A killed process is declared down, and its successor at the same address joins as another
         // incarnation.
         signal(&c, "-KILL");
-        b.says(r#"a peer is down name="c""#).await;
+        b.wait_for_line(r#"a peer is down name="c""#).await;
         drop(c);
         let mut c = Process::start("stopped-c.json", &operator_file(endpoints, None, peers("c", at_c)));
-        c.says("advice on an endpoint").await;
-        b.says(r#"a peer is up name="c""#).await;
+        c.wait_for_line("advice on an endpoint").await;
+        b.wait_for_line(r#"a peer is up name="c""#).await;
     });
 }
 
@@ -377,16 +377,18 @@
 /// peer knows that this endpoint was removed.
 #[test]
 fn a_killed_process_that_restarts_with_a_stale_list_learns_from_a_running_peer() {
-    story(async {
-        let (unresponsive, serving) =
-            (NbdBox::start(Script::Silent, 1 << 16).await, NbdBox::start(Script::Serve, 1 << 16).await);
+    run_test(async {
+        let (unresponsive, serving) = (
+            StubNbdEndpoint::start(Script::Silent, 1 << 16).await,
+            StubNbdEndpoint::start(Script::Serve, 1 << 16).await,
+        );
         let endpoints = [unresponsive.address, serving.address];
         let etcd = fake_etcd(serving.address, Rc::new(Cell::new(true))).await;
-        let (at_a, at_b) = (place_for_peers(), place_for_peers());
+        let (at_a, at_b) = (free_peer_address(), free_peer_address());
         let stale = operator_file(endpoints, None, Some(("b", at_b, at_a)));
         // Without a peer, the process sends requests to all endpoints of its list.
         let mut alone = Process::start("peers-alone.json", &operator_file(endpoints, None, None));
-        let front = alone.place().await;
+        let front = alone.client_address().await;
         let failed_without_peer = count_failed_reads(front, 2).await;
         assert!(failed_without_peer > 0, "reads must fail without a peer for this test to be meaningful");
         drop(alone);
@@ -394,18 +396,18 @@
             "peers-a.json",
             &operator_file(endpoints, Some(etcd.address), Some(("a", at_a, at_b))),
         );
-        let _ = running.place().await;
-        running.says(r#"endpoint listed id="s-1" readiness=Removed"#).await;
+        let _ = running.client_address().await;
+        running.wait_for_line(r#"endpoint listed id="s-1" readiness=Removed"#).await;
         let mut killed = Process::start("peers-b.json", &stale);
-        let _ = killed.place().await;
-        killed.says("a peer is up").await;
+        let _ = killed.client_address().await;
+        killed.wait_for_line("a peer is up").await;
         killed.0.kill().unwrap();
         drop(killed);
         let requests_before = unresponsive.seen.borrow().len();
         let mut restarted = Process::start("peers-b.json", &stale);
-        let line = restarted.says("advice on an endpoint").await;
+        let line = restarted.wait_for_line("advice on an endpoint").await;
         assert!(line.contains(r#"id="s-1" stopped=true"#), "{line}");
-        let front = restarted.place().await;
+        let front = restarted.client_address().await;
         assert_eq!(
             count_failed_reads(front, 6).await,
             0,
@@ -417,12 +419,12 @@
             "no request is sent to the removed endpoint"
         );
         // A planned stop is announced to the peers.
-        running.says("a peer is up").await;
+        running.wait_for_line("a peer is up").await;
         assert!(Command::new("kill")
             .args(["-TERM", &restarted.0.id().to_string()])
             .status()
             .unwrap()
             .success());
-        running.says("a peer is down").await;
+        running.wait_for_line("a peer is down").await;
     });
 }
--- a/tests/terms.rs
+++ b/tests/platform_guarantees.rs
@@ -19,9 +19,9 @@
 
 /// Starts the program with the given configuration text and a temporary directory of its own.
 fn start(name: &str, text: &str, faults: &Faults) -> (Running, Box<dyn Iterator<Item = String>>, SocketAddr) {
-    let path = file(&format!("terms-{}-{name}.json", std::process::id()), text);
+    let path = file(&format!("guarantees-{}-{name}.json", std::process::id()), text);
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
-        .join(format!("terms-{}-{name}", std::process::id()));
+        .join(format!("guarantees-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let mut command = shaletack(&["--config", &path]);
     let (child, lines, address) = Running::start(faults.on(&mut command).env("TMPDIR", folder));
@@ -39,7 +39,7 @@
             while let Some(connected) = client.as_mut().ok().filter(|_| !stop.load(Ordering::Relaxed)) {
                 let (request, _) = request("GET", "leitura", shard, patience, "");
                 let ending = connected.ask(&request, 2 * patience);
-                if !ending.is_ok_and(|ending| ending.keeps()) {
+                if !ending.is_ok_and(|ending| ending.keeps_connection()) {
                     // The loop ends once connecting fails: nobody listens any more, so the test is over.
                     client = Client::connect(to);
                 }
@@ -92,8 +92,8 @@
         .enumerate()
         .map(|(number, scenario)| {
             std::thread::spawn(move || {
-                let old = StandInBox::start(Duration::from_millis(5));
-                let agent = StandInAgent::start(&[entry("s-00000001", old.address, 1, "up", 0)]);
+                let old = StubEndpoint::start(Duration::from_millis(5));
+                let agent = StubDiscoveryAgent::start(&[entry("s-00000001", old.address, 1, "up", 0)]);
                 let faults =
                     Faults::new(&format!("clock{number}"), &format!("clock {}\n", scenario.at_start_ms));
                 let text = configuration(agent.address, 1200, domain, rules);
@@ -101,10 +101,10 @@
                 std::thread::sleep(SECOND);
                 faults.set(&format!("clock {}\n", scenario.later_ms));
                 std::thread::sleep(SECOND);
-                let joining = StandInBox::start(Duration::from_millis(5));
+                let joining = StubEndpoint::start(Duration::from_millis(5));
                 let from = Instant::now();
                 let started_at = (unix_ms() as i64 + scenario.endpoint_ms) as u64;
-                agent.tell(entry("s-00000002", joining.address, 0, "up", started_at));
+                agent.add_entry(entry("s-00000002", joining.address, 0, "up", started_at));
                 let stop = keep_reading(at, 12, 0);
                 std::thread::sleep(9 * SECOND);
                 stop.store(true, Ordering::Relaxed);
@@ -134,8 +134,8 @@
 /// A discovery agent, a few endpoints, and one initiator process whose system calls may fail.
 struct TestCluster {
     name: String,
-    endpoints: Vec<StandInBox>,
-    agent: StandInAgent,
+    endpoints: Vec<StubEndpoint>,
+    agent: StubDiscoveryAgent,
     faults: Faults,
     child: Running,
     lines: Box<dyn Iterator<Item = String>>,
@@ -146,12 +146,12 @@
     /// Starts one endpoint for each shard, which answers each request after `service_time`. Every request
     /// class has the given deadline, and `fault_plan` says which system calls of the initiator fail.
     fn start(name: &str, shards: u16, service_time: Duration, deadline_ms: u64, fault_plan: &str) -> Self {
-        let endpoints: Vec<_> = (0..shards).map(|_| StandInBox::start(service_time)).collect();
-        let listed = |(cell, stand_in): (usize, &StandInBox)| {
-            entry(&format!("s-{:08x}", cell + 1), stand_in.address, cell as u16, "up", 0)
+        let endpoints: Vec<_> = (0..shards).map(|_| StubEndpoint::start(service_time)).collect();
+        let listed = |(cell, endpoint): (usize, &StubEndpoint)| {
+            entry(&format!("s-{:08x}", cell + 1), endpoint.address, cell as u16, "up", 0)
         };
         let entries: Vec<String> = endpoints.iter().enumerate().map(listed).collect();
-        let agent = StandInAgent::start(&entries);
+        let agent = StubDiscoveryAgent::start(&entries);
         let faults = Faults::new(name, fault_plan);
         let domain = r#""unit-mean":1,"units-top":1,"shards":4,"changes-data":[false,true]"#;
         let text = configuration(agent.address, deadline_ms, domain, r#""stop-sending-within":1000000000"#);
@@ -162,8 +162,8 @@
     /// Counts how often each request arrived at an endpoint, by its trace id.
     fn arrivals(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
-        for stand_in in &self.endpoints {
-            for arrival in stand_in.arrivals.lock().unwrap().iter() {
+        for endpoint in &self.endpoints {
+            for arrival in endpoint.arrivals.lock().unwrap().iter() {
                 *counts.entry(arrival.trace().to_owned()).or_default() += 1;
             }
         }
@@ -224,9 +224,9 @@
     const PLAN: &str = "accept 600\n";
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
     let place = held.local_addr().unwrap();
-    let endpoints: Vec<_> = (0..2).map(|_| StandInBox::start(Duration::from_millis(3))).collect();
+    let endpoints: Vec<_> = (0..2).map(|_| StubEndpoint::start(Duration::from_millis(3))).collect();
     let listed = |cell: usize| entry(&format!("s-{cell:08x}"), endpoints[cell].address, cell as u16, "up", 0);
-    let agent = StandInAgent::start(&[listed(0), listed(1)]);
+    let agent = StubDiscoveryAgent::start(&[listed(0), listed(1)]);
     let domain = r#""unit-mean":1,"units-top":1,"shards":2,"changes-data":[false,true]"#;
     let path = file("accepts.json", &configuration(agent.address, 500, domain, ""));
     let folder =
@@ -240,12 +240,12 @@
         }
         start.elapsed()
     };
-    let (mut old, mut old_lines, old_place) = version(&held, &folder, &path, Some(&faults));
+    let (mut old, mut old_lines, old_place) = start_version(&held, &folder, &path, Some(&faults));
     ready(&old_place);
     let clients = std::thread::spawn(move || traffic(place, 6, 2, SECOND / 2, 20 * SECOND));
     for round in 0..8 {
         let start = Instant::now();
-        let (new, mut lines, new_place) = version(&held, &folder, &path, Some(&faults));
+        let (new, mut lines, new_place) = start_version(&held, &folder, &path, Some(&faults));
         ready(&new_place);
         assert!(start.elapsed() < 6 * SECOND, "round {round}: ready after {:?}", start.elapsed());
         let startup_lines: Vec<String> =
@@ -275,21 +275,21 @@
     let cluster = TestCluster::start("aborted", 1, Duration::from_millis(1), 1000, "abort 700\n");
     let ask = |client: &mut Client| {
         let (request, _) = request("GET", "leitura", 0, SECOND, "");
-        client.ask(&request, 2 * SECOND).unwrap_or(Ending::Closed)
+        client.ask(&request, 2 * SECOND).unwrap_or(ClientOutcome::Closed)
     };
     let mut idle: Vec<Client> = (0..8).map(|_| Client::connect(cluster.at).unwrap()).collect();
-    assert!(idle.iter_mut().all(|client| ask(client).keeps()));
+    assert!(idle.iter_mut().all(|client| ask(client).keeps_connection()));
     for _ in 0..30 {
-        assert!(ask(&mut Client::connect(cluster.at).unwrap()).keeps());
+        assert!(ask(&mut Client::connect(cluster.at).unwrap()).keeps_connection());
         std::thread::sleep(Duration::from_millis(50));
     }
-    assert!(idle.iter_mut().all(|client| ask(client).keeps()));
+    assert!(idle.iter_mut().all(|client| ask(client).keeps_connection()));
 }
 
 /// Sends one request on each of 41 connections and closes 40 of them at the same instant. Returns how many of
 /// those 40 requests arrived at the endpoint more than 0.1 s after the close, and how many requests arrived
 /// in all.
-fn arrivals_after_close(at: SocketAddr, stand_in: &StandInBox) -> (usize, usize) {
+fn arrivals_after_close(at: SocketAddr, endpoint: &StubEndpoint) -> (usize, usize) {
     let mut clients: Vec<Client> = (0..40).map(|_| Client::connect(at).unwrap()).collect();
     for client in &mut clients {
         client.send(&request("GET", "leitura", 0, 3 * SECOND, "").0).unwrap();
@@ -301,7 +301,7 @@
     clients.into_iter().for_each(Client::close);
     let late = Instant::now() + Duration::from_millis(100);
     std::thread::sleep(4 * SECOND);
-    let arrivals = stand_in.arrivals.lock().unwrap();
+    let arrivals = endpoint.arrivals.lock().unwrap();
     let after = arrivals.iter().filter(|arrival| arrival.at > late && arrival.trace() != staying_trace);
     (after.count(), arrivals.len())
 }
@@ -313,7 +313,7 @@
     let rules = r#""overload-factor":3,"start-capacity":0.16,"tip-after":1000000000,"warm-up":6000000000,"stop-sending-within":1000000000"#;
     let domain = r#""cold-bears":4,"unit-mean":1,"units-top":1,"shards":2"#;
     let start_at = move |name: &'static str, entry: String, plan: &str| {
-        let agent = StandInAgent::start(&[entry]);
+        let agent = StubDiscoveryAgent::start(&[entry]);
         let text = configuration(agent.address, 3000, domain, rules)
             .replace(r#"{"name":"basico","shares":1}"#, plan);
         (start(name, &text, &Faults::new(name, "")), agent)
@@ -322,36 +322,36 @@
     let limit = std::thread::spawn(move || {
         let limited =
             r#"{"name":"basico","shares":1,"base-rate":2,"never-over":2,"limit-burst":4,"tolerance":1}"#;
-        let stand_in = StandInBox::start(Duration::from_millis(2));
-        let listed = entry("s-00000001", stand_in.address, 0, "up", 0);
+        let endpoint = StubEndpoint::start(Duration::from_millis(2));
+        let listed = entry("s-00000001", endpoint.address, 0, "up", 0);
         let ((_child, _lines, at), _agent) = start_at("closes-limit", listed, limited);
-        arrivals_after_close(at, &stand_in)
+        arrivals_after_close(at, &endpoint)
     });
     let slow_start = std::thread::spawn(move || {
-        let stand_in = StandInBox::start(Duration::from_millis(2));
-        let listed = entry("s-00000001", stand_in.address, 0, "up", unix_ms());
+        let endpoint = StubEndpoint::start(Duration::from_millis(2));
+        let listed = entry("s-00000001", endpoint.address, 0, "up", unix_ms());
         let ((_child, _lines, at), _agent) = start_at("closes-cold", listed, FREE);
-        arrivals_after_close(at, &stand_in)
+        arrivals_after_close(at, &endpoint)
     });
     let connecting = std::thread::spawn(move || {
         // The endpoint's backlog is full: connections are established only once the endpoint accepts.
-        let stand_in = StandInBox::start_full(Duration::from_millis(2));
-        let listed = entry("s-00000001", stand_in.address, 0, "up", 0);
+        let endpoint = StubEndpoint::start_with_full_backlog(Duration::from_millis(2));
+        let listed = entry("s-00000001", endpoint.address, 0, "up", 0);
         let ((_child, _lines, at), _agent) = start_at("closes-late", listed, FREE);
-        let opens = stand_in.opens.clone();
+        let opens = endpoint.opens.clone();
         std::thread::spawn(move || {
             std::thread::sleep(SECOND);
             opens.store(true, Ordering::Relaxed);
         });
-        arrivals_after_close(at, &stand_in)
+        arrivals_after_close(at, &endpoint)
     });
     let results = [limit.join().unwrap(), slow_start.join().unwrap(), connecting.join().unwrap()];
     assert!(results.iter().all(|(late, all)| *late == 0 && (1..40).contains(all)), "{results:?}");
 }
 
 /// Returns when the last request arrived at the endpoint; `None` if none did.
-fn last_arrival(stand_in: &StandInBox) -> Option<Instant> {
-    stand_in.arrivals.lock().unwrap().last().map(|arrival| arrival.at)
+fn last_arrival(endpoint: &StubEndpoint) -> Option<Instant> {
+    endpoint.arrivals.lock().unwrap().last().map(|arrival| arrival.at)
 }
 
 /// A change that a new discovery agent lists counts as received at most 4 s after the SIGHUP that names the
@@ -360,35 +360,35 @@
 /// s.
 #[test]
 fn a_drain_after_a_reload_takes_effect_in_time_whatever_the_next_calls_meet() {
-    const TROUBLES: [&[Trouble]; 4] = [
-        &[Trouble::Closed, Trouble::HeadOnly],
-        &[Trouble::Silent, Trouble::Closed],
-        &[Trouble::Refused, Trouble::HalfObject],
-        &[Trouble::HeadOnly, Trouble::Silent],
+    const FAULTS: [&[AgentFault]; 4] = [
+        &[AgentFault::Closed, AgentFault::HeadOnly],
+        &[AgentFault::Silent, AgentFault::Closed],
+        &[AgentFault::Refused, AgentFault::HalfObject],
+        &[AgentFault::HeadOnly, AgentFault::Silent],
     ];
-    let scenario = |number: usize, troubles: &'static [Trouble]| {
+    let scenario = |number: usize, faults: &'static [AgentFault]| {
         let endpoints =
-            [StandInBox::start(Duration::from_millis(3)), StandInBox::start(Duration::from_millis(3))];
+            [StubEndpoint::start(Duration::from_millis(3)), StubEndpoint::start(Duration::from_millis(3))];
         let listed = |first: &str| {
             vec![
                 entry("s-00000001", endpoints[0].address, 0, first, 0),
                 entry("s-00000002", endpoints[1].address, 0, "up", 0),
             ]
         };
-        let old = StandInAgent::start(&listed("up"));
+        let old = StubDiscoveryAgent::start(&listed("up"));
         let (second, third) = (
-            StandInAgent::start_troubled(&listed("draining"), troubles),
-            StandInAgent::start_troubled(&listed("draining"), troubles),
+            StubDiscoveryAgent::start_with_faults(&listed("draining"), faults),
+            StubDiscoveryAgent::start_with_faults(&listed("draining"), faults),
         );
         // List revisions continue when discovery moves to another address: the new agents' revision is above
         // the old one's.
-        second.tell(entry("s-00000001", endpoints[0].address, 0, "draining", 0));
-        third.tell(entry("s-00000001", endpoints[0].address, 0, "draining", 0));
+        second.add_entry(entry("s-00000001", endpoints[0].address, 0, "draining", 0));
+        third.add_entry(entry("s-00000001", endpoints[0].address, 0, "draining", 0));
         let name = format!("reload{number}");
         let rules = r#""stop-sending-within":1000000000"#;
         let text = |agent| configuration(agent, 1000, r#""unit-mean":1,"units-top":1,"shards":1"#, rules);
         let (child, _lines, at) = start(&name, &text(old.address), &Faults::new(&name, ""));
-        let path = format!("terms-{}-{name}.json", std::process::id());
+        let path = format!("guarantees-{}-{name}.json", std::process::id());
         let stop = keep_reading(at, 6, 0);
         std::thread::sleep(SECOND);
         let counts_from = Instant::now();
@@ -403,14 +403,14 @@
             .expect("the endpoint was used before the drain")
             .saturating_duration_since(counts_from);
         let served = endpoints[1].by_second(counts_from, 7);
-        (format!("{troubles:?}"), last, served)
+        (format!("{faults:?}"), last, served)
     };
     let running: Vec<_> =
-        TROUBLES.into_iter().enumerate().map(|(n, t)| std::thread::spawn(move || scenario(n, t))).collect();
+        FAULTS.into_iter().enumerate().map(|(n, t)| std::thread::spawn(move || scenario(n, t))).collect();
     for thread in running {
-        let (troubles, last, served) = thread.join().unwrap();
-        assert!(last <= Duration::from_millis(5050), "{troubles}: sent until {last:?} after SIGHUP");
-        assert!(served[6] > 50, "{troubles}: {served:?}");
+        let (faults, last, served) = thread.join().unwrap();
+        assert!(last <= Duration::from_millis(5050), "{faults}: sent until {last:?} after SIGHUP");
+        assert!(served[6] > 50, "{faults}: {served:?}");
     }
 }
 
@@ -419,17 +419,17 @@
 /// endpoint as up.
 #[test]
 fn a_new_process_sends_nothing_to_an_endpoint_that_the_agent_lists_as_draining() {
-    const TROUBLES: [&[Trouble]; 3] = [&[], &[Trouble::Closed], &[Trouble::HeadOnly]];
-    for (number, troubles) in TROUBLES.into_iter().enumerate() {
+    const FAULTS: [&[AgentFault]; 3] = [&[], &[AgentFault::Closed], &[AgentFault::HeadOnly]];
+    for (number, faults) in FAULTS.into_iter().enumerate() {
         let endpoints =
-            [StandInBox::start(Duration::from_millis(3)), StandInBox::start(Duration::from_millis(3))];
+            [StubEndpoint::start(Duration::from_millis(3)), StubEndpoint::start(Duration::from_millis(3))];
         let listed = |first: &str| {
             vec![
                 entry("s-00000001", endpoints[0].address, 0, first, 0),
                 entry("s-00000002", endpoints[1].address, 0, "up", 0),
             ]
         };
-        let agent = StandInAgent::start_troubled(&listed("draining"), troubles);
+        let agent = StubDiscoveryAgent::start_with_faults(&listed("draining"), faults);
         let name = format!("first{number}");
         let rules = r#""stop-sending-within":1000000000"#;
         let text = configuration(agent.address, 1000, r#""unit-mean":1,"units-top":1,"shards":1"#, rules);
@@ -442,8 +442,8 @@
         std::thread::sleep(3 * SECOND);
         stop.store(true, Ordering::Relaxed);
         let last = last_arrival(&endpoints[0]).map(|at| at.saturating_duration_since(begins));
-        assert!(last.is_none_or(|last| last <= Duration::from_millis(1050)), "{troubles:?}: {last:?}");
-        assert!(troubles.is_empty() <= last.is_none(), "{last:?}");
+        assert!(last.is_none_or(|last| last <= Duration::from_millis(1050)), "{faults:?}: {last:?}");
+        assert!(faults.is_empty() <= last.is_none(), "{last:?}");
         assert!(endpoints[1].by_second(begins, 3)[2] > 50);
     }
 }
@@ -459,11 +459,11 @@
     client.send(&all).unwrap();
     for (number, (_, trace)) in requests.iter().enumerate() {
         match client.answer(4 * SECOND) {
-            Ending::Answered { status: 200, body, .. } => {
-                assert_eq!(body, answer_to(trace).as_bytes(), "request {number}")
+            ClientOutcome::Answered { status: 200, body, .. } => {
+                assert_eq!(body, response_body(trace).as_bytes(), "request {number}")
             }
             // The request's deadline may pass while it waits behind the others.
-            Ending::Answered { status: 503, .. } => {}
+            ClientOutcome::Answered { status: 503, .. } => {}
             other => panic!("request {number} of {}: {other:?}", requests.len()),
         }
     }
@@ -488,11 +488,11 @@
     for (number, _) in requests.iter().enumerate() {
         let ending = client.answer(2 * SECOND);
         let took = sent.elapsed();
-        assert!(matches!(ending, Ending::Answered { .. }), "request {number}: {ending:?}");
+        assert!(matches!(ending, ClientOutcome::Answered { .. }), "request {number}: {ending:?}");
         let due = PATIENCE + if number == 3 { Duration::from_millis(300) } else { Duration::ZERO };
         assert!(took <= due + SECOND / 2, "request {number}: answered after {took:?}");
     }
-    for arrival in cluster.endpoints.iter().flat_map(|stand_in| stand_in.arrivals.lock().unwrap().clone()) {
+    for arrival in cluster.endpoints.iter().flat_map(|endpoint| endpoint.arrivals.lock().unwrap().clone()) {
         let passed_on: f64 = header_of(&arrival.head, "x-expires-in").unwrap().parse().unwrap();
         let number = requests.iter().position(|(_, trace)| trace == arrival.trace()).unwrap();
         let due = sent + PATIENCE + if number == 3 { Duration::from_millis(300) } else { Duration::ZERO };
@@ -505,15 +505,16 @@
 /// retrying, and the new address of the discovery agent takes effect in time.
 #[test]
 fn a_configuration_that_briefly_cannot_be_opened_is_still_loaded() {
-    let stand_in = StandInBox::start(Duration::from_millis(3));
-    let agents = [(); 2].map(|()| StandInAgent::start(&[entry("s-00000001", stand_in.address, 0, "up", 0)]));
+    let endpoint = StubEndpoint::start(Duration::from_millis(3));
+    let agents =
+        [(); 2].map(|()| StubDiscoveryAgent::start(&[entry("s-00000001", endpoint.address, 0, "up", 0)]));
     let text =
-        |agent: &StandInAgent| configuration(agent.address, 1000, r#""unit-mean":1,"units-top":1"#, "");
+        |agent: &StubDiscoveryAgent| configuration(agent.address, 1000, r#""unit-mean":1,"units-top":1"#, "");
     for round in 0..4 {
         let name = format!("opens{round}");
         let faults = Faults::new(&name, "open 700\n");
         let (child, mut lines, _) = start(&name, &text(&agents[0]), &faults);
-        file(&format!("terms-{}-{name}.json", std::process::id()), &text(&agents[1]));
+        file(&format!("guarantees-{}-{name}.json", std::process::id()), &text(&agents[1]));
         faults.set("open 1000\n");
         std::thread::sleep(Duration::from_millis(30));
         let begins = Instant::now();
@@ -544,7 +545,7 @@
         cluster.faults.set("");
         for client in &mut clients {
             let ending = client.answer(2 * SECOND);
-            assert!(matches!(ending, Ending::Answered { status: 200, .. }), "{plan}: {ending:?}");
+            assert!(matches!(ending, ClientOutcome::Answered { status: 200, .. }), "{plan}: {ending:?}");
         }
     }
 }
@@ -558,23 +559,23 @@
     // How long after the endpoint's second start the list reports that start.
     let running = [0_u64, 1500].map(|late_ms| {
         std::thread::spawn(move || {
-            let old = StandInBox::start(Duration::from_millis(5));
-            let agent = StandInAgent::start(&[entry("s-00000001", old.address, 1, "up", 0)]);
+            let old = StubEndpoint::start(Duration::from_millis(5));
+            let agent = StubDiscoveryAgent::start(&[entry("s-00000001", old.address, 1, "up", 0)]);
             let name = format!("again{late_ms}");
             let text = configuration(agent.address, 1200, domain, rules);
             let (_child, _lines, at) = start(&name, &text, &Faults::new(&name, ""));
             std::thread::sleep(SECOND);
-            let joining = StandInBox::start(Duration::from_millis(5));
-            agent.tell(entry("s-00000002", joining.address, 0, "up", unix_ms()));
+            let joining = StubEndpoint::start(Duration::from_millis(5));
+            agent.add_entry(entry("s-00000002", joining.address, 0, "up", unix_ms()));
             let stop = keep_reading(at, 12, 0);
             std::thread::sleep(4 * SECOND);
             let restarted_at = unix_ms();
             std::thread::sleep(Duration::from_millis(late_ms));
             // The list reports the same start twice.
-            agent.tell(entry("s-00000002", joining.address, 0, "up", restarted_at));
+            agent.add_entry(entry("s-00000002", joining.address, 0, "up", restarted_at));
             let listed_at = Instant::now();
             std::thread::sleep(SECOND / 2);
-            agent.tell(entry("s-00000002", joining.address, 0, "up", restarted_at));
+            agent.add_entry(entry("s-00000002", joining.address, 0, "up", restarted_at));
             std::thread::sleep(5 * SECOND);
             stop.store(true, Ordering::Relaxed);
             (late_ms, joining.by_second(listed_at, 5))
@@ -602,14 +603,14 @@
 /// A log that cannot be written, as on a full disk, does not hold up requests or the shutdown.
 #[test]
 fn a_log_that_cannot_be_written_holds_up_neither_requests_nor_shutdown() {
-    let stand_in = StandInBox::start(Duration::from_millis(3));
-    let agent = StandInAgent::start(&[entry("s-00000001", stand_in.address, 0, "up", 0)]);
+    let endpoint = StubEndpoint::start(Duration::from_millis(3));
+    let agent = StubDiscoveryAgent::start(&[entry("s-00000001", endpoint.address, 0, "up", 0)]);
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = held.local_addr().unwrap();
     drop(held);
     let text = configuration(agent.address, 1000, r#""unit-mean":1,"units-top":1"#, "");
     let path = file(
-        &format!("terms-{}-full.json", std::process::id()),
+        &format!("guarantees-{}-full.json", std::process::id()),
         &text.replace("127.0.0.1:0", &at.to_string()),
     );
     let full = std::fs::OpenOptions::new().write(true).open("/dev/full").unwrap();
@@ -622,7 +623,7 @@
     let mut client =
         std::iter::repeat_with(connect).take(500).flatten().next().expect("the program listens within 5 s");
     let (request, _) = request("GET", "leitura", 0, SECOND, "");
-    assert!(matches!(client.ask(&request, 2 * SECOND), Ok(Ending::Answered { status: 200, .. })));
+    assert!(matches!(client.ask(&request, 2 * SECOND), Ok(ClientOutcome::Answered { status: 200, .. })));
     child.signal("-TERM");
     assert!(child.0.wait().unwrap().success());
 }
@@ -643,10 +644,10 @@
 /// entries the endpoint list holds.
 #[test]
 fn a_long_endpoint_list_displaces_no_other_log_line() {
-    let stand_in = StandInBox::start(Duration::from_millis(3));
+    let endpoint = StubEndpoint::start(Duration::from_millis(3));
     let entries: Vec<String> =
-        (1..=400).map(|n| entry(&format!("s-{n:08x}"), stand_in.address, n, "up", 0)).collect();
-    let agent = StandInAgent::start(&entries);
+        (1..=400).map(|n| entry(&format!("s-{n:08x}"), endpoint.address, n, "up", 0)).collect();
+    let agent = StubDiscoveryAgent::start(&entries);
     let faults = Faults::new("long", "");
     // `start` waits for the line that states the listen address.
     let (_child, _lines, at) = start("long", &configuration(agent.address, 1000, "", ""), &faults);
@@ -675,9 +676,15 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut cluster = TestCluster::start(&format!("drawn{seed}"), 4, Duration::from_millis(3), 800, "");
     // A second endpoint for each shard, so that one may drain.
-    let spare: Vec<_> = (0..4).map(|_| StandInBox::start(Duration::from_millis(3))).collect();
-    for (cell, stand_in) in spare.iter().enumerate() {
-        cluster.agent.tell(entry(&format!("s-{:08x}", 0x100 + cell), stand_in.address, cell as u16, "up", 0));
+    let spare: Vec<_> = (0..4).map(|_| StubEndpoint::start(Duration::from_millis(3))).collect();
+    for (cell, endpoint) in spare.iter().enumerate() {
+        cluster.agent.add_entry(entry(
+            &format!("s-{:08x}", 0x100 + cell),
+            endpoint.address,
+            cell as u16,
+            "up",
+            0,
+        ));
     }
     cluster.endpoints.extend(spare);
     let at = cluster.at;
@@ -714,7 +721,7 @@
             }
             1 if drained.is_none() => {
                 let number: usize = rng.random_range(0..4);
-                cluster.agent.tell(entry(
+                cluster.agent.add_entry(entry(
                     &format!("s-{:08x}", number + 1),
                     cluster.endpoints[number].address,
                     number as u16,
@@ -739,7 +746,7 @@
             "seed {seed}: the last request was sent {last:?} after the drain"
         );
     }
-    for arrival in cluster.endpoints.iter().flat_map(|stand_in| stand_in.arrivals.lock().unwrap().clone()) {
+    for arrival in cluster.endpoints.iter().flat_map(|endpoint| endpoint.arrivals.lock().unwrap().clone()) {
         let passed_on: f64 = header_of(&arrival.head, "x-expires-in").unwrap().parse().unwrap();
         assert!(passed_on <= PATIENCE.as_secs_f64(), "seed {seed}: {}", arrival.head);
     }
@@ -759,7 +766,7 @@
     }
     for trace in [first, second] {
         let ending = client.answer(2 * SECOND);
-        let Ending::Answered { status: 200, body, .. } = ending else { panic!("{trace}: {ending:?}") };
-        assert_eq!(body, answer_to(&trace).as_bytes());
+        let ClientOutcome::Answered { status: 200, body, .. } = ending else { panic!("{trace}: {ending:?}") };
+        assert_eq!(body, response_body(&trace).as_bytes());
     }
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -69,7 +69,7 @@
 fn limit_is_kept(steps: &[Step]) {
     let set = Settings { keep_alive_timeout: 3 * S, ..settings() };
     let plan = set.plans[0].clone();
-    let mut hosts: Vec<Host> = (0..3).map(|_| Host::new(set.clone())).collect();
+    let mut hosts: Vec<SchedulerDriver> = (0..3).map(|_| SchedulerDriver::new(set.clone())).collect();
     let mut in_flight: Vec<Vec<Attempt>> = vec![Vec::new(); 3];
     let full = || ObservedBucket { plan: plan.clone(), units: plan.burst, at: T0 };
     let (mut sent, mut arrived, mut now, mut id) = (full(), full(), T0, 0);
@@ -79,7 +79,8 @@
         now += (pick % 40) * MS;
         let event = match kind {
             0..=3 => {
-                hosts[which] = Host { scheduler: Scheduler::new(set.clone(), 3, now), now, log: vec![] };
+                hosts[which] =
+                    SchedulerDriver { scheduler: Scheduler::new(set.clone(), 3, now), now, log: vec![] };
                 in_flight[which].clear();
                 // The connections of a process end with it.
                 in_transit.retain(|_, request| request.host != which);
@@ -134,7 +135,7 @@
     set.classes[0].ordered = true;
     set.hedging_allowed = steps.len().is_multiple_of(2);
     set.endpoint_list_polled = true;
-    let mut host = Host::new(set);
+    let mut host = SchedulerDriver::new(set);
     let mut in_flight: Vec<Attempt> = Vec::new();
     let mut due: BTreeMap<RequestId, Duration> = BTreeMap::new();
     let mut answers: BTreeMap<RequestId, u32> = BTreeMap::new();
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -393,7 +393,7 @@
 fn initiators_that_start_together_spread_their_first_calls() {
     let (mut asked, mut chosen) = (BTreeSet::new(), BTreeSet::new());
     for seed in 0..100 {
-        let mut initiator = Host {
+        let mut initiator = SchedulerDriver {
             scheduler: Scheduler::new(
                 Settings { endpoint_list_polled: true, ..settings_of(100, 0) },
                 seed,
@@ -407,7 +407,7 @@
             T0,
             &[list(EndpointListKind::Cached, nodes), Event::Request(Request { shard: None, ..request(1) })],
         );
-        initiator.ring_until(T0 + 3 * S);
+        initiator.fire_timer_until(T0 + 3 * S);
         chosen.insert(initiator.sends()[0].2);
         let first = initiator
             .log
@@ -427,7 +427,7 @@
 /// Returns how many requests one of `initiators` initiators completes within 20 s at an endpoint with the
 /// given response time.
 fn sent_in_20_s(initiators: u32, took: Duration) -> usize {
-    let mut initiator = Host::new(Settings { initiators, ..settings() });
+    let mut initiator = SchedulerDriver::new(Settings { initiators, ..settings() });
     let (mut seen, mut id) = (0, 0);
     while initiator.now < T0 + 20 * S {
         id += 1;
@@ -457,7 +457,7 @@
 /// nothing, so that no long round trip is ever measured.
 #[test]
 fn a_missing_response_counts_as_a_long_round_trip() {
-    let mut initiator = Host::new(settings_of(50, 0));
+    let mut initiator = SchedulerDriver::new(settings_of(50, 0));
     initiator.at(T0, &[Event::Request(request(1))]);
     initiator.at(T0 + 40 * MS, &[outcome(1, 0, 1, AttemptOutcome::Served)]);
     for id in 2..40 {
@@ -471,8 +471,8 @@
 /// released.
 #[test]
 fn endpoints_removed_long_ago_are_forgotten() {
-    let mut initiator = Host::new(settings());
-    let size = |h: &Host| format!("{:?}", h.scheduler).len();
+    let mut initiator = SchedulerDriver::new(settings());
+    let size = |h: &SchedulerDriver| format!("{:?}", h.scheduler).len();
     initiator.at(T0, &[Event::Request(request(0))]);
     initiator.at(T0 + 40 * MS, &[outcome(0, 0, 1, AttemptOutcome::Served)]);
     let before = size(&initiator);
@@ -484,7 +484,7 @@
         initiator.at(now + 40 * MS, &[outcome(id, 0, node, AttemptOutcome::Served)]);
     }
     let grown = size(&initiator);
-    initiator.ring_until(T0 + 130 * S);
+    initiator.fire_timer_until(T0 + 130 * S);
     initiator.at(T0 + 130 * S, &[list(EndpointListKind::Full, vec![line(1, 0)])]);
     assert!(
         size(&initiator) < before * 2,
@@ -498,21 +498,24 @@
 /// pause.
 fn sent_after_first_attempt(ending: AttemptOutcome, took: Duration, pause: Duration) -> usize {
     let cold = list(EndpointListKind::Cached, vec![EndpointUpdate { started_at: T0, ..line(1, 0) }]);
-    let mut initiator =
-        Host { scheduler: Scheduler::new(settings_of(280, 3), 1, T0 - 9 * S), now: T0, log: vec![] };
+    let mut initiator = SchedulerDriver {
+        scheduler: Scheduler::new(settings_of(280, 3), 1, T0 - 9 * S),
+        now: T0,
+        log: vec![],
+    };
     let ask = |id, units| Event::Request(Request { time_remaining: 100 * S, units, ..request(id) });
     initiator.at(T0, &[cold, ask(1, 2.0)]);
     while initiator.sends().is_empty() {
-        initiator.ring_until(initiator.now + MS);
+        initiator.fire_timer_until(initiator.now + MS);
     }
     let Event::AttemptEnded(end) = outcome(1, 0, 1, ending) else { return 0 };
     initiator.at(
         initiator.now + took,
         &[Event::AttemptEnded(EndedAttempt { elapsed: took, request_complete: true, ..end })],
     );
-    initiator.ring_until(initiator.now + pause);
+    initiator.fire_timer_until(initiator.now + pause);
     initiator.at(initiator.now, &(2..6).map(|id| ask(id, 8.0)).collect::<Vec<_>>());
-    initiator.ring_until(initiator.now + 50 * MS);
+    initiator.fire_timer_until(initiator.now + 50 * MS);
     initiator.sends().len() - 1
 }
 
@@ -557,8 +560,11 @@
 /// Returns in how many spans of 100 ms, out of 10 s, one of 100 initiators sends to an endpoint in slow start
 /// to which every attempt fails before it is sent, where its requests are for the first `shards` of 8 shards.
 fn slow_start_shares_used(rank: u32, shards: u16) -> usize {
-    let mut initiator =
-        Host { scheduler: Scheduler::new(settings_of(100, rank), 1, T0 - 9 * S), now: T0, log: vec![] };
+    let mut initiator = SchedulerDriver {
+        scheduler: Scheduler::new(settings_of(100, rank), 1, T0 - 9 * S),
+        now: T0,
+        log: vec![],
+    };
     let mut lines: Vec<EndpointUpdate> = (1..8).map(|s| line(u32::from(s) + 1, s)).collect();
     lines.push(EndpointUpdate { started_at: T0, ..line(1, 0) });
     initiator.at(T0, &[list(EndpointListKind::Cached, lines)]);
@@ -596,7 +602,7 @@
 #[test]
 fn late_requests_yield_under_overload_before_others() {
     let sent = |time_waited: Duration| {
-        let mut initiator = Host::new(settings_of(50, 0));
+        let mut initiator = SchedulerDriver::new(settings_of(50, 0));
         initiator.at(T0, &[Event::Request(request(1))]);
         let Event::AttemptEnded(answer) = outcome(1, 0, 1, AttemptOutcome::Served) else { return 0 };
         initiator.at(T0 + 800 * MS, &[Event::AttemptEnded(EndedAttempt { elapsed: 800 * MS, ..answer })]);
@@ -608,26 +614,26 @@
             )],
         );
         initiator.at(T0 + 800 * MS, &[Event::Request(request(2))]);
-        initiator.ring_until(T0 + 800 * MS + time_waited);
+        initiator.fire_timer_until(T0 + 800 * MS + time_waited);
         initiator.at(initiator.now, &[list(EndpointListKind::Delta, vec![line(1, 0)])]);
-        initiator.ring_until(initiator.now + 10 * MS);
+        initiator.fire_timer_until(initiator.now + 10 * MS);
         initiator.sends().len()
     };
     assert_eq!((sent(100 * MS), sent(480 * MS)), (2, 1));
 }
 
 /// Guards against a congestion that persists: each of 146 initiators tried a congested endpoint again every
-/// four seconds, which kept it congested. The interval between attempts grows with each time-out and returns to its
-/// initial length after a response.
+/// four seconds, which kept it congested. The interval between attempts grows with each time-out and returns
+/// to its initial length after a response.
 #[test]
 fn attempts_at_a_congested_endpoint_become_rarer_until_it_answers() {
     let next_after = |endings: &[AttemptOutcome]| {
-        let mut initiator = Host::new(settings_of(150, 0));
+        let mut initiator = SchedulerDriver::new(settings_of(150, 0));
         for (id, ending) in (1..).zip(endings) {
             initiator
                 .at(initiator.now, &[Event::Request(Request { time_remaining: 600 * S, ..request(id) })]);
             while initiator.sends().len() < id as usize {
-                initiator.ring_until(initiator.now + 10 * MS);
+                initiator.fire_timer_until(initiator.now + 10 * MS);
             }
             let Event::AttemptEnded(answer) = outcome(id, 0, 1, *ending) else { return Duration::ZERO };
             let load = LoadReport { service_ms: Some(60.0), ..LoadReport::default() };
@@ -645,7 +651,7 @@
         let from = initiator.now;
         initiator.at(from, &[Event::Request(Request { time_remaining: 600 * S, ..request(99) })]);
         while initiator.sends().len() == endings.len() {
-            initiator.ring_until(initiator.now + 10 * MS);
+            initiator.fire_timer_until(initiator.now + 10 * MS);
         }
         initiator.now - from
     };
@@ -666,7 +672,7 @@
 #[test]
 fn a_grant_of_units_is_used_once_and_not_when_late() {
     let sent_after = |late: Duration, copies: usize| {
-        let mut initiator = Host::new(settings_of(6, 0));
+        let mut initiator = SchedulerDriver::new(settings_of(6, 0));
         let volume = (1..)
             .find(|v| requests_units_from_peer(*v))
             .expect("some volume has its home at another initiator");
@@ -702,7 +708,7 @@
 
 /// Whether initiator 0 of six requests units of this volume from another initiator.
 fn requests_units_from_peer(volume: VolumeId) -> bool {
-    let mut initiator = Host::new(settings_of(6, 0));
+    let mut initiator = SchedulerDriver::new(settings_of(6, 0));
     let ask = Request { volume, plan: 0, initiators: 6.0, units: 8.0, ..request(1) };
     initiator.at(T0 + MS, &[Event::Request(ask)]).iter().any(|a| matches!(a, Action::SendPeerMessage { .. }))
 }
@@ -712,7 +718,7 @@
 /// one whose clients stay.
 #[test]
 fn clients_that_disconnect_before_their_response_gain_nothing() {
-    let mut initiator = Host::new(settings_of(12, 0));
+    let mut initiator = SchedulerDriver::new(settings_of(12, 0));
     let (mut seen, mut id, mut sent) = (0, 0, [0, 0]);
     while initiator.now < T0 + 60 * S {
         id += 1;
@@ -746,7 +752,7 @@
 fn a_request_costs_hardly_more_among_sixteen_times_the_endpoints() {
     let cost = |endpoints: u32| {
         let lines: Vec<EndpointUpdate> = (1..=endpoints).map(|node| line(node, node as u16)).collect();
-        let mut initiator = Host::new(Settings { initiators: 300, ..settings() });
+        let mut initiator = SchedulerDriver::new(Settings { initiators: 300, ..settings() });
         initiator.at(T0, &[list(EndpointListKind::Full, lines)]);
         let mut id = 0;
         let mut round = || {
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -61,7 +61,7 @@
     trace: String,
     sent_at: Instant,
     ended_at: Instant,
-    ending: Result<Ending, std::io::ErrorKind>,
+    ending: Result<ClientOutcome, std::io::ErrorKind>,
 }
 
 /// The result of a scenario.
@@ -101,7 +101,7 @@
         let (request, trace) =
             request(method, class, number % 6, deadline, if is_write { "data" } else { "" });
         let ending = client.ask(&request, deadline + LATE_ANSWER_TIMEOUT).map_err(|why| why.kind());
-        if ending.as_ref().is_ok_and(Ending::keeps) {
+        if ending.as_ref().is_ok_and(ClientOutcome::keeps_connection) {
             connection = Some(client);
         }
         requests.push(SentRequest { trace, sent_at: now, ended_at: Instant::now(), ending });
@@ -111,12 +111,12 @@
 
 /// Runs one scenario against a process of its own.
 fn run(scenario: &Scenario) -> Report {
-    let endpoints: Vec<_> = (0..6).map(|_| StandInBox::start(Duration::from_millis(4))).collect();
-    let listed = |(cell, endpoint): (usize, &StandInBox)| {
+    let endpoints: Vec<_> = (0..6).map(|_| StubEndpoint::start(Duration::from_millis(4))).collect();
+    let listed = |(cell, endpoint): (usize, &StubEndpoint)| {
         entry(&format!("s-{:08x}", cell + 1), endpoint.address, cell as u16, "up", 0)
     };
     let entries: Vec<String> = endpoints.iter().enumerate().map(listed).collect();
-    let agent = StandInAgent::start(&entries);
+    let agent = StubDiscoveryAgent::start(&entries);
     let domain = r#""unit-mean":1,"units-top":1,"shards":6,"changes-data":[false,true]"#;
     let text = configuration(agent.address, scenario.deadline.as_millis() as u64, domain, "");
     let path = file(&format!("stop-{}-{}.json", std::process::id(), scenario.seed), &text);
@@ -144,7 +144,7 @@
         .map(|mut client| {
             std::thread::spawn(move || {
                 let remaining = kill_at.saturating_duration_since(Instant::now());
-                let ended = client.is_ended_within(remaining);
+                let ended = client.is_closed_within(remaining);
                 // The client keeps its half of the connection open, which the process must not wait for.
                 let ended_at = Instant::now();
                 std::thread::sleep(kill_at.saturating_duration_since(ended_at));
@@ -170,7 +170,7 @@
 /// was not.
 fn report(
     scenario: &Scenario,
-    endpoints: &[StandInBox],
+    endpoints: &[StubEndpoint],
     requests: &[SentRequest],
     term_at: Instant,
     kill_at: Instant,
@@ -185,12 +185,14 @@
         let arrival_count = arrivals.get(&request.trace).copied().unwrap_or(0);
         let sent_after = request.sent_at.saturating_duration_since(term_at);
         let is_lost = match &request.ending {
-            Ok(Ending::Answered { status: 200, body, .. }) => body != answer_to(&request.trace).as_bytes(),
-            Ok(Ending::Answered { .. }) => false,
-            Ok(Ending::Silent) => true,
+            Ok(ClientOutcome::Answered { status: 200, body, .. }) => {
+                body != response_body(&request.trace).as_bytes()
+            }
+            Ok(ClientOutcome::Answered { .. }) => false,
+            Ok(ClientOutcome::Silent) => true,
             // A client repeats a request elsewhere if it was never read. If it reached an endpoint, it was
             // read.
-            Ok(Ending::Closed) | Err(_) => arrival_count > 0,
+            Ok(ClientOutcome::Closed) | Err(_) => arrival_count > 0,
         };
         if is_lost {
             failures.push(format!(
@@ -199,7 +201,9 @@
                 scenario.seed
             ));
         }
-        if arrival_count > 1 && request.ending.as_ref().is_ok_and(|e| matches!(e, Ending::Answered { .. })) {
+        if arrival_count > 1
+            && request.ending.as_ref().is_ok_and(|e| matches!(e, ClientOutcome::Answered { .. }))
+        {
             // Only reads may be repeated. Writes are recognised by the path of their arrivals, which contains
             // the class.
             let path = format!("/gravacao/{}", request.trace);
--- a/tests/writeback.rs
+++ b/tests/writeback.rs
@@ -58,7 +58,7 @@
 }
 
 /// How often a write of each cell reached the box.
-fn reached(boxed: &NbdBox) -> BTreeMap<u64, usize> {
+fn reached(boxed: &StubNbdEndpoint) -> BTreeMap<u64, usize> {
     let mut counts = BTreeMap::new();
     for request in boxed.seen.borrow().iter().filter(|r| r.command == cmd::WRITE) {
         *counts.entry(request.offset / u64::from(CELL)).or_default() += 1;
@@ -74,12 +74,12 @@
 
 #[test]
 fn a_stalled_endpoint_delays_no_write_flush_or_read_and_a_kill_loses_nothing() {
-    story(async {
-        let boxed = NbdBox::start(Script::Silent, 1 << 16).await;
+    run_test(async {
+        let boxed = StubNbdEndpoint::start(Script::Silent, 1 << 16).await;
         let folder = folder("stands");
         let text = file(boxed.address, &folder, "ask");
         let mut first = Process::start("stands.json", &text);
-        let mut client = NbdClient::go(first.place().await).await;
+        let mut client = NbdClient::go(first.client_address().await).await;
         assert_eq!(write(&mut client, 1, 11, command_flag::FUA).await, 0);
         assert_eq!(write(&mut client, 2, 22, 0).await, 0);
         client.send(cmd::FLUSH, 0, 99, 0, 0, &[]).await;
@@ -87,7 +87,7 @@
         assert_eq!((read(&mut client, 1).await, read(&mut client, 2).await), (11, 22));
         // A second process on the same log is refused, clearly.
         let mut second = Process::start("stands.json", &text);
-        second.says("another process has this log").await;
+        second.wait_for_line("another process has this log").await;
         assert!(!second.0.wait().unwrap().success());
         until(|| boxed.count(cmd::WRITE) == 2).await;
         first.0.kill().unwrap();
@@ -95,7 +95,7 @@
         // Both were sent and never answered: they are read back, and not sent again.
         boxed.script.set(Script::Serve);
         let mut again = Process::start("stands.json", &text);
-        let mut client = NbdClient::go(again.place().await).await;
+        let mut client = NbdClient::go(again.client_address().await).await;
         assert_eq!((read(&mut client, 1).await, read(&mut client, 2).await), (11, 22));
         until(|| reached(&boxed).len() == 2).await;
         // Long enough to be at rest, and to serve on from there.
@@ -108,7 +108,7 @@
             "stands-other.json",
             &text.replace("\"at\":0", "\"at\":1").replace("\"a1\"", "\"a2\""),
         );
-        other.says("the log was made for other exports or boxes").await;
+        other.wait_for_line("the log was made for other exports or boxes").await;
         assert!(!other.0.wait().unwrap().success());
     });
 }
@@ -116,8 +116,8 @@
 /// One whose box took nothing of it: it is in doubt, shown, held against what overlaps, and settled by hand.
 #[test]
 fn a_write_in_doubt_stays_readable_until_an_operator_settles_it() {
-    story(async {
-        let boxed = NbdBox::start(Script::Swallow, 1 << 16).await;
+    run_test(async {
+        let boxed = StubNbdEndpoint::start(Script::Swallow, 1 << 16).await;
         let folder = folder("doubt");
         let text = file(boxed.address, &folder, "ask");
         let path = folder.with_extension("json");
@@ -130,7 +130,7 @@
         };
         assert!(operate(&["list"]).1.contains("there is no log"));
         let mut first = Process::start("doubt.json", &text);
-        let mut client = NbdClient::go(first.place().await).await;
+        let mut client = NbdClient::go(first.client_address().await).await;
         assert_eq!(write(&mut client, 1, 11, command_flag::FUA).await, 0);
         until(|| boxed.count(cmd::WRITE) == 1).await;
         assert!(operate(&["list"]).1.contains("another process has this log"));
@@ -138,8 +138,8 @@
         drop(first);
         boxed.script.set(Script::Serve);
         let mut again = Process::start("doubt.json", &text);
-        let mut client = NbdClient::go(again.place().await).await;
-        again.says("can't be settled without an operator").await;
+        let mut client = NbdClient::go(again.client_address().await).await;
+        again.wait_for_line("can't be settled without an operator").await;
         assert_eq!(read(&mut client, 1).await, 11);
         assert_eq!(
             write(&mut client, 1, 12, command_flag::FUA).await,
@@ -159,7 +159,7 @@
         assert!(!operate(&["settle", "9", "drop"]).0 && !operate(&["settle", "x", "drop"]).0);
         assert_eq!(operate(&["settle", "1", "drop"]), (true, String::new()));
         let mut last = Process::start("doubt.json", &text);
-        let mut client = NbdClient::go(last.place().await).await;
+        let mut client = NbdClient::go(last.client_address().await).await;
         until(|| boxed.count(cmd::WRITE) == 2).await;
         assert_eq!(read(&mut client, 1).await, 12);
     });
@@ -169,15 +169,15 @@
 /// reaches the box twice.
 #[test]
 fn kills_in_the_midst_of_writing_lose_nothing_acknowledged_and_send_nothing_twice() {
-    story(async {
-        let boxed = NbdBox::start(Script::Serve, 1 << 16).await;
+    run_test(async {
+        let boxed = StubNbdEndpoint::start(Script::Serve, 1 << 16).await;
         let folder = folder("kills");
         // A write that was to be sent when the process was killed goes again, once it can't run any more.
         let text = file(boxed.address, &folder, "resend");
         let mut promised = BTreeMap::new();
         for life in 0..6u64 {
             let mut process = Process::start("kills.json", &text);
-            let mut client = NbdClient::go(process.place().await).await;
+            let mut client = NbdClient::go(process.client_address().await).await;
             for (cell, value) in &promised {
                 assert_eq!(read(&mut client, *cell).await, *value, "cell {cell} in life {life}");
             }
@@ -190,7 +190,7 @@
             process.0.kill().unwrap();
         }
         let mut last = Process::start("kills.json", &text);
-        let mut client = NbdClient::go(last.place().await).await;
+        let mut client = NbdClient::go(last.client_address().await).await;
         until(|| reached(&boxed).len() == promised.len()).await;
         for (cell, value) in &promised {
             assert_eq!(read(&mut client, *cell).await, *value);
@@ -199,7 +199,7 @@
         // A planned stop leaves the log whole.
         let pid = last.0.id().to_string();
         assert!(std::process::Command::new("kill").args(["-TERM", &pid]).status().unwrap().success());
-        let line = last.says("write-back stops").await;
+        let line = last.wait_for_line("write-back stops").await;
         assert!(line.contains("durable=true"), "{line}");
     });
 }
@@ -220,13 +220,13 @@
 fn a_log_that_can_not_be_written_for_a_while_recovers_and_keeps_what_it_accepted() {
     const DEADLINE: Duration = Duration::from_millis(1500);
     const IN_TIME: Duration = Duration::from_millis(1700);
-    story(async {
-        let boxed = NbdBox::start(Script::Serve, 1 << 16).await;
+    run_test(async {
+        let boxed = StubNbdEndpoint::start(Script::Serve, 1 << 16).await;
         let folder = folder("refuses");
         let text = file(boxed.address, &folder, "resend");
         let faults = Faults::new("disk", "disk 50\n");
-        let mut process = Process::start_under(&faults, "refuses.json", &text);
-        let mut client = NbdClient::go(process.place().await).await;
+        let mut process = Process::start_with_faults(&faults, "refuses.json", &text);
+        let mut client = NbdClient::go(process.client_address().await).await;
         let mut promised = BTreeMap::new();
         for cell in 0..60_u64 {
             let value = cell as u8 + 1;
@@ -266,7 +266,7 @@
         process.0.kill().unwrap();
         process.0.wait().unwrap();
         let mut last = Process::start("refuses.json", &text);
-        let mut client = NbdClient::go(last.place().await).await;
+        let mut client = NbdClient::go(last.client_address().await).await;
         for (cell, value) in &promised {
             assert_eq!(read(&mut client, *cell).await, *value, "cell {cell}");
         }
