--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -334,7 +334,7 @@
     let call = |management: &str, call: &str| exchange(&mut TcpStream::connect(management).unwrap(), call).0;
     let wait_until_ready = |management: &str| while call(management, "GET /v1/readyz") != 200 {};
     let health = |client: &mut TcpStream| exchange(client, "GET /_health");
-    let (mut old, mut old_lines, old_management) = version(&held, &folder, &good, None);
+    let (mut old, mut old_lines, old_management) = start_version(&held, &folder, &good, None);
     wait_until_ready(&old_management);
     let mut kept = TcpStream::connect(address).unwrap();
     assert_eq!(health(&mut kept), (200, true));
@@ -342,7 +342,7 @@
     // An initiator of another customer with the same name, on a socket of its own, shares and inherits
     // nothing.
     let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (_other, mut other_lines, other_management) = version(&elsewhere, &folder, &good, None);
+    let (_other, mut other_lines, other_management) = start_version(&elsewhere, &folder, &good, None);
     wait_until_ready(&other_management);
     let startup: Vec<String> =
         other_lines.by_ref().take_while(|line| !line.contains(" listens for ")).collect();
@@ -351,13 +351,13 @@
     assert_eq!(health(&mut kept), (200, true));
     // A new version that is killed early leaves the old one serving, and the next new version finds the old
     // one.
-    let (killed, _, killed_management) = version(&held, &folder, &good, None);
+    let (killed, _, killed_management) = start_version(&held, &folder, &good, None);
     wait_until_ready(&killed_management);
     drop(killed);
     assert!(old_lines.any(|line| line.contains(" the other process is gone")));
     // A file that the old version would reject at SIGHUP does not keep the new version from starting.
     let cut = file("over-cut.json", "{\"name\":");
-    let (_new, mut lines, new_management) = version(&held, &folder, &cut, None);
+    let (_new, mut lines, new_management) = start_version(&held, &folder, &cut, None);
     wait_until_ready(&new_management);
     let restored = lines.by_ref().take(60).find(|line| line.contains(" hand-over state restored ")).unwrap();
     assert!(restored.ends_with("endpoints=1 revision=41 suspended=1 drained=false"), "{restored}");
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -1,4 +1,4 @@
-//! Scripted peers on loopback: boxes and clients of both fronts.
+//! Scripted peers on loopback: endpoints and clients for the NBD front and for the platform's HTTP front.
 
 use shaletack::broker::{Broker, Clock, Input};
 use shaletack::nbd::codec::{
@@ -18,27 +18,29 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Runs a story on one thread; one that hangs is a failure, not a wait.
-pub fn story<F: Future<Output = ()>>(story: F) {
+/// Runs a test on a single-threaded runtime and fails where the test does not end within 120 s.
+pub fn run_test<F: Future<Output = ()>>(test: F) {
     actix_rt::System::new().block_on(async {
-        tokio::time::timeout(Duration::from_secs(120), story).await.expect("the story hangs");
+        tokio::time::timeout(Duration::from_secs(120), test).await.expect("the test ends within 120 s");
     });
 }
 
-/// A core that starts now.
+/// Starts a core whose clock starts now.
 pub fn host(settings: &shaletack::interface::Settings) -> Host {
     let now = Instant::now();
     let clock = Clock::new(now, Duration::from_secs(1_000_000));
     Host::start(Broker::new(settings.clone(), 7, clock, now))
 }
 
+/// Binds a listener to a free port on loopback.
 pub async fn loopback() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     (listener, address)
 }
 
-/// A peer that handles each connection by a script, given its number.
+/// Starts a peer that runs a script for each connection, passing the connection's number, and returns its
+/// address.
 pub async fn peer<F: Future<Output = ()> + 'static>(
     script: impl Fn(TcpStream, usize) -> F + 'static,
 ) -> SocketAddr {
@@ -52,53 +54,61 @@
     address
 }
 
-/// What a stand-in box does with a command.
+/// How a scripted NBD endpoint handles a command.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Script {
+    /// Executes and answers each command.
     Serve,
+    /// Executes commands without answering them.
     Silent,
-    /// It takes writes and carries none of them out.
+    /// Accepts commands without answering them, and discards the data of writes.
     Swallow,
+    /// Answers each command with an error.
     Error,
+    /// Answers a read with half of its data and then an error.
     ErrorAfterData,
+    /// Sends half of a read's data and closes the connection.
     HalfReply,
+    /// Rejects the export during negotiation.
     NoExport,
 }
 
-/// A disk box that speaks NBD, and what it saw.
-pub struct NbdBox {
+/// A scripted endpoint that speaks NBD and records the commands it receives.
+pub struct StubNbdEndpoint {
     pub address: SocketAddr,
     pub script: Rc<Cell<Script>>,
     pub seen: Rc<RefCell<Vec<Request>>>,
-    pub came: Rc<Notify>,
+    /// Notified of each command.
+    pub received: Rc<Notify>,
 }
 
-impl NbdBox {
+impl StubNbdEndpoint {
     pub async fn start(script: Script, size: usize) -> Self {
-        let (script, seen, came) = (Rc::new(Cell::new(script)), Rc::default(), Rc::new(Notify::new()));
+        let (script, seen, received) = (Rc::new(Cell::new(script)), Rc::default(), Rc::new(Notify::new()));
         let data = Rc::new(RefCell::new(vec![0u8; size]));
-        let parts = (script.clone(), Rc::clone(&seen), came.clone());
+        let parts = (script.clone(), Rc::clone(&seen), received.clone());
         let address = peer(move |stream, _| {
             let (parts, data) = (parts.clone(), data.clone());
             async move {
-                // The initiator ends connections as it likes.
-                let _ = nbd_box(stream, parts.0, parts.1, parts.2, data).await;
+                // Errors are ignored, because the initiator may close its connections at any time.
+                let _ = serve_nbd(stream, parts.0, parts.1, parts.2, data).await;
             }
         })
         .await;
-        NbdBox { address, script, seen, came }
+        StubNbdEndpoint { address, script, seen, received }
     }
 
+    /// Returns how many commands of this type were received.
     pub fn count(&self, command: u16) -> usize {
         self.seen.borrow().iter().filter(|r| r.command == command).count()
     }
 }
 
-async fn nbd_box(
+async fn serve_nbd(
     stream: TcpStream,
     script: Rc<Cell<Script>>,
     seen: Rc<RefCell<Vec<Request>>>,
-    came: Rc<Notify>,
+    received: Rc<Notify>,
     data: Rc<RefCell<Vec<u8>>>,
 ) -> std::io::Result<()> {
     let mut s = BufReader::new(stream);
@@ -138,7 +148,7 @@
             }
         }
         seen.borrow_mut().push(r);
-        came.notify_one();
+        received.notify_one();
         let read = r.command == cmd::READ;
         let part = |flags: u16, from: usize, to: usize| {
             let mut out = chunk_header(flags, chunk::OFFSET_DATA, r.cookie, 8 + to - from);
@@ -165,8 +175,9 @@
     }
 }
 
-/// An operator's file for one export over two shards of 64 KiB, in units of 4 KiB, with short deadlines.
-pub fn operator(boxes: &[(SocketAddr, u16)]) -> OperatorConfig {
+/// Returns the configuration of an operator's file with one export over two shards of 64 KiB each, in units
+/// of 4 KiB, and with short deadlines.
+pub fn operator(endpoints: &[(SocketAddr, u16)]) -> OperatorConfig {
     let lane = |name: &str, effect: &str, aim: u32| {
         format!(
             r#"{{"name":"{name}","aim":{aim}000000,"deadline":1500000000,"idempotency":"{effect}","group":"cell",
@@ -179,7 +190,7 @@
         lane("exportacao", "idempotent", 401),
         lane("keyed", "deduplicated", 400),
     ];
-    let members: Vec<String> = boxes
+    let members: Vec<String> = endpoints
         .iter()
         .map(|(a, cell)| {
             format!(
@@ -203,7 +214,7 @@
     operator::read(&mut text.into_bytes()).unwrap()
 }
 
-/// An NBD front over these boxes; what it tells to stop, and its core.
+/// Starts an NBD front. Returns its address, the notification that stops it, and its core.
 pub async fn nbd_front(operator: OperatorConfig) -> (SocketAddr, Rc<Notify>, Host) {
     let (listener, address) = loopback().await;
     let (core, stop) = (host(&operator.settings), Rc::new(Notify::new()));
@@ -215,26 +226,28 @@
     (address, stop, core)
 }
 
-/// A whole reply as an NBD client sees it.
+/// A complete NBD reply, as a client receives it.
 #[derive(Debug, Default, PartialEq)]
-pub struct Got {
+pub struct NbdReply {
     pub cookie: u64,
     pub error: u32,
     pub text: String,
     pub data: Vec<(u64, Vec<u8>)>,
 }
 
-impl Got {
+impl NbdReply {
+    /// Returns the data of all chunks in the order of their offsets.
     pub fn bytes(mut self) -> Vec<u8> {
         self.data.sort();
         self.data.into_iter().flat_map(|d| d.1).collect()
     }
 }
 
+/// An NBD client, after the greeting.
 pub struct NbdClient(pub BufReader<TcpStream>);
 
 impl NbdClient {
-    /// Connects and goes as far as the options.
+    /// Connects and exchanges the handshake up to the option haggling phase.
     pub async fn connect(to: SocketAddr) -> Self {
         let mut s = BufReader::new(TcpStream::connect(to).await.unwrap());
         assert_eq!((s.read_u64().await.unwrap(), s.read_u64().await.unwrap()), (INIT_MAGIC, OPT_MAGIC));
@@ -243,7 +256,7 @@
         NbdClient(s)
     }
 
-    /// Connects and goes on to commands, with structured replies.
+    /// Connects and negotiates up to the transmission phase, with structured replies.
     pub async fn go(to: SocketAddr) -> Self {
         let mut client = Self::connect(to).await;
         assert_eq!(client.option(opt::STRUCTURED_REPLY, &[]).await.last().unwrap().0, rep::ACK);
@@ -251,7 +264,7 @@
         client
     }
 
-    /// An option, and all that comes back for it.
+    /// Sends an option and returns all replies to it.
     pub async fn option(&mut self, option: u32, data: &[u8]) -> Vec<(u32, Vec<u8>)> {
         let s = &mut self.0;
         s.write_all(&shaletack::nbd::codec::option(option, data)).await.unwrap();
@@ -268,6 +281,7 @@
         }
     }
 
+    /// Sends a command.
     pub async fn send(
         &mut self,
         command: u16,
@@ -281,10 +295,10 @@
         self.0.write_all(&[&request, data].concat()).await.unwrap();
     }
 
-    /// The next whole reply.
-    pub async fn reply(&mut self) -> Got {
+    /// Reads the next complete reply.
+    pub async fn reply(&mut self) -> NbdReply {
         let s = &mut self.0;
-        let mut got = Got::default();
+        let mut got = NbdReply::default();
         loop {
             assert_eq!(s.read_u32().await.unwrap(), STRUCTURED_REPLY_MAGIC);
             let (flags, kind) = (s.read_u16().await.unwrap(), s.read_u16().await.unwrap());
@@ -306,7 +320,8 @@
     }
 }
 
-/// One HTTP message: its first line and headers, and its body. `None`: the connection ended.
+/// Reads one HTTP message and returns its head, which is the start line and headers, and its body. `None`:
+/// the connection ended.
 pub async fn message(s: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -322,7 +337,7 @@
     Some((head, body))
 }
 
-/// A chunked body, its extensions and trailers left out; `None`: it was cut.
+/// Reads a chunked body without its extensions and trailers; `None`: the body is incomplete.
 async fn chunks(s: &mut BufReader<TcpStream>) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
@@ -341,39 +356,41 @@
     }
 }
 
-/// A header's value, by its name in lower case.
+/// Returns a header's value by its name in lower case.
 pub fn header(head: &str, name: &str) -> Option<String> {
     let line = |l: &str| l.split_once(':').map(|(n, v)| (n.to_lowercase(), v.trim().to_owned()));
     head.lines().filter_map(line).find(|(n, _)| n == name).map(|(_, v)| v)
 }
 
-/// Of each request its connection's number, its head and its body.
+/// For each request the number of its connection, its head and its body.
 pub type Seen = Rc<RefCell<Vec<(usize, String, Vec<u8>)>>>;
 
-/// An HTTP box: gives each request, with the number of its connection, to a script that says what goes
-/// back, and then closes the connection if told so; `None`: nothing goes back.
-pub struct HttpBox {
+/// A scripted endpoint that speaks HTTP and records the requests it receives. For each request the script
+/// gets the number of earlier requests and the head, and returns the response and whether to close the
+/// connection after it; `None`: no response.
+pub struct StubHttpEndpoint {
     pub address: SocketAddr,
     pub seen: Seen,
-    pub came: Rc<Notify>,
-    /// Rung when the initiator closed a connection.
+    /// Notified of each request.
+    pub received: Rc<Notify>,
+    /// Notified when the initiator has closed a connection.
     pub closed: Rc<Notify>,
 }
 
-impl HttpBox {
+impl StubHttpEndpoint {
     pub async fn start(script: impl Fn(usize, &str) -> Option<(Vec<u8>, bool)> + 'static) -> Self {
         let seen = Seen::default();
-        let (came, closed, script) = (Rc::new(Notify::new()), Rc::new(Notify::new()), Rc::new(script));
-        let parts = (seen.clone(), came.clone(), closed.clone());
+        let (received, closed, script) = (Rc::new(Notify::new()), Rc::new(Notify::new()), Rc::new(script));
+        let parts = (seen.clone(), received.clone(), closed.clone());
         let address = peer(move |stream, number| {
-            let ((seen, came, closed), script) = (parts.clone(), script.clone());
+            let ((seen, received, closed), script) = (parts.clone(), script.clone());
             async move {
                 let mut s = BufReader::new(stream);
                 while let Some((head, body)) = message(&mut s).await {
                     let count = seen.borrow().len();
                     let reply = script(count, &head);
                     seen.borrow_mut().push((number, head, body));
-                    came.notify_one();
+                    received.notify_one();
                     let Some((reply, close)) = reply else { continue };
                     if s.write_all(&reply).await.is_err() || close {
                         return;
@@ -383,34 +400,35 @@
             }
         })
         .await;
-        HttpBox { address, seen, came, closed }
+        StubHttpEndpoint { address, seen, received, closed }
     }
 }
 
-/// An answer with a body of stated length, which may be cut short.
+/// Returns a response with a body of stated length, from whose end `cut` bytes are missing.
 pub fn answer(status: &str, body: &[u8], cut: usize) -> Vec<u8> {
     let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
     [head.as_bytes(), &body[..body.len() - cut]].concat()
 }
 
-/// The platform's front over these boxes.
-pub async fn http_front(boxes: &[(SocketAddr, u16)]) -> (SocketAddr, Rc<Notify>, Host) {
-    let (address, stop, core, _) = http_front_until(boxes).await;
+/// Starts the platform's front over these endpoints. Returns its address, the notification that stops it, and
+/// its core.
+pub async fn http_front(endpoints: &[(SocketAddr, u16)]) -> (SocketAddr, Rc<Notify>, Host) {
+    let (address, stop, core, _) = http_front_until(endpoints).await;
     (address, stop, core)
 }
 
-/// The same, and the task that ends once the front has stopped.
+/// Like [`http_front`], and also returns the task that ends once the front has stopped.
 pub async fn http_front_until(
-    boxes: &[(SocketAddr, u16)],
+    endpoints: &[(SocketAddr, u16)],
 ) -> (SocketAddr, Rc<Notify>, Host, tokio::task::JoinHandle<()>) {
-    let known = boxes.len();
+    let known = endpoints.len();
     let nowhere = ("127.0.0.1:9".parse().unwrap(), 0);
-    let OperatorConfig { settings, endpoints: mut boxes, .. } =
-        operator(&[boxes, &[nowhere, (nowhere.0, 1)]].concat());
-    boxes.entries.truncate(known);
+    let OperatorConfig { settings, endpoints: mut list, .. } =
+        operator(&[endpoints, &[nowhere, (nowhere.0, 1)]].concat());
+    list.entries.truncate(known);
     let (listener, address) = loopback().await;
     let (core, stop) = (host(&settings), Rc::new(Notify::new()));
-    core.feed(Input::EndpointList(boxes));
+    core.feed(Input::EndpointList(list));
     let endpoint_clients = shaletack::net::upstream::endpoint_clients::EndpointClients::new(&core, 16);
     let front = shaletack::net::downstream::front::Front {
         host: core.clone(),
@@ -428,7 +446,7 @@
 
 static LAST_ID: AtomicU64 = AtomicU64::new(0x9b1f_03aa_5c7e_2d41);
 
-/// One request of the platform's form, under an id of its own.
+/// Returns a request in the platform's form with a unique trace id.
 pub fn platform_request(method: &str, class: &str, shard: u16, units: u32, body: &[u8]) -> Vec<u8> {
     let id = LAST_ID.fetch_add(1, Ordering::Relaxed);
     let head = format!(
@@ -440,6 +458,7 @@
     [head.as_bytes(), body].concat()
 }
 
+/// An HTTP client with one connection.
 pub struct HttpClient(pub BufReader<TcpStream>);
 
 impl HttpClient {
@@ -447,20 +466,21 @@
         HttpClient(BufReader::new(TcpStream::connect(to).await.unwrap()))
     }
 
-    /// Sends bytes and takes the answer: its status, head and body.
+    /// Sends bytes and reads a response: its status, head and body.
     pub async fn ask(&mut self, request: &[u8]) -> (u16, String, Vec<u8>) {
         self.0.write_all(request).await.unwrap();
-        let (head, body) = message(&mut self.0).await.expect("an answer");
+        let (head, body) = message(&mut self.0).await.expect("a response");
         (head[9..12].parse().unwrap(), head, body)
     }
 
-    /// The same, of an answer of any form: its status, its body as far as it came, and whether it is whole.
+    /// Like [`HttpClient::ask`], for a response that may be incomplete: its status, its body as far as it was
+    /// received, and whether it is complete.
     pub async fn ask_any(&mut self, request: &[u8]) -> (u16, Vec<u8>, bool) {
         let s = &mut self.0;
         s.write_all(request).await.unwrap();
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
-            head.push(s.read_u8().await.expect("a head"));
+            head.push(s.read_u8().await.expect("a response head"));
         }
         let head = String::from_utf8(head).unwrap();
         let (status, mut body) = (head[9..12].parse().unwrap(), Vec::new());
@@ -482,7 +502,7 @@
     }
 }
 
-/// How long it takes until that holds.
+/// Waits until the condition holds and returns how long that took.
 pub async fn until(holds: impl Fn() -> bool) -> Duration {
     let start = Instant::now();
     while !holds() {
@@ -491,23 +511,23 @@
     start.elapsed()
 }
 
-/// How a watch of the list is answered.
+/// The head of the response to an endpoint list watch.
 pub const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A piece of a chunked body.
+/// Returns the text as one chunk of a chunked body.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// The list at a revision: one box, in that phase.
+/// Returns the chunk of a full endpoint list at a revision, with one endpoint in the given phase.
 pub fn listed(revision: u64, phase: &str) -> String {
     chunk(&format!(
         r#"{{"revision":{revision},"complete":true,"members":[{{"id":"s-1","host_port":"127.0.0.1:9","cell":0,"phase":"{phase}"}}]}}"#
     ))
 }
 
-/// Says this and stays until the other side ends it.
-pub async fn say(stream: &mut BufReader<TcpStream>, text: &str) {
+/// Sends the text and keeps the connection open until the peer closes it.
+pub async fn send_and_hold(stream: &mut BufReader<TcpStream>, text: &str) {
     stream.write_all(text.as_bytes()).await.unwrap();
     let _ = stream.read(&mut [0]).await;
 }
--- a/tests/front_and_management.rs
+++ b/tests/front_and_management.rs
@@ -33,7 +33,7 @@
 /// and targets get an error status.
 #[test]
 fn calls_are_answered_while_slow_callers_hold_every_connection_slot() {
-    story(async {
+    run_test(async {
         let (_, _, host) = http_front(&[]).await;
         let address = serve_management(&host).await;
         let mut slow = Vec::new();
@@ -60,8 +60,8 @@
 /// The endpoint list does not contain operators' commands, so a new list must not undo a suspension.
 #[test]
 fn a_suspended_target_gets_no_requests_until_it_is_resumed_whatever_the_list_says() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
         let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
         let address = serve_management(&host).await;
         let id = format!("s-{:08x}", endpoint.address.port());
@@ -86,8 +86,8 @@
 /// or once it is idle. After `activate`, connections stay open again.
 #[test]
 fn a_drain_closes_idle_connections_until_the_initiator_is_activated() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
         let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
         let address = serve_management(&host).await;
         let (mut idle, mut active) = (HttpClient::connect(front).await, HttpClient::connect(front).await);
@@ -119,7 +119,7 @@
 /// large ones, were not accepted, and half of the endpoints' responses were of those forms.
 #[test]
 fn responses_of_every_form_and_size_are_forwarded_and_truncation_is_detected() {
-    story(async {
+    run_test(async {
         let chunked = |body: &[u8], cut: usize| {
             let mut out = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
             for piece in body.chunks(10_000) {
@@ -140,7 +140,7 @@
             (until_close(&large), true, &large),
             (answer("200 OK", &large, 0), false, &large),
         ] {
-            let endpoint = HttpBox::start(move |_, _| Some((sent.clone(), close))).await;
+            let endpoint = StubHttpEndpoint::start(move |_, _| Some((sent.clone(), close))).await;
             let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
             let mut client = HttpClient::connect(front).await;
             for _ in 0..2 {
@@ -157,7 +157,7 @@
             (chunked(&large, 30), 200),
             (answer("200 OK", &large, 9), 200),
         ] {
-            let endpoint = HttpBox::start(move |_, _| Some((sent.clone(), true))).await;
+            let endpoint = StubHttpEndpoint::start(move |_, _| Some((sent.clone(), true))).await;
             let (front, _, _) = http_front(&[(endpoint.address, 0)]).await;
             let mut client = HttpClient::connect(front).await;
             let (got, _, complete) = client.ask_any(&platform_request("PUT", "gravacao", 0, 2, b"w")).await;
@@ -171,10 +171,10 @@
 /// the process one deadline after the signal.
 #[test]
 fn a_stop_waits_for_large_responses_that_are_being_streamed() {
-    story(async {
+    run_test(async {
         let large = vec![7; 30_000_000];
         let sent = answer("200 OK", &large, 0);
-        let endpoint = HttpBox::start(move |_, _| Some((sent.clone(), false))).await;
+        let endpoint = StubHttpEndpoint::start(move |_, _| Some((sent.clone(), false))).await;
         let (address, stop, host, served) = http_front_until(&[(endpoint.address, 0)]).await;
         let mut client = HttpClient::connect(address).await;
         client.0.write_all(&platform_request("GET", "leitura", 0, 2, b"")).await.unwrap();
@@ -195,12 +195,12 @@
 /// The response to a HEAD request states a length, and no body follows.
 #[test]
 fn a_head_request_is_forwarded_and_its_connection_stays_open() {
-    story(async {
+    run_test(async {
         let script = |_: usize, head: &str| {
             let length = if head.starts_with("HEAD") { 5 } else { 0 };
             Some((answer("200 OK", b"whole", length), false))
         };
-        let endpoint = HttpBox::start(script).await;
+        let endpoint = StubHttpEndpoint::start(script).await;
         let (front, _, _) = http_front(&[(endpoint.address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         let head = platform_request("HEAD", "leitura", 0, 2, b"");
@@ -217,7 +217,7 @@
 /// its client had left.
 #[test]
 fn a_slow_response_without_a_length_is_streamed_as_it_comes() {
-    story(async {
+    run_test(async {
         let beginning = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n".to_vec();
         let address = peer(move |stream, _| {
             let beginning = beginning.clone();
@@ -250,8 +250,8 @@
 /// take all the memory if they were buffered whole.
 #[test]
 fn large_requests_are_streamed_and_hold_no_connection_slot() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
         let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
         let large: Vec<u8> = (0..3_000_000u32).map(|i| (i >> 3) as u8).collect();
         let plain = platform_request("PUT", "gravacao", 0, 2, &large);
@@ -298,8 +298,8 @@
 /// 64 kB of a body per second.
 #[test]
 fn a_slow_request_is_read_to_its_end() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"x", 0), false))).await;
         let (front, _, _) = http_front(&[(endpoint.address, 0)]).await;
         let body = vec![7; 60_000];
         let request = platform_request("PUT", "gravacao", 0, 2, &body);
@@ -322,7 +322,7 @@
 /// up that third, and idle connections were only closed from half of the limit on.
 #[test]
 fn idle_connections_close_before_clients_run_out_of_connections() {
-    story(async {
+    run_test(async {
         let (front, _, _) = http_front(&[]).await;
         let health = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n";
         // 7 of the 16 connections allowed here.
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -23,8 +23,8 @@
 /// pipelined requests was not read.
 #[test]
 fn a_disconnect_is_detected_behind_any_amount_of_pipelined_requests() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| None).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| None).await;
         let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
         let mut pipelined = Vec::new();
         while pipelined.len() < 1 << 20 {
@@ -34,7 +34,7 @@
             for ending in ["close", "reset", "half"] {
                 let mut client = HttpClient::connect(front).await;
                 client.0.write_all(&platform_request("PUT", "gravacao", 0, 2, b"w")).await.unwrap();
-                endpoint.came.notified().await;
+                endpoint.received.notified().await;
                 client.0.write_all(&pipelined[..ahead]).await.unwrap();
                 assert_eq!(host.open_requests(), 1, "{ahead} {ending}");
                 if ending == "reset" {
@@ -53,7 +53,7 @@
         assert_eq!(host.with_broker(|b| b.counters()[1].requests.client_left), 15);
         // A client that goes on sending and stays connected is served. Its connection closes after that
         // response.
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+        let endpoint = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let (front, _, _) = http_front(&[(endpoint.address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         let sent = [&platform_request("GET", "leitura", 0, 1, b"")[..], &pipelined[..200 << 10]].concat();
@@ -65,13 +65,13 @@
 /// kernel then resets it and discards what is still in transit.
 #[test]
 fn a_request_sent_during_a_close_is_neither_forwarded_nor_answered_by_a_reset() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let (front, stop, _, served) = http_front_until(&[(endpoint.address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         let request = platform_request("GET", "leitura", 0, 1, b"");
         client.0.write_all(&request).await.unwrap();
-        endpoint.came.notified().await;
+        endpoint.received.notified().await;
         stop.notify_one();
         // The client reads nothing, so that the response stays in its receive buffer until the close arrives.
         while !client.0.get_ref().ready(Interest::READABLE).await.unwrap().is_read_closed() {
@@ -96,7 +96,7 @@
 /// of a whole silence once more.
 #[test]
 fn a_silent_watch_is_replaced_within_six_seconds_wherever_the_next_calls_stall() {
-    story(async {
+    run_test(async {
         let stalled_responses: [fn(&str) -> String; 4] = [
             |_| String::new(),
             |_| HEAD.into(),
@@ -109,9 +109,9 @@
                 message(&mut s).await;
                 match number {
                     // The first watch falls silent after a keep-alive.
-                    0 => say(&mut s, &format!("{HEAD}{}", chunk("\n"))).await,
-                    1 | 2 => say(&mut s, &stalled_response("")).await,
-                    _ => say(&mut s, &format!("{HEAD}{}", listed(43, "up"))).await,
+                    0 => send_and_hold(&mut s, &format!("{HEAD}{}", chunk("\n"))).await,
+                    1 | 2 => send_and_hold(&mut s, &stalled_response("")).await,
+                    _ => send_and_hold(&mut s, &format!("{HEAD}{}", listed(43, "up"))).await,
                 }
             })
             .await;
@@ -134,7 +134,7 @@
 /// the first list from the new address may be older than the last event from the old one.
 #[test]
 fn an_older_list_from_a_new_discovery_address_undoes_nothing() {
-    story(async {
+    run_test(async {
         let (send_event, calls_received) = (Rc::new(Notify::new()), Rc::new(Cell::new(0)));
         let waits = send_event.clone();
         let old = peer(move |stream, _| {
@@ -144,7 +144,7 @@
                 message(&mut s).await;
                 s.write_all(format!("{HEAD}{}", listed(43, "up")).as_bytes()).await.unwrap();
                 waits.notified().await;
-                say(&mut s, &listed(50, "draining")).await;
+                send_and_hold(&mut s, &listed(50, "draining")).await;
             }
         })
         .await;
@@ -163,7 +163,7 @@
                 message(&mut s).await;
                 calls.set(number + 1);
                 let list = if number < 3 { listed(45, "up") } else { listed(51, "removed") };
-                say(&mut s, &format!("{HEAD}{list}")).await
+                send_and_hold(&mut s, &format!("{HEAD}{list}")).await
             }
         })
         .await;
@@ -189,8 +189,8 @@
 /// initiator. It must send no new requests until it gets a list.
 #[test]
 fn an_initiator_that_discovery_rejects_for_six_seconds_sends_nothing_new_until_it_gets_the_list() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let rejecting = Rc::new(Cell::new(true));
         let rejects = rejecting.clone();
         let agent = peer(move |stream, _| {
@@ -200,7 +200,7 @@
                 message(&mut s).await;
                 match rejects.get() {
                     true => s.write_all(&answer("503 Service Unavailable", b"", 0)).await.unwrap(),
-                    false => say(&mut s, &format!("{HEAD}{}", chunk("\n"))).await,
+                    false => send_and_hold(&mut s, &format!("{HEAD}{}", chunk("\n"))).await,
                 }
             }
         })
@@ -228,8 +228,8 @@
 /// Guards against timeouts of connections that stay those of the first settings.
 #[test]
 fn newer_settings_apply_to_connections_to_endpoints() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let (front, _, host) = http_front(&[(endpoint.address, 0)]).await;
         let mut client = HttpClient::connect(front).await;
         let mut connections = async |keepalive: Option<Duration>| {
@@ -269,15 +269,15 @@
 /// timeout, so the retry could be written too late.
 #[test]
 fn waiting_for_a_connection_slot_counts_towards_the_connect_timeout() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| None).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| None).await;
         let host = host(&operator(&[(endpoint.address, 0), (endpoint.address, 1)]).settings);
         let endpoint_clients = EndpointClients::new(&host, 1);
         let attempt = || {
             read_call(&endpoint_clients).attempt(endpoint.address, Duration::from_secs(2), Box::new(|_| {}))
         };
         let first = actix_rt::spawn(attempt());
-        endpoint.came.notified().await;
+        endpoint.received.notified().await;
         let start = Instant::now();
         assert_eq!(attempt().await.transport, TransportOutcome::ConnectTimedOut);
         assert!(start.elapsed() < Duration::from_millis(600), "{:?}", start.elapsed());
@@ -291,7 +291,7 @@
 /// its bytes, and a reset never counts as the end of the response.
 #[test]
 fn a_response_that_is_reset_is_never_complete() {
-    story(async {
+    run_test(async {
         let rejection = "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 4\r\n\r\nfull";
         // The response, whether its end is known without the end of the connection, and the outcome if
         // complete.
@@ -349,7 +349,7 @@
 /// second copy late, and after the next request it would be taken for that one's response.
 #[test]
 fn an_endpoint_that_answered_twice_gets_one_request_on_each_connection() {
-    story(async {
+    run_test(async {
         let (duplicate_sent, send_duplicate) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
         let (sent, send) = (duplicate_sent.clone(), send_duplicate.clone());
         let endpoint = peer(move |stream, number| {
@@ -415,7 +415,7 @@
 /// connected and sent nothing kept the true successor waiting until it gave up.
 #[test]
 fn state_is_handed_only_to_a_process_of_the_same_initiator() {
-    story(async {
+    run_test(async {
         let (folder, me) = (folder("states"), initiator("n.3", "127.0.0.1:5000"));
         let host = host(
             &operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)]).settings,
@@ -479,7 +479,7 @@
 /// after it, before it said how the budgets are shared.
 #[test]
 fn a_predecessor_that_dies_leaves_its_successor_every_budget() {
-    story(async {
+    run_test(async {
         let (folder, me) = (folder("dies"), initiator("n3", "127.0.0.1:5000"));
         let complete = format!("{{\"Will\":{}}}\n", serde_json::to_string(&state()).unwrap());
         for (reply, is_received) in [(&complete[..complete.len() / 2], false), (&complete[..], true)] {
@@ -514,7 +514,7 @@
 /// is either part of the state or sent after it, so that the successor does not miss it.
 #[test]
 fn an_operators_command_during_the_hand_over_reaches_the_successor() {
-    story(async {
+    run_test(async {
         let (folder, me) = (folder("words"), initiator("n3", "127.0.0.1:5000"));
         let nowhere = "127.0.0.1:9".parse().unwrap();
         let host = host(&operator(&[(nowhere, 0), (nowhere, 1)]).settings);
@@ -551,8 +551,8 @@
 /// at that time gets no response.
 #[test]
 fn a_rejected_initiator_stops_after_six_seconds_even_with_a_call_in_flight() {
-    story(async {
-        let endpoint = HttpBox::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
+    run_test(async {
+        let endpoint = StubHttpEndpoint::start(|_, _| Some((answer("200 OK", b"ok", 0), false))).await;
         let first_rejection: Rc<Cell<Option<Instant>>> = Rc::default();
         let first = first_rejection.clone();
         let agent = peer(move |stream, _| {
@@ -565,7 +565,7 @@
                 if since.elapsed() < Duration::from_millis(4500) {
                     s.write_all(&answer("503 Service Unavailable", b"", 0)).await.unwrap();
                 } else {
-                    say(&mut s, "").await;
+                    send_and_hold(&mut s, "").await;
                 }
             }
         })
@@ -590,7 +590,7 @@
 /// not closed in favour of callers that send nothing.
 #[test]
 fn a_complete_call_is_not_closed_for_silent_callers() {
-    story(async {
+    run_test(async {
         let (folder, me) = (folder("calls"), initiator("n3", "127.0.0.1:5000"));
         let configuration =
             operator(&[("127.0.0.1:9".parse().unwrap(), 0), ("127.0.0.1:9".parse().unwrap(), 1)]);
--- a/tests/writeback.rs
+++ b/tests/writeback.rs
@@ -58,7 +58,7 @@
 }
 
 /// Returns how many writes of each cell reached the endpoint.
-fn write_counts(endpoint: &NbdBox) -> BTreeMap<u64, usize> {
+fn write_counts(endpoint: &StubNbdEndpoint) -> BTreeMap<u64, usize> {
     let mut counts = BTreeMap::new();
     for request in endpoint.seen.borrow().iter().filter(|r| r.command == cmd::WRITE) {
         *counts.entry(request.offset / u64::from(CELL_BYTES)).or_default() += 1;
@@ -74,12 +74,12 @@
 
 #[test]
 fn a_stalled_endpoint_delays_no_write_flush_or_read_and_a_kill_loses_nothing() {
-    story(async {
-        let endpoint = NbdBox::start(Script::Silent, 1 << 16).await;
+    run_test(async {
+        let endpoint = StubNbdEndpoint::start(Script::Silent, 1 << 16).await;
         let folder = folder("stalled");
         let text = operator_file(endpoint.address, &folder, "ask");
         let mut first = Process::start("stalled.json", &text);
-        let mut client = NbdClient::go(first.place().await).await;
+        let mut client = NbdClient::go(first.client_address().await).await;
         assert_eq!(write(&mut client, 1, 11, command_flag::FUA).await, 0);
         assert_eq!(write(&mut client, 2, 22, 0).await, 0);
         client.send(cmd::FLUSH, 0, 99, 0, 0, &[]).await;
@@ -87,7 +87,7 @@
         assert_eq!((read(&mut client, 1).await, read(&mut client, 2).await), (11, 22));
         // A second process with the same log exits and reports the reason.
         let mut second = Process::start("stalled.json", &text);
-        second.says("another process has the log open").await;
+        second.wait_for_line("another process has the log open").await;
         assert!(!second.0.wait().unwrap().success());
         wait_until(|| endpoint.count(cmd::WRITE) == 2).await;
         first.0.kill().unwrap();
@@ -96,7 +96,7 @@
         // again.
         endpoint.script.set(Script::Serve);
         let mut again = Process::start("stalled.json", &text);
-        let mut client = NbdClient::go(again.place().await).await;
+        let mut client = NbdClient::go(again.client_address().await).await;
         assert_eq!((read(&mut client, 1).await, read(&mut client, 2).await), (11, 22));
         wait_until(|| write_counts(&endpoint).len() == 2).await;
         // Long enough for the log to be sealed. Reads are still served after that.
@@ -109,7 +109,7 @@
             "stalled-other.json",
             &text.replace("\"at\":0", "\"at\":1").replace("\"a1\"", "\"a2\""),
         );
-        other.says("the log was made for other exports or boxes").await;
+        other.wait_for_line("the log was made for other exports or boxes").await;
         assert!(!other.0.wait().unwrap().success());
     });
 }
@@ -118,8 +118,8 @@
 /// still served to reads, blocks writes that overlap, and can be settled by an operator.
 #[test]
 fn a_write_in_doubt_stays_readable_until_an_operator_settles_it() {
-    story(async {
-        let endpoint = NbdBox::start(Script::Swallow, 1 << 16).await;
+    run_test(async {
+        let endpoint = StubNbdEndpoint::start(Script::Swallow, 1 << 16).await;
         let folder = folder("doubt");
         let text = operator_file(endpoint.address, &folder, "ask");
         let path = folder.with_extension("json");
@@ -133,7 +133,7 @@
         };
         assert!(run_writeback(&["list"]).1.contains("there is no log"));
         let mut first = Process::start("doubt.json", &text);
-        let mut client = NbdClient::go(first.place().await).await;
+        let mut client = NbdClient::go(first.client_address().await).await;
         assert_eq!(write(&mut client, 1, 11, command_flag::FUA).await, 0);
         wait_until(|| endpoint.count(cmd::WRITE) == 1).await;
         assert!(run_writeback(&["list"]).1.contains("another process has the log open"));
@@ -141,8 +141,8 @@
         drop(first);
         endpoint.script.set(Script::Serve);
         let mut again = Process::start("doubt.json", &text);
-        let mut client = NbdClient::go(again.place().await).await;
-        again.says("can't be settled without an operator").await;
+        let mut client = NbdClient::go(again.client_address().await).await;
+        again.wait_for_line("can't be settled without an operator").await;
         assert_eq!(read(&mut client, 1).await, 11);
         assert_eq!(
             write(&mut client, 1, 12, command_flag::FUA).await,
@@ -162,7 +162,7 @@
         assert!(!run_writeback(&["settle", "9", "drop"]).0 && !run_writeback(&["settle", "x", "drop"]).0);
         assert_eq!(run_writeback(&["settle", "1", "drop"]), (true, String::new()));
         let mut last = Process::start("doubt.json", &text);
-        let mut client = NbdClient::go(last.place().await).await;
+        let mut client = NbdClient::go(last.client_address().await).await;
         wait_until(|| endpoint.count(cmd::WRITE) == 2).await;
         assert_eq!(read(&mut client, 1).await, 12);
     });
@@ -172,8 +172,8 @@
 /// restart, and no write reaches the endpoint twice.
 #[test]
 fn kills_during_writes_lose_no_acknowledged_data_and_send_no_write_twice() {
-    story(async {
-        let endpoint = NbdBox::start(Script::Serve, 1 << 16).await;
+    run_test(async {
+        let endpoint = StubNbdEndpoint::start(Script::Serve, 1 << 16).await;
         let folder = folder("kills");
         // A write with an intent and no outcome at the kill is sent again once the earlier attempt can no
         // longer run.
@@ -181,7 +181,7 @@
         let mut acknowledged = BTreeMap::new();
         for run in 0..6u64 {
             let mut process = Process::start("kills.json", &text);
-            let mut client = NbdClient::go(process.place().await).await;
+            let mut client = NbdClient::go(process.client_address().await).await;
             for (cell, value) in &acknowledged {
                 assert_eq!(read(&mut client, *cell).await, *value, "cell {cell} in run {run}");
             }
@@ -195,7 +195,7 @@
             process.0.kill().unwrap();
         }
         let mut last = Process::start("kills.json", &text);
-        let mut client = NbdClient::go(last.place().await).await;
+        let mut client = NbdClient::go(last.client_address().await).await;
         wait_until(|| write_counts(&endpoint).len() == acknowledged.len()).await;
         for (cell, value) in &acknowledged {
             assert_eq!(read(&mut client, *cell).await, *value);
@@ -204,7 +204,7 @@
         // After a graceful stop everything in the log is durable.
         let pid = last.0.id().to_string();
         assert!(std::process::Command::new("kill").args(["-TERM", &pid]).status().unwrap().success());
-        let line = last.says("write-back stopped").await;
+        let line = last.wait_for_line("write-back stopped").await;
         assert!(line.contains("durable=true"), "{line}");
     });
 }
@@ -225,13 +225,13 @@
 fn a_log_that_can_not_be_written_for_a_while_recovers_and_keeps_what_it_accepted() {
     const DEADLINE: Duration = Duration::from_millis(1500);
     const MAX_REPLY_TIME: Duration = Duration::from_millis(1700);
-    story(async {
-        let endpoint = NbdBox::start(Script::Serve, 1 << 16).await;
+    run_test(async {
+        let endpoint = StubNbdEndpoint::start(Script::Serve, 1 << 16).await;
         let folder = folder("refuses");
         let text = operator_file(endpoint.address, &folder, "resend");
         let faults = Faults::new("disk", "disk 50\n");
-        let mut process = Process::start_under(&faults, "refuses.json", &text);
-        let mut client = NbdClient::go(process.place().await).await;
+        let mut process = Process::start_with_faults(&faults, "refuses.json", &text);
+        let mut client = NbdClient::go(process.client_address().await).await;
         let mut acknowledged = BTreeMap::new();
         for cell in 0..60_u64 {
             let value = cell as u8 + 1;
@@ -272,7 +272,7 @@
         process.0.kill().unwrap();
         process.0.wait().unwrap();
         let mut last = Process::start("refuses.json", &text);
-        let mut client = NbdClient::go(last.place().await).await;
+        let mut client = NbdClient::go(last.client_address().await).await;
         for (cell, value) in &acknowledged {
             assert_eq!(read(&mut client, *cell).await, *value, "cell {cell}");
         }
